--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -32,6 +32,9 @@
 		discovery, known)
 }
 
+// patience bounds a wait for what takes milliseconds on an idle machine; every answer is due in half of it.
+const patience = 20 * time.Second
+
 type rig struct {
 	*Live
 	t       *testing.T
@@ -46,12 +49,14 @@
 	next string // the configuration that a reload reads
 }
 
-// newRig starts a host that knows these entries, and serves until a signal ends it.
+// newRig starts a host that knows these entries, and serves until a signal ends it. It returns once the host is
+// ready: that the agent has spoken does not yet mean that it was heard, and until then requests are refused.
 func newRig(t *testing.T, targets ...string) *rig {
 	t.Helper()
 	a := newAgent(t)
 	r := newRigAt(t, a, targets...)
 	r.watch = a.Next()
+	r.ready()
 	return r
 }
 
@@ -85,6 +90,44 @@
 	return r
 }
 
+const health = "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
+
+// ready waits until the host says that it is.
+func (r *rig) ready() {
+	r.t.Helper()
+	got := ""
+	for began := time.Now(); time.Since(began) < patience; {
+		if got = r.say(health); strings.HasPrefix(got, "200") {
+			return
+		}
+	}
+	r.t.Fatalf("not ready within %v: %q", patience, got)
+}
+
+// reach waits until so many requests have come to the node. It fails with the answer if one of these, which are
+// needed for as many, was answered before: then no more will come.
+func (r *rig) reach(n *standin.HTTPNode, atLeast int, answers ...chan string) {
+	r.t.Helper()
+	seen, early := make(chan bool), make(chan string, len(answers))
+	go func() { n.Seen(atLeast); close(seen) }()
+	for _, a := range answers {
+		go func() {
+			got := <-a
+			a <- got // for who expects it
+			early <- got
+		}()
+	}
+	select {
+	case <-seen:
+	case got := <-early:
+		if k := len(n.Seen(0)); k < atLeast {
+			r.t.Fatalf("answered %q when %d of %d requests had come to the node", got, k, atLeast)
+		}
+	case <-time.After(patience):
+		r.t.Fatalf("%d of %d requests came to the node within %v, and no answer", len(n.Seen(0)), atLeast, patience)
+	}
+}
+
 func newAgent(t *testing.T) *standin.Agent {
 	t.Helper()
 	a, err := standin.NewAgent("")
@@ -194,13 +237,11 @@
 	}
 	t.Cleanup(a.Close)
 	r := newRigAt(t, a, standin.Target("s-1", gone.Addr(), 0, "active", 0))
-	const health = "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
 	if got := r.say(health); !strings.HasPrefix(got, "503") {
 		t.Fatalf("ready by the list known from before: %q", got)
 	}
 	close(speak)
-	for !strings.HasPrefix(r.say(health), "200") {
-	}
+	r.ready()
 	r.expect(r.ask(1, 0), served(1))
 	if n := len(gone.Seen(0)); n != 0 || len(there.Seen(1)) != 1 {
 		t.Fatalf("%d requests to the node that is gone", n)
@@ -262,7 +303,7 @@
 	for i := range 3 {
 		answers = append(answers, r.ask(i, 0))
 	}
-	n.Seen(3)
+	r.reach(n, 3, answers...)
 	if b, p := compare(); b.Out != 3 || b.Carried != 3 || p.Out+p.Waiting != 3 || p.Written != 3 || p.Answered != 0 {
 		t.Fatalf("believed %+v, passed %+v", b, p)
 	}
@@ -294,7 +335,7 @@
 		write <- r.say("PUT /api/" + id(1) + "/" + id(2) + " HTTP/1.1\r\nHost: o\r\nRequest-Id: " + id(99) + "\r\nRequest-Class: write\r\n" +
 			"X-Storage-Class: gold\r\nRequest-Timeout-Ms: 500\r\nX-Extent: units=2,shard=0,hosts=1\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx")
 	}()
-	n.Seen(1)
+	r.reach(n, 1, write)
 	reads := make(chan string, 30)
 	for i := range cap(reads) {
 		go func() { reads <- r.asked(i, 0, 500*time.Millisecond) }()
@@ -315,7 +356,7 @@
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
 	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
 	open := r.ask(1, 0)
-	n.Seen(1)
+	r.reach(n, 1, open)
 	r.next = `{"name":"n3","listen":"nowhere"}`
 	r.signals <- syscall.SIGHUP
 	r.log.Has("the new configuration cannot be used")
@@ -341,13 +382,13 @@
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
 	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
 	first := r.ask(1, 0)
-	n.Seen(1)
+	r.reach(n, 1, first)
 	r.signals <- syscall.SIGTERM
 	r.signals <- syscall.SIGHUP
 	r.signals <- syscall.SIGTERM
 	r.log.Has("ending")
 	late := r.ask(2, 0) // connections go on being served
-	n.Seen(2)
+	r.reach(n, 2, late)
 	close(release)
 	r.expect(first, served(1))
 	r.expect(late, served(2))
