--- a/internal/backend/http/backend_test.go
+++ b/internal/backend/http/backend_test.go
@@ -65,6 +65,22 @@
 	return r.next
 }
 
+// reach waits until a request has come to a node that answers nothing yet. It fails with the outcome if the
+// attempt ended instead: then none will come.
+func (r *rig) reach(t *testing.T, n *standin.HTTPNode) {
+	t.Helper()
+	seen := make(chan bool)
+	go func() { n.Seen(1); close(seen) }()
+	const patience = 20 * time.Second // an attempt has 5 s
+	select {
+	case <-seen:
+	case o := <-r.out:
+		t.Fatalf("%+v, expected it to be out at the node", o)
+	case <-time.After(patience):
+		t.Fatalf("neither at the node nor ended within %v", patience)
+	}
+}
+
 // counts are the backend's, on its loop.
 func (r *rig) counts() Stats {
 	c := make(chan Stats, 1)
@@ -196,7 +212,7 @@
 	r := newRig(t, 10, n.Addr())
 	r.send("a", "body")
 	if o := <-r.out; o.VolumeUse != 86 || !slices.Equal(o.Load, []float64{3, 14.5}) {
-		t.Errorf("%+v", o)
+		t.Fatalf("%+v", o)
 	}
 	s := n.Seen(1)[0]
 	if s.Method != "PUT" || s.Target != "/api/v/i" || s.ID != "0123456789abcdef" || s.Key != "k" || s.Body != "body" || s.Left == "" {
@@ -335,7 +351,7 @@
 	n := newNode(t, func(s standin.Seen) standin.Reply { return standin.Reply{} })
 	r := newRig(t, 1, n.Addr())
 	one := r.send("a", "x")
-	n.Seen(1)
+	r.reach(t, n)
 	two := r.send("a", "y") // there is no room for its connection
 	r.Drop(two)
 	r.Drop(one)
@@ -373,7 +389,7 @@
 			other := newNode(t, always(standin.Served("y")))
 			r := newRig(t, 1, slow.Addr(), other.Addr())
 			r.send("a", "x")
-			slow.Seen(1)
+			r.reach(t, slow)
 			req := &host.Request{Message: &http1.Message{Method: "GET", Target: "/api/v/i", ID: "00000000000000ff"}}
 			r.next++
 			ref := r.next
@@ -416,14 +432,17 @@
 	other := newNode(t, always(standin.Served("y")))
 	r := newRig(t, 1, slow.Addr(), other.Addr())
 	r.send("a", "x")
-	slow.Seen(1)
+	r.reach(t, slow)
 	began := time.Now()
 	r.send("b", "y")
 	r.counts() // it waits from now on
 	const wait = 30 * time.Millisecond
 	time.AfterFunc(wait, func() { close(release) })
-	<-r.out
-	<-r.out
+	for range 2 {
+		if o := <-r.out; o.Result != control.Done {
+			t.Fatalf("%+v", o)
+		}
+	}
 	left, err := strconv.Atoi(other.Seen(1)[0].Left)
 	if err != nil || left > int((5*time.Second-wait).Milliseconds()) || left < int((5*time.Second-time.Since(began)).Milliseconds())-1 {
 		t.Fatalf("told %d ms after %v: %v", left, time.Since(began), err)
@@ -437,7 +456,7 @@
 	quick := newNode(t, always(standin.Served("y")))
 	r := newRig(t, 1, slow.Addr(), quick.Addr())
 	r.send("a", "x")
-	slow.Seen(1)
+	r.reach(t, slow)
 	r.send("b", "y")
 	close(release)
 	for range 2 {
