--- a/control/api.go
+++ b/control/api.go
@@ -115,7 +115,7 @@
 		if cl.Aim < 0 || cl.Deadline < 0 || cl.Window < 0 {
 			return fmt.Errorf("%s: negative time", where)
 		}
-		if bad(cl.Worth) || bad(cl.LateWorth) {
+		if invalid(cl.Worth) || invalid(cl.LateWorth) {
 			return fmt.Errorf("%s.worth: %v, late %v", where, cl.Worth, cl.LateWorth)
 		}
 	}
@@ -129,13 +129,13 @@
 		{"share worth", s.ShareWorth}, {"spare worth", s.SpareWorth}, {"cold capacity", s.ColdCapacity},
 		{"fall multiple", s.FallMultiple}, {"cold bears", s.ColdBears}, {"extra free", s.ExtraFree},
 		{"extra share", s.ExtraShare}} {
-		if bad(f.x) {
+		if invalid(f.x) {
 			return fmt.Errorf("settings: %s: %v is negative or no number", f.name, f.x)
 		}
 	}
 	for _, p := range s.Plans {
 		for _, x := range []float64{p.Nominal, p.Price, p.Reserve, p.Weight, p.LimitRate, p.LimitBurst, p.LimitSlack} {
-			if bad(x) {
+			if invalid(x) {
 				return fmt.Errorf("settings: plans[%s]: %v", p.Name, x)
 			}
 		}
@@ -144,23 +144,23 @@
 }
 
 // bad says that a figure is negative or no finite number.
-func bad(x float64) bool { return !(x >= 0) || math.IsInf(x, 1) }
+func invalid(x float64) bool { return !(x >= 0) || math.IsInf(x, 1) }
 
 // Result tells how an attempt or a probe ended.
 type Result int
 
 // The results.
 const (
-	Done         Result = iota
-	Error               // an error answer; it may have run
-	Busy                // turned away unseen
-	TimedOut            // no answer in time; it may run yet
-	Unreachable         // no connection; it never ran
-	Reset               // the connection dropped; it may have run
-	Cancelled           // called off; it may have run
-	NotSent             // never left
-	NoRoom              // turned away: the node has no room for it; it never ran
-	unknownCount        // number of results
+	Done        Result = iota
+	Error              // an error answer; it may have run
+	Busy               // turned away unseen
+	TimedOut           // no answer in time; it may run yet
+	Unreachable        // no connection; it never ran
+	Reset              // the connection dropped; it may have run
+	Cancelled          // called off; it may have run
+	NotSent            // never left
+	NoRoom             // turned away: the node has no room for it; it never ran
+	resultCount        // number of results
 )
 
 // NeverRan reports whether the result proves that the attempt did not run.
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,7 @@
 package control
 
-// The decisions. The interface (settings, events, actions) is in api.go, the state in state.go.
+// This file makes the decisions. The interface (settings, events, actions) is in api.go, the state in
+// state.go.
 
 import (
 	"cmp"
@@ -12,296 +13,312 @@
 	"time"
 )
 
-// The tuned values: parts of what the settings say or of what is observed, so that they fit any deployment.
+// The constants are fractions and multiples of the settings or of observed values, so that they fit any
+// deployment. "The aim" in their comments is the tightest aim of all classes, as in Controller.slot.
 const (
-	rateMemory   = 10 * time.Second // minRead is a mean over this long
-	windowStart  = 4.0              // attempts out at a node, at first
-	windowTop    = 16.0             // the fixed ceiling
-	windowFloor  = 1.0              // the trickle: one attempt may always be out
-	aimForNode   = 0.05             // part of the tightest aim that a wait may take before the window halves
-	rttGain      = 0.15             // weight of a new round trip in the mean
-	keepFor      = 30 * time.Second // what nothing refers to is kept at least this long
-	usageSpan    = time.Second      // worth is counted by the second
-	shareOver    = 2.0              // times what a volume is sized for: taken as its share
-	silentAfter  = 3.0              // round trips (and an aim) without any answer: suspect
-	unitGain     = 0.05             // step a second of the unqueued time a unit, which is a low quantile
-	unitQuantile = 0.3              // of the times a unit that answers took
-	waitGain     = 0.5              // weight of a new observation of the backlog
-	waitFade     = 2 * time.Second  // the backlog last seen is forgotten over this long
-	lastFade     = 4 * waitFade     // and the last observation, of which it takes two
-	unheard      = 1.0              // part of the tightest aim that an unheard-of node counts as behind
-	generalFull  = 4.0              // a third of the tightest aim in general: all is short
-	waitFree     = 1.0              // mean requests' work that is no backlog yet
-	suspectAfter = 3                // failures on end: suspect
-	backoffTop   = 8                // longest pause between attempts at a suspect node, slots
-	coldMargin   = 0.8              // part of the cold budget that is used: hosts come by chance
-	coldLoad     = 0.6              // part of its capacity that a node served in the mean, at most
-	askEarly     = 0.4              // part of the list's longest silence after which it is asked
-	beatsPerSlot = 4                // looks at held requests in a slot
-	fadeOld      = 4.0              // halvings of trust in shares told, for each stated age over it
-	useFar       = 3.0              // doublings of its share at which what a volume asks for belies it
-
-	noAnswers = " gives no answers: suspect, one attempt now and then"
+	rateSpan            = 10 * time.Second // a node's service rate is a mean over this span
+	initialWindow       = 4.0              // attempts that a new node may have in flight
+	maxWindow           = 16.0             // upper bound of every window
+	minWindow           = 1.0              // one attempt may always be in flight
+	maxWaitFraction     = 0.05             // part of the aim; a longer wait halves the window
+	ewmaGain            = 0.15             // weight of a new value in a moving average
+	stateRetention      = 30 * time.Second // least time that unreferenced state is kept
+	usageSpan           = time.Second      // reserves and shares are counted by the second
+	nominalShareFactor  = 2.0              // multiple of a volume's nominal rate assumed as its share
+	overdueRoundTrips   = 3.0              // an attempt is overdue after these round trips and the aim
+	unitTimeGain        = 0.05             // step, per second, of the quantile that is the unit time
+	unitTimeQuantile    = 0.3              // quantile of the times per unit of answers
+	backlogGain         = 0.5              // weight of a new observation in the mean backlog
+	backlogDecay        = 2 * time.Second  // time constant with which the mean backlog decays
+	lastBacklogDecay    = 4 * backlogDecay // the same for the latest single observation
+	unknownNodeWait     = 1.0              // part of the aim assumed as the wait at an unknown node
+	overallLoadFactor   = 4.0              // a third of the aim as overall backlog is a shortage
+	noiseRequests       = 1.0              // mean requests' work that does not count as a backlog
+	suspectFailures     = 3                // consecutive failures that make a node suspect
+	maxBackoffSlots     = 8                // longest pause between attempts at a suspect node
+	coldBudgetFraction  = 0.8              // part of the cold budget in use; the rest absorbs chance
+	maxMeanLoad         = 0.6              // highest mean load of a node, as part of its capacity
+	resubscribeFraction = 0.4              // part of Settings.AskWithin after which the list is asked
+	checksPerSlot       = 4                // checks of the held requests in a slot
+	staleHalvings       = 4.0              // halvings of the trust per trusted age beyond the first
+	maxShareDoublings   = 3.0              // doublings above the share at which its trust is 0
+
+	// noAnswersText ends the log line about a node that becomes suspect.
+	noAnswersText = " gives no answers: suspect, one attempt now and then"
 )
 
-// New checks the settings and returns a controller that has seen nothing yet.
-func New(set Settings, seed int64) (*Controller, error) {
-	if err := set.check(); err != nil {
+// New returns a controller without any state, or an error if the settings are invalid.
+func New(settings Settings, seed int64) (*Controller, error) {
+	if err := settings.check(); err != nil {
 		return nil, err
 	}
 	c := &Controller{
-		set: set, rng: rand.New(rand.NewSource(seed)),
-		classes: map[string]*class{}, plans: map[string]*Plan{}, reqs: map[string]*request{},
+		settings: settings, rng: rand.New(rand.NewSource(seed)),
+		classes: map[string]*class{}, plans: map[string]*Plan{}, requests: map[string]*request{},
 		nodes: map[string]*node{}, volumes: map[string]*volume{}, items: map[string]*itemQueue{},
-		unserved: map[tryKey]time.Duration{}, served: map[int]flow{},
+		firstTries: map[retryKey]time.Duration{}, servedByShard: map[int]decayingSum{},
 	}
-	c.set.Hosts = max(1, set.Hosts)
-	c.set.MeanUnits = cmp.Or(set.MeanUnits, 1)
+	c.settings.Hosts = max(1, settings.Hosts)
+	c.settings.MeanUnits = cmp.Or(settings.MeanUnits, 1)
 	c.slot = 500 * time.Millisecond
-	for _, cl := range set.Classes {
+	for _, cl := range settings.Classes {
 		c.classes[cl.Name] = &class{Class: cl}
 		if cl.Aim > 0 {
 			c.slot = max(10*time.Millisecond, min(c.slot, cl.Aim))
 		}
 	}
-	for i := range set.Plans {
-		c.plans[set.Plans[i].Name] = &set.Plans[i]
+	for i := range settings.Plans {
+		c.plans[settings.Plans[i].Name] = &settings.Plans[i]
 	}
 	return c, nil
 }
 
-// Step takes the events of one moment, in order of arrival, and returns the actions for it. Outcomes and
-// news are all taken in before anything is admitted or sent, so nothing leaves for a request that one ended.
+// Step processes the events of one moment, in order of arrival, and returns the resulting actions. It
+// applies all outcomes and node list changes before it admits or sends anything, so no attempt leaves for
+// a request that one of these events ended.
 func (c *Controller) Step(now time.Duration, events []Event) []Action {
-	c.stood = now - c.now
-	if !c.timerSet || now < c.timerAt+c.slot/beatsPerSlot {
-		c.stood = 0 // a timer that fires late tells a host that stood still from one with nothing to do
+	c.stallTime = now - c.now
+	if !c.timerSet || now < c.timerAt+c.slot/checksPerSlot {
+		c.stallTime = 0 // only a timer that fires late tells a stalled host from an idle one
 	}
 	c.now, c.actions = now, nil
 	if !c.started {
 		c.started = true
-		c.ask()
+		c.subscribe()
 	}
-	var arrivals, again []*request
+	var arrivals, retries []*request
 	for _, e := range events {
 		switch e := e.(type) {
 		case Request:
-			arrivals = append(arrivals, c.take(e))
+			arrivals = append(arrivals, c.accept(e))
 		case Outcome:
-			again = append(again, c.outcome(e))
+			retries = append(retries, c.handleOutcome(e))
 		case ClientGone:
-			if r := c.reqs[e.ID]; r != nil {
-				c.end(r)
-				for i, a := range r.attempts { // work for who has gone stands before that for those who wait
-					if a.open && c.set.Cancelling {
-						c.act(Cancel{r.ID, i})
+			if r := c.requests[e.ID]; r != nil {
+				c.finish(r)
+				for i, a := range r.attempts { // abandoned work would delay the requests of waiting clients
+					if a.open && c.settings.Cancelling {
+						c.emit(Cancel{r.ID, i})
 					}
 				}
 			}
 		case AnswerStarted:
-			if r := c.reqs[e.ID]; r != nil {
-				r.started = true
+			if r := c.requests[e.ID]; r != nil {
+				r.answerStarted = true
 			}
 		case TimerFired:
-			c.timerSet = c.timerSet && e.Token != c.token
+			c.timerSet = c.timerSet && e.Token != c.timerToken
 		case NodeList:
-			again = append(again, c.list(e)...)
+			retries = append(retries, c.applyNodeList(e)...)
 		case Shares:
 			c.shares, c.sharesAt = e, c.now-e.Age
 		}
 	}
-	for _, r := range append(again, arrivals...) {
-		if r != nil && !r.over {
+	for _, r := range append(retries, arrivals...) {
+		if r != nil && !r.finished {
 			c.place(r)
 		}
 	}
-	c.depart()
-	c.keepAsking()
-	c.dropOld()
+	c.dispatch()
+	c.resubscribe()
+	c.removeStale()
 	return c.actions
 }
 
-func (c *Controller) act(a Action) { c.actions = append(c.actions, a) }
-
-// spent is the part of the client's patience that is gone as the request is taken. Less patience than
-// others of its class have is time gone if the client says that it tries again, if as much has passed since
-// this host took one for the same item that was not served, or if this host has just stood still for as
-// long. Guards against clients with little time from the start, whose aim would be cut as if it were over.
-// Harm: a retry after a restart of this host counts as a first try.
-func (c *Controller) spent(e Request, cl *class) time.Duration {
-	gone := cl.patience - e.Expires
-	first, known := c.unserved[tryKey{e.Volume, e.Class, e.Item}]
-	apart := gone - (c.now - first)
-	if e.Retry || known && max(apart, -apart) <= c.slot/beatsPerSlot || gone <= c.stood {
-		return gone
+func (c *Controller) emit(a Action) { c.actions = append(c.actions, a) }
+
+// timeSpent returns how much of the client's waiting time had passed before the request arrived. A request
+// that expires sooner than others of its class has lost that time if the client flags it as a retry, if as
+// much time has passed since this host accepted an unserved request for the same item, or if this host has
+// just stalled for as long. Without these conditions, the aim of a client that sets a short time-out from
+// the start would be cut as if part of it had passed. Drawback: after a restart of this host, a retry
+// counts as a first try.
+func (c *Controller) timeSpent(e Request, cl *class) time.Duration {
+	missing := cl.maxExpires - e.Expires
+	first, known := c.firstTries[retryKey{e.Volume, e.Class, e.Item}]
+	gap := missing - (c.now - first)
+	if e.Retry || known && max(gap, -gap) <= c.slot/checksPerSlot || missing <= c.stallTime {
+		return missing
 	}
 	return 0
 }
 
-// take books a new request; nil if there is nothing to place.
-func (c *Controller) take(e Request) *request {
+// accept registers a new request. It returns nil for a duplicate id, which it ignores, and for an unknown
+// class, for which it emits a Fail.
+func (c *Controller) accept(e Request) *request {
 	cl := c.classes[e.Class]
 	if cl == nil {
-		c.act(Fail{e.ID})
+		c.emit(Fail{e.ID})
 	}
-	if cl == nil || c.reqs[e.ID] != nil {
+	if cl == nil || c.requests[e.ID] != nil {
 		return nil
 	}
 	if e.Units <= 0 {
-		e.Units = c.set.MeanUnits
+		e.Units = c.settings.MeanUnits
 	}
-	cl.patience = max(cl.patience, e.Expires)
-	spent := c.spent(e, cl)
-	r := &request{Request: e, class: cl, firstAt: c.now - spent}
+	cl.maxExpires = max(cl.maxExpires, e.Expires)
+	spent := c.timeSpent(e, cl)
+	r := &request{Request: e, class: cl, firstTryAt: c.now - spent}
 	r.deadline, r.aimAt = c.now+e.Expires, c.now+cl.Aim-spent
 	if cl.Deadline > 0 {
 		r.deadline = min(r.deadline, c.now+cl.Deadline)
 	}
 	r.aimAt = min(r.aimAt, r.deadline)
-	c.reqs[e.ID] = r
-	if c.set.ExtraSpan > 0 {
-		c.taken = append(c.taken, stamp{c.now, 1})
+	c.requests[e.ID] = r
+	if c.settings.ExtraSpan > 0 {
+		c.recentRequests = append(c.recentRequests, timedAmount{c.now, 1})
 	}
-	r.volume = c.volumeOf(e)
+	r.volume = c.volumeFor(e)
 	if cl.InOrder && e.Item != "" {
 		q := c.items[e.Item]
 		if q == nil {
 			q = &itemQueue{}
 			c.items[e.Item] = q
 		}
-		q.turn = append(q.turn, r)
-		r.order = q
+		q.waiting = append(q.waiting, r)
+		r.queue = q
 	}
 	return r
 }
 
-// volumeOf returns the account of the request's volume. Of reserve and share this host has the part that
-// the leading one of the volume's hosts tends to have; of the limit, which binds, one in the hosts. The
-// limit's store starts at its slack only: a host that was killed may just have spent its part, and cannot
-// know it.
-func (c *Controller) volumeOf(e Request) *volume {
+// volumeFor returns the account of the request's volume, creating it if needed. This host gets one in
+// sqrt(hosts) of the reserve and the share, the part that the busiest host of a volume tends to serve; of
+// the limit, which is strict, it gets one in hosts. The limit's bucket starts at the slack only: a host
+// that was killed may have used up its part just before and does not know it.
+func (c *Controller) volumeFor(e Request) *volume {
 	v := c.volumes[e.Volume]
 	if v != nil {
 		return v
 	}
-	v = &volume{plan: c.plans[e.Plan], hosts: float64(max(1, e.Hosts)), use: -1}
+	v = &volume{plan: c.plans[e.Plan], hosts: float64(max(1, e.Hosts)), meteredRate: -1}
 	if v.plan == nil {
 		v.plan = &Plan{Name: e.Plan, Weight: 1}
 	}
 	p, hosts := v.plan, v.hosts
 	v.limit = bucket{p.LimitSlack / hosts, p.LimitRate / hosts, p.LimitBurst / hosts, c.now}
-	v.reserve = c.due(p.Reserve / math.Sqrt(hosts))
+	v.reserve = c.newShareBucket(p.Reserve / math.Sqrt(hosts))
 	nominal, weights := 0.0, 0.0
-	for _, q := range c.set.Plans {
+	for _, q := range c.settings.Plans {
 		nominal, weights = nominal+q.Nominal, weights+q.Weight
 	}
-	dealt := max(p.Nominal, shareOver*p.Weight*nominal/max(weights, 1e-9))
-	v.share = c.due(max(0, dealt-p.Reserve) / math.Sqrt(hosts))
-	if e.Share > 0 { // told, not guessed
-		v.share = c.due(e.Share)
+	guessedShare := max(p.Nominal, nominalShareFactor*p.Weight*nominal/max(weights, 1e-9))
+	v.share = c.newShareBucket(max(0, guessedShare-p.Reserve) / math.Sqrt(hosts))
+	if e.Share > 0 { // the request states the share, so none is assumed
+		v.share = c.newShareBucket(e.Share)
 	}
 	c.volumes[e.Volume] = v
 	return v
 }
 
-// due is a store of what is due at a rate: it holds a second of it and one largest request.
-func (c *Controller) due(rate float64) bucket {
-	full := rate*usageSpan.Seconds() + min(c.set.MostUnits, 1e6*rate)
+// newShareBucket returns a full bucket that refills at the rate. It holds the units of one usageSpan and,
+// beyond them, one request of the largest size.
+func (c *Controller) newShareBucket(rate float64) bucket {
+	full := rate*usageSpan.Seconds() + min(c.settings.MostUnits, 1e6*rate)
 	return bucket{full, rate, full, c.now}
 }
 
-// price sets what the request is worth if answered within its aim: class worth x plan factor x units, in
-// full out of the volume's reserve, else at what the share or the rest earn. The share is taken as somewhat
-// more than the volume is sized for: what others leave at a node, no host can see. Guards against a surging
-// volume that crowds out those which ask for what is theirs.
-func (c *Controller) price(r *request) {
+// setWorth sets the worth of the request if it is answered within its aim: class worth x plan factor x
+// units. Units out of the volume's reserve count in full, others at the lower worth of the share or of the
+// units beyond it. The assumed share is somewhat more than the volume's nominal rate, since no host can see
+// what other volumes leave unused at a node. This keeps a surging volume from crowding out the volumes that
+// stay within their share.
+func (c *Controller) setWorth(r *request) {
 	v := r.volume
-	r.worth = r.class.Worth * r.Units / c.set.MeanUnits
+	r.worth = r.class.Worth * r.Units / c.settings.MeanUnits
 	if v.plan.Price > 0 {
 		r.worth *= v.plan.Price
 	}
-	c.unitWorth += rttGain * (r.worth/r.Units - c.unitWorth)
-	v.asked = v.asked.add(c.now, r.Units, usageSpan)
+	c.meanUnitWorth += ewmaGain * (r.worth/r.Units - c.meanUnitWorth)
+	v.demand = v.demand.add(c.now, r.Units, usageSpan)
 	switch {
-	case c.set.ShareWorth == 0 && c.set.SpareWorth == 0: // all units are worth the same
+	case c.settings.ShareWorth == 0 && c.settings.SpareWorth == 0: // all units are worth the same
 	case v.reserve.take(c.now, r.Units):
-		r.paid = &v.reserve
+		r.chargedTo = &v.reserve
 	default:
-		part := c.guessed(r)
-		if inside, trust := c.told(r); inside > part || !c.shares.Volumes[r.Volume].Met {
-			part += trust * (inside - part)
+		factor := c.nominalFactor(r)
+		if byShares, trust := c.sharesFactor(r); byShares > factor || !c.shares.Volumes[r.Volume].Met {
+			factor += trust * (byShares - factor)
 		}
-		r.worth *= part
+		r.worth *= factor
 	}
 }
 
-// guessed is the part of its worth that a request earns, by what its volume is sized for.
-func (c *Controller) guessed(r *request) float64 {
+// nominalFactor returns the part of its worth that a request earns by its volume's nominal rate.
+func (c *Controller) nominalFactor(r *request) float64 {
 	v := r.volume
 	if v.share.take(c.now, r.Units) {
-		r.paid = &v.share
-		return c.set.ShareWorth
+		r.chargedTo = &v.share
+		return c.settings.ShareWorth
 	}
-	dealt := (v.share.rate + v.reserve.rate) * usageSpan.Seconds()
-	likely := min(1, dealt/v.asked.sum) // part of what it asks that may be inside
-	return c.set.SpareWorth + likely*(c.set.ShareWorth-c.set.SpareWorth)
+	dueUnits := (v.share.rate + v.reserve.rate) * usageSpan.Seconds()
+	insideFraction := min(1, dueUnits/v.demand.sum) // part of the demand that fits into reserve and share
+	return c.settings.SpareWorth + insideFraction*(c.settings.ShareWorth-c.settings.SpareWorth)
 }
 
-// told is that part by the shares told, and how far they are trusted: as far as this host's part of
-// the share goes into what the volume asks (priced one by one, those inside would fill nodes to the
-// brim); less with an age over the stated one, and far off what is used or asked for. Guards against
-// old and wrong solutions. Harm: volumes that ask for little, or far too much, are guessed at.
-func (c *Controller) told(r *request) (part, trust float64) {
+// sharesFactor returns the part of its worth that a request earns by the received shares, and how far they
+// are trusted. All requests of a volume earn the same: the fraction of the volume's demand that this host's
+// part of the share covers. (If each request within the share earned the full rate, these requests alone
+// would fill the nodes.) Trust falls as the shares grow older than the trusted age, and as the volume's use
+// or demand departs from its share; this guards against outdated and wrong solutions. Drawback: volumes
+// with little or far too much demand fall back to nominalFactor.
+func (c *Controller) sharesFactor(r *request) (factor, trust float64) {
 	s, v := c.shares.Volumes[r.Volume], r.volume
 	if s.Rate <= 0 || c.shares.Trust <= 0 {
 		return 0, 0
 	}
-	own := v.own.add(c.now, c.set.MeanUnits, rateMemory).sum // without news: what a leading host has
-	own /= own + v.rest.add(c.now, c.set.MeanUnits*(math.Sqrt(v.hosts)-1), rateMemory).sum
-	asked := v.asked.sum / usageSpan.Seconds()
-	off := math.Log2(max(v.use, asked/own) / s.Rate) // no forecast gives a share of what is not asked for
-	old := max(0, float64(c.now-c.sharesAt)/float64(c.shares.Trust)-1)
-	trust = min(1, max(0, useFar-max(off, -2*off))) * math.Exp2(-fadeOld*old)
-	due := own * max(0, s.Rate-v.plan.Reserve) // the reserve has a store of its own
-	inside := min(1, due/asked)
-	if asked <= due+r.Units+2*math.Sqrt(due*r.Units) { // chance alone asks for as much in a second
-		inside = 1
-	}
-	return c.set.SpareWorth + inside*(c.set.ShareWorth-c.set.SpareWorth), trust
+	// Without recent answers, ownFraction tends to that of a busiest host: one in sqrt(hosts).
+	ownFraction := v.ownServed.add(c.now, c.settings.MeanUnits, rateSpan).sum
+	ownFraction /= ownFraction +
+		v.othersServed.add(c.now, c.settings.MeanUnits*(math.Sqrt(v.hosts)-1), rateSpan).sum
+	demandRate := v.demand.sum / usageSpan.Seconds()
+	// A forecast gives no share of units that nobody asks for, so a share far above the demand is wrong too.
+	deviation := math.Log2(max(v.meteredRate, demandRate/ownFraction) / s.Rate)
+	excessAge := max(0, float64(c.now-c.sharesAt)/float64(c.shares.Trust)-1)
+	trust = min(1, max(0, maxShareDoublings-max(deviation, -2*deviation))) *
+		math.Exp2(-staleHalvings*excessAge)
+	hostShare := ownFraction * max(0, s.Rate-v.plan.Reserve) // the reserve has a bucket of its own
+	insideFraction := min(1, hostShare/demandRate)
+	// Up to this bound, random arrivals within the share explain the demand of one second.
+	if demandRate <= hostShare+r.Units+2*math.Sqrt(hostShare*r.Units) {
+		insideFraction = 1
+	}
+	return c.settings.SpareWorth + insideFraction*(c.settings.ShareWorth-c.settings.SpareWorth), trust
 }
 
-// place finds the node for a request and holds it there if it is admitted.
+// place chooses a node for the request and admits it there, or rejects it if there is none.
 func (c *Controller) place(r *request) {
-	n := c.target(r)
-	if n == nil || r.deadline <= c.now || !c.mayTry(r) {
-		c.giveUp(r)
+	n := c.chooseNode(r)
+	if n == nil || r.deadline <= c.now || !c.canAttempt(r) {
+		c.reject(r)
 		return
 	}
 	c.admit(r, n)
 }
 
-// target is the node that the request goes to: the one that holds its shard or, for a new object, where the
-// emulation ends earliest. A request that may have run stays in its group.
-func (c *Controller) target(r *request) *node {
+// chooseNode returns the node for the request: the one that holds its shard or, for a new object, the one
+// with the earliest estimated end. A request that may have run stays in its group. It returns nil if no
+// node qualifies.
+func (c *Controller) chooseNode(r *request) *node {
 	for _, tier := range r.Tiers {
-		if n := c.among(r, tier); n != nil {
+		if n := c.chooseInTier(r, tier); n != nil {
 			return n
 		}
 	}
 	var best *node
 	var bestEnd time.Duration
 	first := 0
-	if r.Shard < 0 && len(c.order) > 0 {
-		first = c.rng.Intn(len(c.order)) // hosts that know as little choose apart
+	if r.Shard < 0 && len(c.nodesByID) > 0 {
+		first = c.rng.Intn(len(c.nodesByID)) // so that hosts without observations choose different nodes
 	}
-	for i := range c.order {
-		n := c.order[(first+i)%len(c.order)]
-		if !n.usable() || r.Shard >= 0 && n.Shard != r.Shard || !c.inGroup(r, n) {
+	for i := range c.nodesByID {
+		n := c.nodesByID[(first+i)%len(c.nodesByID)]
+		if !n.usable() || r.Shard >= 0 && n.Shard != r.Shard || !c.nodeAllowed(r, n) {
 			continue
 		}
-		end := c.endAt(r, n)
-		if r.Shard < 0 { // what is known of a node ages
-			end += time.Duration(unheard * float64(c.slot) * (1 - n.wait.trust(c.now, waitFade)))
+		end := c.estimatedEnd(r, n)
+		if r.Shard < 0 { // observations lose weight with age
+			end += time.Duration(unknownNodeWait * float64(c.slot) *
+				(1 - n.wait.remaining(c.now, backlogDecay)))
 		}
 		if n.suspect() {
 			end += r.class.Deadline // only when there is nothing better
@@ -313,132 +330,142 @@
 	return best
 }
 
-// endAt is when the request would be answered by the node, by the emulation.
-func (c *Controller) endAt(r *request, n *node) time.Duration {
-	took := max(n.rtt, c.unitTime(n)*r.Units) + n.errors*float64(r.class.Deadline)
-	return c.emulatedEnd(n, r.Units) + time.Duration(took)
+// estimatedEnd returns when the node would answer the request, by the simulation and its round trips.
+func (c *Controller) estimatedEnd(r *request, n *node) time.Duration {
+	took := max(n.rtt, c.unitTime(n)*r.Units) + n.errorRate*float64(r.class.Deadline)
+	return c.simulatedEnd(n, r.Units) + time.Duration(took)
 }
 
-// among is where of a tier's shards a new object ends earliest by its aim; nil if nowhere. Ends
-// closer than a wait that halves no window are the same: the order told decides. Guards against
-// hosts that send all to nodes that they know. Harm: a node slower by less gets as much.
-func (c *Controller) among(r *request, tier []int) (best *node) {
-	near, before := time.Duration(aimForNode*float64(c.slot)), r.aimAt
+// chooseInTier returns the node among the tier's shards that would store a new object earliest; nil if none
+// would within the aim. Estimates that differ by less than the wait that halves a window count as equal, and
+// the given order decides. This keeps hosts from sending everything to the nodes that they already know.
+// Drawback: a node that is slower by less than this gets as much as the others.
+func (c *Controller) chooseInTier(r *request, tier []int) (best *node) {
+	tolerance, limit := time.Duration(maxWaitFraction*float64(c.slot)), r.aimAt
 	for _, shard := range tier {
-		for _, n := range c.order {
-			if n.Shard != shard || !n.usable() || n.suspect() || !c.inGroup(r, n) {
+		for _, n := range c.nodesByID {
+			if n.Shard != shard || !n.usable() || n.suspect() || !c.nodeAllowed(r, n) {
 				continue
 			}
-			if end := c.endAmong(r, n); end < before {
-				best, before = n, end-near
+			if end := c.tierEnd(r, n); end < limit {
+				best, limit = n, end-tolerance
 			}
 		}
 	}
 	return best
 }
 
-// endAmong is endAt for candidates: of round trips it takes unit time and backlog, and how quick a node is
-// ages to what is usual until one is out there. Guards against a node shunned for slow first answers (a
-// dial, a pause): the mean round trip mends by answers of its own only. Harm: slow nodes get one at times.
-func (c *Controller) endAmong(r *request, n *node) time.Duration {
-	end := c.emulatedEnd(n, r.Units) + time.Duration(c.unitTime(n)*r.Units)
-	if usual := c.freeAt(n) + time.Duration(2*c.unit.value*r.Units); len(n.out)+len(n.held) == 0 {
-		end = usual + time.Duration(float64(end-usual)*n.wait.trust(c.now, waitFade))
-	}
-	return end + time.Duration(n.errors*float64(r.class.Deadline))
+// tierEnd is the estimate that chooseInTier compares. Unlike estimatedEnd it uses the unit time and the
+// backlog, not the mean round trip, and for a node with nothing held or in flight it decays to the usual
+// value. Otherwise a node whose first answers were slow (a dial, a pause) would be avoided for good, since
+// only its own answers correct its mean round trip. Drawback: slow nodes get an attempt now and then.
+func (c *Controller) tierEnd(r *request, n *node) time.Duration {
+	end := c.simulatedEnd(n, r.Units) + time.Duration(c.unitTime(n)*r.Units)
+	if usual := c.freeAt(n) +
+		time.Duration(2*c.overallUnitTime.value*r.Units); len(n.inFlight)+len(n.held) == 0 {
+		end = usual + time.Duration(float64(end-usual)*n.wait.remaining(c.now, backlogDecay))
+	}
+	return end + time.Duration(n.errorRate*float64(r.class.Deadline))
 }
 
-// freeAt is when the node, reading minRead a slot, is done with what is out, or with
-// the backlog if that is more.
+// freeAt returns when the node will have finished the attempts in flight at its service rate, or its
+// backlog if that takes longer; for a cold node, not before it may be sent anything.
 func (c *Controller) freeAt(n *node) time.Duration {
 	units := 0.0
-	for _, a := range n.out {
+	for _, a := range n.inFlight {
 		if !c.overdue(a) {
 			units += a.req.Units
 		}
 	}
-	return c.now + max(time.Duration(max(units/c.rate(n), c.backlog(n))), c.coldWait(n))
+	return c.now + max(time.Duration(max(units/c.serviceRate(n), c.backlog(n))), c.coldWait(n))
 }
 
-// backlog is the wait that a new attempt meets at the node, ns: the one last seen there, fading with age,
-// or what an attempt has by now waited that none sent later overtook. Guards against queues made of other
-// hosts' work, of which each host adds little and the emulation of its own knows nothing; it sees any cause
-// that makes a node slow to begin. Harm: a costly request looks like a backlog for a moment.
+// backlog returns the wait, in ns, that a new attempt meets at the node: the observed wait, which decays
+// with age, or the wait so far of an attempt that no later one has overtaken. It detects queues of other
+// hosts' work, to which each host adds little and which the simulation of this host's own work does not
+// contain, and anything else that delays the start of work at a node. Drawback: a costly request looks like
+// a backlog for a moment.
 func (c *Controller) backlog(n *node) float64 {
-	w := n.wait.now(c.now, waitFade) + c.general()*(1-n.wait.trust(c.now, waitFade))
-	for _, a := range n.out {
-		if a.sentAt > n.lastSent && !c.overdue(a) {
-			w = max(w, c.waited(a))
+	w := n.wait.value(c.now, backlogDecay) + c.overallBacklog()*(1-n.wait.remaining(c.now, backlogDecay))
+	for _, a := range n.inFlight {
+		if a.sentAt > n.lastAnsweredSent && !c.overdue(a) {
+			w = max(w, c.excessWait(a))
 		}
 	}
 	return w
 }
 
-// waited is what an attempt that is out has waited beyond its own work.
-func (c *Controller) waited(a *attempt) float64 {
+// excessWait returns how long, in ns, an attempt in flight has waited beyond the time of its own work.
+func (c *Controller) excessWait(a *attempt) float64 {
 	return float64(c.now-a.sentAt) - c.unitTime(a.node)*a.req.Units
 }
 
-// general is the backlog met at nodes in general, or what by now has waited of the
-// attempts that left after any that was answered.
-func (c *Controller) general() float64 {
-	w := c.wait.now(c.now, waitFade)
-	c.after = slices.DeleteFunc(c.after, func(a *attempt) bool {
-		return !a.open || a.sentAt <= c.lastSent || c.overdue(a)
+// overallBacklog returns the mean backlog over all nodes, in ns, or the wait so far of the oldest attempt
+// sent later than every answered one, at most a slot of it.
+func (c *Controller) overallBacklog() float64 {
+	w := c.overallWait.value(c.now, backlogDecay)
+	c.laterAttempts = slices.DeleteFunc(c.laterAttempts, func(a *attempt) bool {
+		return !a.open || a.sentAt <= c.lastAnsweredSent || c.overdue(a)
 	})
-	if len(c.after) > 0 {
-		w = max(w, min(float64(c.slot), c.waited(c.after[0])))
+	if len(c.laterAttempts) > 0 {
+		w = max(w, min(float64(c.slot), c.excessWait(c.laterAttempts[0])))
 	}
 	return w
 }
 
-// noise is a backlog no longer than what one request of more work than most adds.
-func (c *Controller) noise(n *node) float64 { return waitFree * c.set.MeanUnits * c.unitTime(n) }
+// backlogNoise returns the wait, in ns, up to which a backlog may come from a single costly request.
+func (c *Controller) backlogNoise(n *node) float64 {
+	return noiseRequests * c.settings.MeanUnits * c.unitTime(n)
+}
 
-// unitTime is the unqueued time a unit at the node: its own, which starts at that of nodes in general.
+// unitTime returns the time per unit, in ns, that the node takes without a queue: its own, or before its
+// first answer that of all nodes.
 func (c *Controller) unitTime(n *node) float64 {
-	if n.unit.seen > 0 {
-		return n.unit.value
+	if n.unitTime.count > 0 {
+		return n.unitTime.value
 	}
-	return c.unit.value
+	return c.overallUnitTime.value
 }
 
-// observe books the round trip of an answer: the backlog that it met and the time a unit takes without one.
-func (c *Controller) observe(n *node, a *attempt, took time.Duration, load []float64) float64 {
+// recordAnswerTime updates unit times and backlogs from the round trip of an answer. It returns the wait
+// that counts for the node, in ns.
+func (c *Controller) recordAnswerTime(n *node, a *attempt, took time.Duration, load []float64) float64 {
 	unit := float64(took) / a.req.Units
-	c.unit.add(c.now, unit, unitQuantile, unitGain)
-	if n.unit.seen == 0 {
-		n.unit = c.unit
+	c.overallUnitTime.add(c.now, unit, unitTimeQuantile, unitTimeGain)
+	if n.unitTime.count == 0 {
+		n.unitTime = c.overallUnitTime
 	}
-	wait := max(0, float64(took)-n.unit.value*a.req.Units)
-	if w, ok := c.reported(load); ok {
+	wait := max(0, float64(took)-n.unitTime.value*a.req.Units)
+	if w, ok := c.reportedWait(load); ok {
 		wait = min(wait, w)
 	}
-	n.unit.add(c.now, unit, unitQuantile, unitGain)
-	c.wait.add(c.now, min(wait, float64(c.slot)), waitGain/2, waitFade, lastFade, 0)
-	n.lastSent, c.lastSent = max(n.lastSent, a.sentAt), max(c.lastSent, a.sentAt)
-	return n.wait.add(c.now, wait, waitGain, waitFade, lastFade, c.general())
+	n.unitTime.add(c.now, unit, unitTimeQuantile, unitTimeGain)
+	c.overallWait.add(c.now, min(wait, float64(c.slot)), backlogGain/2, backlogDecay, lastBacklogDecay, 0)
+	n.lastAnsweredSent, c.lastAnsweredSent =
+		max(n.lastAnsweredSent, a.sentAt), max(c.lastAnsweredSent, a.sentAt)
+	return n.wait.add(c.now, wait, backlogGain, backlogDecay, lastBacklogDecay, c.overallBacklog())
 }
 
-// reported is the most that the load report of an answer lets a wait be.
-func (c *Controller) reported(load []float64) (wait float64, ok bool) {
-	q, l := slices.Index(c.set.LoadFields, "queue"), slices.Index(c.set.LoadFields, "latency_ms")
+// reportedWait returns the longest wait, in ns, that is consistent with the load report of an answer: the
+// queue length plus one, times the latency.
+func (c *Controller) reportedWait(load []float64) (wait float64, ok bool) {
+	q, l := slices.Index(c.settings.LoadFields, "queue"), slices.Index(c.settings.LoadFields, "latency_ms")
 	if q < 0 || l < 0 || len(load) <= max(q, l) || !(load[q] >= 0) || !(load[l] > 0) {
 		return 0, false
 	}
 	return (load[q] + 1) * load[l] * float64(time.Millisecond), true
 }
 
-// emulatedEnd is when further units would end behind all that is held and out.
-func (c *Controller) emulatedEnd(n *node, units float64) time.Duration {
+// simulatedEnd returns when additional units would be done behind everything held and in flight.
+func (c *Controller) simulatedEnd(n *node, units float64) time.Duration {
 	for _, r := range n.held {
 		units += r.Units
 	}
-	return c.freeAt(n) + time.Duration(units/c.rate(n))
+	return c.freeAt(n) + time.Duration(units/c.serviceRate(n))
 }
 
-// payoff is what a request earns if it ends then. One that misses its deadline
-// has cost the node its work for nothing.
+// payoff returns the worth that a request earns if it ends at the given time. Past its deadline it is
+// negative: the node did the work for nothing.
 func (r *request) payoff(end time.Duration) float64 {
 	switch {
 	case end <= r.aimAt:
@@ -449,149 +476,153 @@
 	return -r.worth - 1e-9
 }
 
-// emulation is what the emulation of a node begins with: it is the same for all that is
-// asked of it in one round.
-type emulation struct {
-	at                    time.Duration
-	rate, queued, general float64
+// simulation is the state of a simulated node: it starts from the same values for all the requests compared
+// in one round, and at advances with the work.
+type simulation struct {
+	at                     time.Duration
+	rate, backlog, overall float64
 }
 
-func (c *Controller) emulate(n *node) emulation {
-	general := max(0, c.general()-waitFree/2*c.set.MeanUnits*c.unit.value) / float64(c.slot)
-	return emulation{c.freeAt(n), c.rate(n), c.backlog(n), general}
+// newSimulation returns the initial state for a simulation of the node.
+func (c *Controller) newSimulation(n *node) simulation {
+	overall := max(0, c.overallBacklog()-
+		noiseRequests/2*c.settings.MeanUnits*c.overallUnitTime.value) / float64(c.slot)
+	return simulation{c.freeAt(n), c.serviceRate(n), c.backlog(n), overall}
 }
 
-// value emulates the node over out and held requests, earliest deadline first, from the
-// i-th on, of which it leaves one out, and adds to the sum what they earn.
-func (c *Controller) value(n *node, e emulation, i int, sum float64, without bool) float64 {
+// simulatedWorth simulates the held requests from the i-th on, earliest deadline first, and returns the sum
+// plus what they earn. If without is set, it leaves out the i-th.
+func (c *Controller) simulatedWorth(n *node, sim simulation, i int, sum float64, without bool) float64 {
 	for k, r := range n.held[i:] {
 		if k == 0 && without {
 			continue
 		}
-		e.at += time.Duration(r.Units / e.rate)
-		sum += c.earns(r, e)
+		sim.at += time.Duration(r.Units / sim.rate)
+		sum += c.netValue(r, sim)
 	}
 	return sum
 }
 
-// earns is what a request that ends where the emulation stands brings, less what its
-// units are worth to others.
-func (c *Controller) earns(r *request, e emulation) float64 {
-	return r.payoff(e.at) - c.bid(r, e)*r.Units
+// netValue returns the payoff of a request that ends at the current time of the simulation, less the
+// opportunity cost of its units.
+func (c *Controller) netValue(r *request, sim simulation) float64 {
+	return r.payoff(sim.at) - c.opportunityCost(r, sim)*r.Units
 }
 
-// bid is the worth of a unit of the node's time to others: that of a mean request, in
-// full, times the part of the tightest aim that the node's backlog takes and, to the power
-// 1.5, that of its own aim that held work takes; times it once more while nodes in general
-// have no backlog. Guards against a queue in which all come late, whatever made the node short.
-// Harm: a node that pauses refuses what is worth little although it had time for it.
-func (c *Controller) bid(r *request, e emulation) float64 {
+// opportunityCost returns what a unit of the node's time is worth to other requests: the full mean worth of
+// a unit times a load. The load is the part of the tightest aim that the node's backlog takes plus, to the
+// power 1.5, the part of the request's own aim that held work takes; it is squared while there is no overall
+// backlog. This prevents a queue in which every request is late, whatever the cause of the shortage.
+// Drawback: a node that pauses refuses requests of low worth although it would have time for them.
+func (c *Controller) opportunityCost(r *request, sim simulation) float64 {
 	slot := float64(c.slot)
-	held := max(0, float64(e.at-c.now)-e.queued) / max(float64(r.class.Aim), slot)
-	full := min(1, e.queued/slot+held*math.Sqrt(held))
-	return full * max(full, min(2, generalFull*e.general)) * c.unitWorth
+	heldLoad := max(0, float64(sim.at-c.now)-sim.backlog) / max(float64(r.class.Aim), slot)
+	load := min(1, sim.backlog/slot+heldLoad*math.Sqrt(heldLoad))
+	return load * max(load, min(2, overallLoadFactor*sim.overall)) * c.meanUnitWorth
 }
 
-// dropOld drops what nothing can refer to any more, once in a while.
-func (c *Controller) dropOld() {
-	if c.now < c.droppedAt+keepFor {
+// removeStale removes state that nothing can refer to any more, once in every stateRetention.
+func (c *Controller) removeStale() {
+	if c.now < c.cleanedAt+stateRetention {
 		return
 	}
-	c.droppedAt = c.now
-	c.budgetRoom() // drops what its span has left behind
-	old := func(at time.Duration) bool { return c.now-at > keepFor }
-	maps.DeleteFunc(c.unserved, func(_ tryKey, at time.Duration) bool { return old(at) })
-	maps.DeleteFunc(c.volumes, func(_ string, v *volume) bool { return old(v.asked.at) })
-	maps.DeleteFunc(c.served, func(_ int, f flow) bool { return old(f.at + keepFor) })
-	maps.DeleteFunc(c.items, func(_ string, q *itemQueue) bool { return len(q.turn) < 1 && old(q.restUntil) })
-	gone := func(n *node) bool { return !n.listed && len(n.held)+len(n.out) == 0 }
-	c.order = slices.DeleteFunc(c.order, gone)
+	c.cleanedAt = c.now
+	c.withinRetryBudget() // removes the entries that have left its span
+	old := func(at time.Duration) bool { return c.now-at > stateRetention }
+	maps.DeleteFunc(c.firstTries, func(_ retryKey, at time.Duration) bool { return old(at) })
+	maps.DeleteFunc(c.volumes, func(_ string, v *volume) bool { return old(v.demand.at) })
+	maps.DeleteFunc(c.servedByShard, func(_ int, f decayingSum) bool { return old(f.at + stateRetention) })
+	maps.DeleteFunc(c.items, func(_ string, q *itemQueue) bool {
+		return len(q.waiting) < 1 && old(q.pausedUntil)
+	})
+	gone := func(n *node) bool { return !n.listed && len(n.held)+len(n.inFlight) == 0 }
+	c.nodesByID = slices.DeleteFunc(c.nodesByID, gone)
 	maps.DeleteFunc(c.nodes, func(_ string, n *node) bool { return gone(n) })
 }
 
-// admit holds the request at the node and lets the emulation decide: as long as a deadline is missed, or
-// leaving one request out earns more than serving it, the one whose absence earns most is refused: the
-// newcomer or a held request of lower worth.
+// admit holds the request at the node and sheds load by the simulation: as long as a deadline is missed, or
+// leaving out some request earns more than serving it, the request whose absence earns most is refused. It
+// may be the new request or a held one of lower worth.
 func (c *Controller) admit(r *request, n *node) {
 	r.node, r.held = n, true
-	c.price(r)
+	c.setWorth(r)
 	i := sort.Search(len(n.held), func(i int) bool { return n.held[i].deadline > r.deadline })
 	n.held = slices.Insert(n.held, i, r)
 	c.shed(n)
 }
 
-// shed refuses held requests that cost more than they bring. What the window has
-// room for leaves in any case: the node is not short, whatever minRead says, and
-// it can be judged again.
+// shed refuses held requests that cost more than they earn. It refuses none while the window has room for
+// all of them, none would be late and there is no backlog: the node is then not overloaded, whatever the
+// measured service rate is, and sending them measures it anew.
 func (c *Controller) shed(n *node) {
 	for len(n.held) > 0 {
-		if n.suspect() && len(n.held) == 1 && c.now >= n.tryAt {
+		if n.suspect() && len(n.held) == 1 && c.now >= n.nextTryAt {
 			return
 		}
-		if !n.suspect() && float64(len(n.held))+c.live(n) < n.window+1 && !c.anyLate(n) &&
-			max(c.backlog(n), c.general()) <= c.noise(n) {
+		if !n.suspect() && float64(len(n.held))+c.liveAttempts(n) < n.window+1 && !c.anyHeldLate(n) &&
+			max(c.backlog(n), c.overallBacklog()) <= c.backlogNoise(n) {
 			return
 		}
-		e, before := c.emulate(n), 0.0
-		all := c.value(n, e, 0, 0, false)
+		sim, earned := c.newSimulation(n), 0.0
+		total := c.simulatedWorth(n, sim, 0, 0, false)
 		var worst *request
 		gain := 1e-9
 		for i, r := range n.held {
-			g := 1/(r.worth+1) + 1 // all but the one worth most
+			g := 1/(r.worth+1) + 1 // at a suspect node, keep only the request of the highest worth
 			if !n.suspect() {
-				g = c.value(n, e, i, before, true) - all
+				g = c.simulatedWorth(n, sim, i, earned, true) - total
 			}
 			if g > gain {
 				worst, gain = r, g
 			}
-			e.at += time.Duration(r.Units / e.rate)
-			before += c.earns(r, e)
+			sim.at += time.Duration(r.Units / sim.rate)
+			earned += c.netValue(r, sim)
 		}
 		if worst == nil {
 			return
 		}
-		c.giveUp(worst)
+		c.reject(worst)
 	}
 }
 
-// anyLate says that a held request would come late if it left at once.
-func (c *Controller) anyLate(n *node) bool {
+// anyHeldLate reports whether some held request would miss its aim even if it were sent now.
+func (c *Controller) anyHeldLate(n *node) bool {
 	end := c.now + time.Duration(c.backlog(n))
 	return slices.ContainsFunc(n.held, func(r *request) bool {
 		return end+time.Duration(c.unitTime(n)*r.Units) > r.aimAt
 	})
 }
 
-// depart sends held requests in deadline order as far as windows allow.
-func (c *Controller) depart() {
-	wake := time.Duration(math.MaxInt64)
-	for _, n := range c.order {
-		c.watch(n)
+// dispatch sends held requests, by deadline, as far as the windows allow, and sets the next timer.
+func (c *Controller) dispatch() {
+	wakeAt := time.Duration(math.MaxInt64)
+	for _, n := range c.nodesByID {
+		c.checkSilence(n)
 		for _, r := range slices.Clone(n.held) {
 			if r.deadline <= c.now {
-				c.giveUp(r)
+				c.reject(r)
 			}
 		}
 		c.shed(n)
-		c.fill(n)
-		n.meter.saturated(c.now, c.slot, rateMemory, len(n.held) > 0)
-		if len(n.held)+len(n.out) > 0 {
-			wake = min(wake, c.now+c.slot/beatsPerSlot)
+		c.sendHeld(n)
+		n.meter.setHolding(c.now, c.slot, rateSpan, len(n.held) > 0)
+		if len(n.held)+len(n.inFlight) > 0 {
+			wakeAt = min(wakeAt, c.now+c.slot/checksPerSlot)
 		}
 		for _, r := range n.held {
-			wake = min(wake, r.deadline)
+			wakeAt = min(wakeAt, r.deadline)
 		}
 	}
-	if wake < math.MaxInt64 {
-		c.wakeAt(wake)
+	if wakeAt < math.MaxInt64 {
+		c.setTimerAt(wakeAt)
 	}
 }
 
-// fill sends what the window has room for.
-func (c *Controller) fill(n *node) {
-	for i := 0; i < len(n.held) && c.windowRoom(n); {
+// sendHeld sends the node's held requests as far as its window has room.
+func (c *Controller) sendHeld(n *node) {
+	for i := 0; i < len(n.held) && c.hasWindowRoom(n); {
 		r := n.held[i]
-		if !c.turn(r) || !c.limitRoom(r) {
+		if !c.isNextInOrder(r) || !c.withinLimit(r) {
 			i++
 			continue
 		}
@@ -600,25 +631,25 @@
 		}
 		n.held = slices.Delete(n.held, i, i+1)
 		r.held = false
-		if !c.mayTry(r) {
-			c.giveUp(r)
+		if !c.canAttempt(r) {
+			c.reject(r)
 			continue
 		}
 		c.send(r, n)
 	}
 }
 
-// windowRoom: the window has a place. A suspect node gets one attempt now and
-// then, the longer after the more often it failed.
-func (c *Controller) windowRoom(n *node) bool {
-	return n.suspect() && c.now >= n.tryAt || !n.suspect() && c.live(n) < n.window
+// hasWindowRoom reports whether the node may get another attempt now. A suspect node gets single attempts,
+// at intervals that double with each one up to a maximum.
+func (c *Controller) hasWindowRoom(n *node) bool {
+	return n.suspect() && c.now >= n.nextTryAt || !n.suspect() && c.liveAttempts(n) < n.window
 }
 
-// send is the only place from which an attempt leaves.
+// send starts an attempt. No other function does.
 func (c *Controller) send(r *request, n *node) {
-	a := &attempt{req: r, node: n, sentAt: c.now, heldFor: n.meter.heldFor(c.now), open: true}
-	if len(r.attempts) > 0 && c.set.ExtraSpan > 0 {
-		c.extra = append(c.extra, stamp{c.now, 1})
+	a := &attempt{req: r, node: n, sentAt: c.now, heldTimeAtSend: n.meter.heldTime(c.now), open: true}
+	if len(r.attempts) > 0 && c.settings.ExtraSpan > 0 {
+		c.recentRetries = append(c.recentRetries, timedAmount{c.now, 1})
 	}
 	if len(r.attempts) == 0 && r.volume.plan.LimitRate > 0 {
 		r.volume.limit.level -= r.Units
@@ -627,116 +658,118 @@
 		n.credit -= r.Units
 	}
 	if n.suspect() {
-		n.backOff(c.now, c.slot)
+		n.extendBackoff(c.now, c.slot)
 	}
 	r.attempts = append(r.attempts, a)
-	n.out, c.after = append(n.out, a), append(c.after, a)
+	n.inFlight, c.laterAttempts = append(n.inFlight, a), append(c.laterAttempts, a)
 	s := Send{ID: r.ID, Node: n.ID}
-	if r.doubt != nil && r.class.Effect == Keyed { // it may wait for its connection
-		s.Latest = r.doubt.sentAt + r.class.Window
+	if r.uncertain != nil && r.class.Effect == Keyed { // the attempt may wait for a connection
+		s.Latest = r.uncertain.sentAt + r.class.Window
 	}
-	c.act(s)
+	c.emit(s)
 }
 
-// outcome books the end of an attempt and returns the request if it is still
-// owed an answer and may be tried again.
-func (c *Controller) outcome(e Outcome) *request {
-	r := c.reqs[e.ID]
+// handleOutcome records the end of an attempt. It returns the request if it still needs an answer and has
+// no other attempt in flight.
+func (c *Controller) handleOutcome(e Outcome) *request {
+	r := c.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].open {
 		return nil
 	}
 	a := r.attempts[e.Attempt]
 	a.open = false
 	n := a.node
-	n.out = slices.DeleteFunc(n.out, func(x *attempt) bool { return x == a })
-	if !e.Result.NeverRan() && e.Result != Done && r.doubt == nil {
-		r.doubt = a
+	n.inFlight = slices.DeleteFunc(n.inFlight, func(x *attempt) bool { return x == a })
+	if !e.Result.NeverRan() && e.Result != Done && r.uncertain == nil {
+		r.uncertain = a
 	}
-	if e.Result.Doubtful() && r.order != nil {
-		r.order.restUntil = max(r.order.restUntil, c.now+c.set.OrderRest)
+	if e.Result.Doubtful() && r.queue != nil {
+		r.queue.pausedUntil = max(r.queue.pausedUntil, c.now+c.settings.OrderRest)
 	}
-	c.learn(n, a, e)
+	c.updateNode(n, a, e)
 	if e.Result == Done && e.VolumeUse > 0 {
-		r.volume.metered(c.now, e, r.Units)
+		r.volume.recordUse(c.now, e, r.Units)
 	}
 	if e.Closed {
-		c.end(r)
+		c.finish(r)
 	}
-	c.forget(r)
-	if r.over || r.started || c.open(r) {
+	c.removeFinished(r)
+	if r.finished || r.answerStarted || c.hasOpenAttempt(r) {
 		return nil
 	}
 	return r
 }
 
-// end marks the request as over: nothing more is sent for it.
-func (c *Controller) end(r *request) {
+// finish marks the request as finished, so that nothing more is sent for it.
+func (c *Controller) finish(r *request) {
 	if r.held {
 		r.held = false
 		r.node.held = slices.DeleteFunc(r.node.held, func(x *request) bool { return x == r })
-		if len(r.attempts) == 0 && r.paid != nil { // turned away unsent
-			r.paid.level += r.Units
-			r.paid = nil
+		if len(r.attempts) == 0 && r.chargedTo != nil { // refused before it was sent
+			r.chargedTo.level += r.Units
+			r.chargedTo = nil
 		}
 	}
-	r.over = true
-	c.unserved[tryKey{r.Volume, r.Class, r.Item}] = r.firstAt
-	c.forget(r)
+	r.finished = true
+	c.firstTries[retryKey{r.Volume, r.Class, r.Item}] = r.firstTryAt
+	c.removeFinished(r)
 }
 
-// giveUp gives the final answer at once: a refusal where a retry is harmless,
-// else a failure. It is the only place where the controller answers.
-func (c *Controller) giveUp(r *request) {
-	if r.over {
+// reject gives the final answer at once: a refusal if a retry is harmless, else a failure. No other function
+// answers an accepted request.
+func (c *Controller) reject(r *request) {
+	if r.finished {
 		return
 	}
 	n := r.node
-	c.end(r)
-	if !c.harmless(r) {
-		c.act(Fail{r.ID})
+	c.finish(r)
+	if !c.retryHarmless(r) {
+		c.emit(Fail{r.ID})
 		return
 	}
-	after := c.slot
+	retryAfter := c.slot
 	if n != nil {
-		after = c.emulatedEnd(n, r.Units) - c.now - r.class.Aim
+		retryAfter = c.simulatedEnd(n, r.Units) - c.now - r.class.Aim
 	}
-	after = max(after, c.slot/beatsPerSlot)
-	if c.set.MaxRetryAfter > 0 {
-		after = min(after, c.set.MaxRetryAfter)
+	retryAfter = max(retryAfter, c.slot/checksPerSlot)
+	if c.settings.MaxRetryAfter > 0 {
+		retryAfter = min(retryAfter, c.settings.MaxRetryAfter)
 	}
-	c.act(Refuse{r.ID, after})
+	c.emit(Refuse{r.ID, retryAfter})
 }
 
-// ---- the guards of the rules ----
+// The functions below check the rules that no attempt may break.
 
-// harmless: no effect happens twice if the client tries again.
-func (c *Controller) harmless(r *request) bool {
-	if r.class.Effect == Safe || r.doubt == nil && !c.open(r) {
+// retryHarmless reports whether no effect can happen twice if the client tries again.
+func (c *Controller) retryHarmless(r *request) bool {
+	if r.class.Effect == Safe || r.uncertain == nil && !c.hasOpenAttempt(r) {
 		return true
 	}
 	return r.class.Effect == Keyed && r.class.Group == GroupAll
 }
 
-// mayTry: a further attempt neither repeats an effect nor passes a budget.
-func (c *Controller) mayTry(r *request) bool {
-	if r.over || r.started || c.open(r) || c.set.MaxAttempts > 0 && len(r.attempts) >= c.set.MaxAttempts {
+// canAttempt reports whether an attempt may be made now without repeating an effect or exceeding a budget.
+func (c *Controller) canAttempt(r *request) bool {
+	if r.finished || r.answerStarted || c.hasOpenAttempt(r) ||
+		c.settings.MaxAttempts > 0 && len(r.attempts) >= c.settings.MaxAttempts {
 		return false
 	}
-	if r.doubt != nil && r.class.Effect != Safe &&
-		(r.class.Effect == Unsafe || c.now >= r.doubt.sentAt+r.class.Window) {
+	if r.uncertain != nil && r.class.Effect != Safe &&
+		(r.class.Effect == Unsafe || c.now >= r.uncertain.sentAt+r.class.Window) {
 		return false
 	}
-	return len(r.attempts) == 0 || c.budgetRoom()
+	return len(r.attempts) == 0 || c.withinRetryBudget()
 }
 
-// inGroup: a keyed request that may have run stays where its repeat is dropped; a new object goes nowhere
-// where there is no room, by what is told or by what it met.
-func (c *Controller) inGroup(r *request, n *node) bool {
-	if r.doubt == nil || r.class.Effect == Safe {
-		_, shut := slices.BinarySearch(r.Avoid, n.Shard)
-		return r.Shard >= 0 || !shut && !slices.Contains(r.full, n.Shard)
+// nodeAllowed reports whether the request may go to the node. A keyed request that may have run stays in the
+// group that drops its repeat. A new object avoids shards that are listed as taking nothing new or that had
+// no room for it before.
+func (c *Controller) nodeAllowed(r *request, n *node) bool {
+	if r.uncertain == nil || r.class.Effect == Safe {
+		_, avoided := slices.BinarySearch(r.Avoid, n.Shard)
+		return r.Shard >= 0 || !avoided && !slices.Contains(r.fullShards, n.Shard)
 	}
-	switch d := r.doubt.node; r.class.Group {
+	switch d := r.uncertain.node; r.class.Group {
 	case GroupAll:
 		return true
 	case GroupZone:
@@ -746,172 +779,185 @@
 	}
 }
 
-// budgetRoom: one more further attempt stays within the stated budget.
-func (c *Controller) budgetRoom() bool {
-	if c.set.ExtraSpan == 0 {
+// withinRetryBudget reports whether one more retry stays within the budget of the settings.
+func (c *Controller) withinRetryBudget() bool {
+	if c.settings.ExtraSpan == 0 {
 		return true
 	}
-	c.taken = slices.DeleteFunc(c.taken, func(s stamp) bool { return c.now-s.at >= c.set.ExtraSpan })
-	c.extra = slices.DeleteFunc(c.extra, func(s stamp) bool { return c.now-s.at > c.set.ExtraSpan })
-	return float64(len(c.extra)+1) <= c.set.ExtraFree+c.set.ExtraShare*float64(len(c.taken))
+	c.recentRequests = slices.DeleteFunc(c.recentRequests, func(s timedAmount) bool {
+		return c.now-s.at >= c.settings.ExtraSpan
+	})
+	c.recentRetries = slices.DeleteFunc(c.recentRetries, func(s timedAmount) bool {
+		return c.now-s.at > c.settings.ExtraSpan
+	})
+	return float64(len(c.recentRetries)+1) <=
+		c.settings.ExtraFree+c.settings.ExtraShare*float64(len(c.recentRequests))
 }
 
-// turn: a request whose class keeps order waits for the earlier ones of its key.
-func (c *Controller) turn(r *request) bool {
-	q := r.order
-	return q == nil || q.turn[0] == r && (len(r.attempts) > 0 || q.restUntil <= c.now)
+// isNextInOrder reports whether the request is the next one of its item, if its class keeps order. Its first
+// attempt also waits out the pause after an attempt that may still be running.
+func (c *Controller) isNextInOrder(r *request) bool {
+	q := r.queue
+	return q == nil || q.waiting[0] == r && (len(r.attempts) > 0 || q.pausedUntil <= c.now)
 }
 
-// limitRoom: the volume's limit has the units, out of this host's part of it.
-func (c *Controller) limitRoom(r *request) bool {
+// withinLimit reports whether this host's part of the volume's limit covers the request.
+func (c *Controller) withinLimit(r *request) bool {
 	v := r.volume
-	return v.plan.LimitRate <= 0 || len(r.attempts) > 0 || v.limit.fill(c.now) >= r.Units
+	return v.plan.LimitRate <= 0 || len(r.attempts) > 0 || v.limit.refill(c.now) >= r.Units
 }
 
-// cold says that the node started less than the stated time ago.
+// cold reports whether the node started less than Settings.ColdFor ago.
 func (c *Controller) cold(n *node) bool {
-	return c.set.ColdFor > 0 && n.StartedAt != 0 && c.now < n.StartedAt+c.set.ColdFor
+	return c.settings.ColdFor > 0 && n.StartedAt != 0 && c.now < n.StartedAt+c.settings.ColdFor
 }
 
-// warmth is the part of its capacity that a cold node has at least.
-func (c *Controller) warmth(n *node) float64 {
-	warm := max(0, float64(c.now-n.StartedAt)) / float64(c.set.ColdFor)
-	return c.set.ColdCapacity + (1-c.set.ColdCapacity)*min(1, warm)
+// warmFraction returns the part of its full capacity that a cold node has at least.
+func (c *Controller) warmFraction(n *node) float64 {
+	warm := max(0, float64(c.now-n.StartedAt)) / float64(c.settings.ColdFor)
+	return c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*min(1, warm)
 }
 
-// coldRate is the units a second that this host may send to a cold node, by what it has warmed up to: of
-// what the node bears in any case an equal part for each host or, if more, of the stated multiple of its
-// capacity the part that this host had of its shard's work before, by half as it has of the mean shard's,
-// as the lead of a volume moves. No node has served more than its capacity, so the hosts' parts come to no
-// more than the whole, however many they are. Harm: of a node that was full when it went, the parts come to
-// more than the whole, if all hosts use theirs.
+// coldRate returns the units a second that this host may send to a cold node, scaled by its warm fraction.
+// It is the larger of two parts. One is an equal part for each host of the units that the node bears in any
+// case. The other is this host's part of the stated multiple of the node's capacity, by what it served of
+// the shard before: half of that counts its own rate at the shard, half its mean rate over all shards,
+// because the busiest host of a volume changes. No node has served more than its capacity, so the parts of
+// all hosts add up to no more than the whole, whatever their number. Drawback: if the node was fully loaded
+// before, the parts add up to more than the whole when all hosts use theirs.
 func (c *Controller) coldRate(n *node) float64 {
-	bears := c.set.ColdBears / float64(c.set.Hosts) / c.set.FallSpan.Seconds() / max(c.set.ColdCapacity, 0.01)
-	own := max(0, c.served[n.Shard].sum-c.set.MeanUnits/2) // it is looked at after a request came
-	had := (own + c.all.sum/float64(len(c.order))) / 2 / rateMemory.Seconds()
-	return coldMargin * c.warmth(n) * max(bears, c.set.FallMultiple*had/coldLoad)
+	base := c.settings.ColdBears / float64(c.settings.Hosts) / c.settings.FallSpan.Seconds() /
+		max(c.settings.ColdCapacity, 0.01)
+	own := max(0, c.servedByShard[n.Shard].sum-c.settings.MeanUnits/2) // read just after a request arrived
+	previous := (own + c.servedTotal.sum/float64(len(c.nodesByID))) / 2 / rateSpan.Seconds()
+	return coldBudgetFraction * c.warmFraction(n) * max(base, c.settings.FallMultiple*previous/maxMeanLoad)
 }
 
-// coldWait is how long a cold node is to be left alone: until the credit that fills at this host's rate is
-// not negative. It stores what coldMargin leaves of a span, which counts all. Each request takes its units; a
-// host's part may be far less than one, so it starts below 0 by a random part of one.
+// coldWait returns how long nothing may be sent to a cold node: until its credit, which fills at this host's
+// coldRate, is no longer negative. The credit stores at most the part of a FallSpan that coldBudgetFraction
+// leaves, so that rate and credit together stay within the budget of any span. Each request takes its units.
+// A host's part may be far less than one request, so the credit starts below 0 by a random part of one.
 func (c *Controller) coldWait(n *node) time.Duration {
-	if !c.cold(n) || c.set.FallSpan == 0 {
+	if !c.cold(n) || c.settings.FallSpan == 0 {
 		return 0
 	}
 	rate := c.coldRate(n)
-	n.credit = min(n.credit+rate*(c.now-n.creditAt).Seconds(), rate*c.set.FallSpan.Seconds()*(1/coldMargin-1))
+	n.credit = min(n.credit+rate*(c.now-n.creditAt).Seconds(),
+		rate*c.settings.FallSpan.Seconds()*(1/coldBudgetFraction-1))
 	n.creditAt = c.now
 	if n.credit >= 0 {
 		return 0
 	}
-	return time.Duration(min(-n.credit/max(rate, 1e-9), c.set.ColdFor.Seconds()) * float64(time.Second))
+	return time.Duration(min(-n.credit/max(rate, 1e-9), c.settings.ColdFor.Seconds()) * float64(time.Second))
 }
 
-// rate is minRead as units a nanosecond: measured, else the other nodes' mean, else a windowful of mean
-// requests a slot. It is no lower than a part of what the present window and round trip come to. Guards
-// against a rate that spirals: few slots measured, in a pause or at a node that came back, made all be
-// refused, and so nothing new was measured. Harm: at a node that slows down the mean round trip is old for
-// a while, and too much is admitted.
-func (c *Controller) rate(n *node) float64 {
+// serviceRate returns the node's service rate in units a nanosecond: the measured rate, but no less than
+// one unit per unit time unless the node is suspect; without either, an initial window of mean requests a
+// slot. The lower bounds prevent a downward spiral: after a pause, or at a node that came back, a low rate
+// measured over few slots made this host refuse everything, so nothing new was measured. Drawback: at a node
+// that slows down, the unit time lags for a while, and too much is admitted.
+func (c *Controller) serviceRate(n *node) float64 {
 	r, ok := n.meter.rate(float64(c.slot))
 	if u := c.unitTime(n); u > 0 && (!ok || !n.suspect()) {
 		r = max(r, 1/u)
 	} else if !ok {
-		r = windowStart * c.set.MeanUnits / float64(c.slot)
+		r = initialWindow * c.settings.MeanUnits / float64(c.slot)
 	}
 	if c.cold(n) {
-		r *= c.warmth(n)
+		r *= c.warmFraction(n)
 	}
-	return max(r, c.set.MeanUnits/float64(4*c.slot))
+	return max(r, c.settings.MeanUnits/float64(4*c.slot))
 }
 
-// learn takes what an outcome tells of its node. Only answers count as served:
-// errors that come fast are no speed.
-func (c *Controller) learn(n *node, a *attempt, e Outcome) {
+// updateNode updates the state of the node from an outcome. Only answers count as served units: a node that
+// fails quickly is not fast.
+func (c *Controller) updateNode(n *node, a *attempt, e Outcome) {
 	r := a.req
 	switch e.Result {
 	case Done:
 		if n.suspect() {
-			c.act(Log{"node " + n.ID + " answers again"})
+			c.emit(Log{"node " + n.ID + " answers again"})
 		}
-		n.recover(c.now)
-		n.errors -= rttGain * n.errors
+		n.markAnswered(c.now)
+		n.errorRate -= ewmaGain * n.errorRate
 		if !c.cold(n) {
-			c.all = c.all.add(c.now, r.Units, rateMemory)
-			c.served[n.Shard] = c.served[n.Shard].add(c.now, r.Units, rateMemory)
+			c.servedTotal = c.servedTotal.add(c.now, r.Units, rateSpan)
+			c.servedByShard[n.Shard] = c.servedByShard[n.Shard].add(c.now, r.Units, rateSpan)
 		}
 		if e.Elapsed > 0 {
-			part := float64(n.meter.heldFor(c.now)-a.heldFor) / float64(c.now-a.sentAt)
-			n.meter.last(c.now, c.slot, rateMemory).units += r.Units * min(1, part)
+			heldPart := float64(n.meter.heldTime(c.now)-a.heldTimeAtSend) / float64(c.now-a.sentAt)
+			n.meter.currentSlot(c.now, c.slot, rateSpan).units += r.Units * min(1, heldPart)
 		}
-		if c.stood > 0 {
-			return // how long it took, this host cannot tell
+		if c.stallTime > 0 {
+			return // the elapsed time includes the stall of this host
 		}
 		n.rtt = cmp.Or(n.rtt, float64(e.Elapsed))
-		n.rtt += rttGain * (float64(e.Elapsed) - n.rtt)
-		if c.observe(n, a, e.Elapsed, e.Load) > aimForNode*float64(c.slot) {
-			c.halve(n, a)
-		} else if float64(len(n.out)+1) >= n.window/2 {
-			n.window = min(windowTop, n.window+1/n.window)
+		n.rtt += ewmaGain * (float64(e.Elapsed) - n.rtt)
+		if c.recordAnswerTime(n, a, e.Elapsed, e.Load) > maxWaitFraction*float64(c.slot) {
+			c.halveWindow(n, a)
+		} else if float64(len(n.inFlight)+1) >= n.window/2 {
+			n.window = min(maxWindow, n.window+1/n.window)
 		}
 	case Error:
-		n.errors += rttGain * (1 - n.errors)
-		c.halve(n, a)
+		n.errorRate += ewmaGain * (1 - n.errorRate)
+		c.halveWindow(n, a)
 	case TimedOut, Reset, Unreachable:
-		if n.failed++; n.failed == suspectAfter {
-			c.act(Log{"node " + n.ID + noAnswers})
+		if n.failures++; n.failures == suspectFailures {
+			c.emit(Log{"node " + n.ID + noAnswersText})
 		}
-		if e.Result == TimedOut && a.sentAt > n.lastSent {
-			n.wait.add(c.now, float64(e.Elapsed), waitGain, waitFade, lastFade, c.general())
+		if e.Result == TimedOut && a.sentAt > n.lastAnsweredSent {
+			n.wait.add(c.now, float64(e.Elapsed), backlogGain, backlogDecay, lastBacklogDecay,
+				c.overallBacklog())
 		}
-		c.halve(n, a)
-	case NoRoom: // which says nothing of how quick the node is
-		r.full = append(r.full, n.Shard)
+		c.halveWindow(n, a)
+	case NoRoom: // this says nothing about the speed of the node
+		r.fullShards = append(r.fullShards, n.Shard)
 	case Busy:
-		c.halve(n, a)
+		c.halveWindow(n, a)
 	}
 }
 
-// halve cuts the window, once for all that was out at the time.
-func (c *Controller) halve(n *node, a *attempt) {
+// halveWindow halves the node's window, once for all attempts that were in flight at that time.
+func (c *Controller) halveWindow(n *node, a *attempt) {
 	if a.sentAt >= n.halvedAt {
-		n.window = max(windowFloor, n.window/2)
+		n.window = max(minWindow, n.window/2)
 		n.halvedAt = c.now
 	}
 }
 
-// suspect: the node answers nothing, or gave no answer several times on end. New objects go elsewhere,
-// requests that only it can serve are refused at once but for a trickle. Guards against silent, vanished
-// and unreachable nodes alike, of which an empty queue looks like the quickest. Errors do not count: a node
-// that fails some requests serves the others, and only new objects avoid it, by its error share. Harm: a
-// node whose answers all take long for a moment is shunned until the next.
-func (n *node) suspect() bool { return n.silent || n.failed >= suspectAfter }
-
-// backOff puts the next attempt at a suspect node off, twice as long each time.
-func (n *node) backOff(now, slot time.Duration) {
-	n.pause = min(max(slot, 2*n.pause), backoffTop*slot)
-	n.tryAt = now + n.pause
+// suspect reports whether the node is silent or failed to answer several times in a row. New objects go
+// elsewhere; requests that only this node can serve are refused at once, but for one attempt now and then.
+// This covers silent, vanished and unreachable nodes alike, whose empty queues make them look the fastest.
+// Error answers do not count: a node that fails some requests serves the others, and only new objects avoid
+// it, by its error rate. Drawback: a node whose answers are all slow for a moment is avoided until the next
+// answer.
+func (n *node) suspect() bool { return n.silent || n.failures >= suspectFailures }
+
+// extendBackoff postpones the next attempt at a suspect node, twice as long each time up to a maximum.
+func (n *node) extendBackoff(now, slot time.Duration) {
+	n.backoff = min(max(slot, 2*n.backoff), maxBackoffSlots*slot)
+	n.nextTryAt = now + n.backoff
 }
 
-// recover takes an answer as proof of life; the window starts small again.
-func (n *node) recover(now time.Duration) {
+// markAnswered clears the node's failures after an answer. A suspect node's window restarts at minWindow.
+func (n *node) markAnswered(now time.Duration) {
 	if n.suspect() {
-		n.window = windowFloor
+		n.window = minWindow
 	}
-	n.lastAnswer, n.silent, n.failed, n.pause = now, false, 0, 0
+	n.lastAnswerAt, n.silent, n.failures, n.backoff = now, false, 0, 0
 }
 
-// overdue: the attempt has been out for much longer than answers of its node take. It counts neither for
-// the window nor in the emulation. Guards against single lost requests or answers that would block a small
-// window until their deadline. Harm: a node that slows down at a stroke gets a few too many.
+// overdue reports whether the attempt has been in flight for much longer than the node's answers take. Such
+// an attempt counts neither for the window nor in the simulation, so that a single lost request or answer
+// does not block a small window until its deadline. Drawback: a node that slows down suddenly gets a few
+// attempts too many.
 func (c *Controller) overdue(a *attempt) bool {
-	return float64(c.now-a.sentAt) > silentAfter*a.node.rtt+float64(c.slot)
+	return float64(c.now-a.sentAt) > overdueRoundTrips*a.node.rtt+float64(c.slot)
 }
 
-// live is the number of attempts out from which an answer may be expected.
-func (c *Controller) live(n *node) (k float64) {
-	for _, a := range n.out {
+// liveAttempts returns the number of attempts in flight at the node that are not overdue.
+func (c *Controller) liveAttempts(n *node) (k float64) {
+	for _, a := range n.inFlight {
 		if !c.overdue(a) {
 			k++
 		}
@@ -919,19 +965,19 @@
 	return k
 }
 
-// watch marks a node as silent if nothing came after an attempt now overdue.
-func (c *Controller) watch(n *node) {
-	for _, a := range n.out {
-		if !n.silent && a.sentAt > n.lastAnswer && c.overdue(a) {
+// checkSilence marks the node as silent if it has answered nothing since an attempt that is now overdue.
+func (c *Controller) checkSilence(n *node) {
+	for _, a := range n.inFlight {
+		if !n.silent && a.sentAt > n.lastAnswerAt && c.overdue(a) {
 			n.silent = true
-			c.act(Log{"node " + n.ID + noAnswers})
+			c.emit(Log{"node " + n.ID + noAnswersText})
 		}
 	}
 }
 
-// list applies news of the node list. Held requests at a node that may take
-// nothing new are returned, to be placed again.
-func (c *Controller) list(e NodeList) (moved []*request) {
+// applyNodeList applies a change of the node list. It returns the requests held at nodes that may get no new
+// work, to be placed again.
+func (c *Controller) applyNodeList(e NodeList) (moved []*request) {
 	if e.Kind == ListFailed {
 		c.subscribed = false
 		return nil
@@ -939,15 +985,15 @@
 	if e.Kind != ListCached {
 		c.subscribed = true
 	} else {
-		c.askedAt = c.now
+		c.listAskedAt = c.now
 	}
-	named := map[string]bool{}
+	listedIDs := map[string]bool{}
 	for _, entry := range e.Nodes {
-		named[entry.ID] = true
-		c.entry(entry)
+		listedIDs[entry.ID] = true
+		c.applyNode(entry)
 	}
-	for _, n := range c.order {
-		if e.Kind != ListDelta && !named[n.ID] {
+	for _, n := range c.nodesByID {
+		if e.Kind != ListDelta && !listedIDs[n.ID] {
 			n.listed = false
 		}
 		if !n.usable() {
@@ -961,40 +1007,40 @@
 	return moved
 }
 
-// entry applies one entry. A node that restarted is a new node to this host.
-func (c *Controller) entry(e Node) {
+// applyNode applies one entry of the node list. After a restart, a node is measured as if it were new.
+func (c *Controller) applyNode(e Node) {
 	n := c.nodes[e.ID]
 	if n == nil {
-		n = &node{window: windowStart}
+		n = &node{window: initialWindow}
 		c.nodes[e.ID] = n
-		i := sort.Search(len(c.order), func(i int) bool { return c.order[i].ID > e.ID })
-		c.order = slices.Insert(c.order, i, n)
+		i := sort.Search(len(c.nodesByID), func(i int) bool { return c.nodesByID[i].ID > e.ID })
+		c.nodesByID = slices.Insert(c.nodesByID, i, n)
 	} else if e.StartedAt > n.StartedAt {
-		n.window, n.meter, n.rtt = windowStart, meter{}, 0
-		n.silent, n.failed, n.pause, n.errors = false, 0, 0, 0
+		n.window, n.meter, n.rtt = initialWindow, rateMeter{}, 0
+		n.silent, n.failures, n.backoff, n.errorRate = false, 0, 0, 0
 	}
-	if e.StartedAt != n.StartedAt { // hosts told at the same time start apart
-		n.credit, n.creditAt = -c.rng.Float64()*c.set.MeanUnits, c.now
+	if e.StartedAt != n.StartedAt { // hosts that learn of the node together start at different times
+		n.credit, n.creditAt = -c.rng.Float64()*c.settings.MeanUnits, c.now
 	}
 	n.Node, n.listed = e, e.State != Gone
 }
 
-// ask subscribes to the node list where it comes only on request.
-func (c *Controller) ask() {
-	if c.set.ListOnRequest {
-		c.askedAt = c.now
-		c.act(Subscribe{})
+// subscribe subscribes to the node list if it is sent only on request.
+func (c *Controller) subscribe() {
+	if c.settings.ListOnRequest {
+		c.listAskedAt = c.now
+		c.emit(Subscribe{})
 	}
 }
 
-// keepAsking asks again long before the stated time is up while not subscribed.
-func (c *Controller) keepAsking() {
-	if !c.set.ListOnRequest || c.subscribed {
+// resubscribe subscribes again, well before Settings.AskWithin is over, while there is no subscription.
+func (c *Controller) resubscribe() {
+	if !c.settings.ListOnRequest || c.subscribed {
 		return
 	}
-	pause := time.Duration(askEarly * float64(c.set.AskWithin))
-	if c.now >= c.askedAt+pause {
-		c.ask()
+	interval := time.Duration(resubscribeFraction * float64(c.settings.AskWithin))
+	if c.now >= c.listAskedAt+interval {
+		c.subscribe()
 	}
-	c.wakeAt(c.askedAt + pause)
+	c.setTimerAt(c.listAskedAt + interval)
 }
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -14,7 +14,7 @@
 const ms = time.Millisecond
 
 // bench drives a controller by hand.
-type bench struct {
+type harness struct {
 	t   *testing.T
 	c   *Controller
 	now time.Duration
@@ -37,19 +37,19 @@
 	}
 }
 
-func start(t *testing.T, set Settings, nodes ...Node) *bench {
+func newHarness(t *testing.T, set Settings, nodes ...Node) *harness {
 	t.Helper()
 	c, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, c: c, now: time.Hour}
+	b := &harness{t: t, c: c, now: time.Hour}
 	b.step(0, NodeList{Kind: ListCached, Nodes: nodes})
 	return b
 }
 
 // step passes time and returns the actions that are not timers.
-func (b *bench) step(d time.Duration, events ...Event) []Action {
+func (b *harness) step(d time.Duration, events ...Event) []Action {
 	b.now += d
 	return slices.DeleteFunc(slices.Clone(b.c.Step(b.now, events)), func(a Action) bool {
 		_, timer := a.(SetTimer)
@@ -58,31 +58,31 @@
 }
 
 // pass lets time pass with the controller's timers firing, the last step left out.
-func (b *bench) pass(d time.Duration) {
+func (b *harness) advance(d time.Duration) {
 	for ; d > 10*ms; d -= 10 * ms {
-		b.step(10*ms, TimerFired{b.c.token})
+		b.step(10*ms, TimerFired{b.c.timerToken})
 	}
 	b.now += d
 }
 
-func entry(id string, shard int) Node { return Node{ID: id, Zone: "z" + id, Shard: shard} }
+func nodeEntry(id string, shard int) Node { return Node{ID: id, Zone: "z" + id, Shard: shard} }
 
-func read(id string) Request {
+func readRequest(id string) Request {
 	return Request{ID: id, Class: "read", Volume: "v", Hosts: 1, Units: 2, Expires: time.Second}
 }
 
-func of(class, id string) Request {
-	r := read(id)
+func requestOf(class, id string) Request {
+	r := readRequest(id)
 	r.Class, r.Expires = class, 2*time.Second
 	return r
 }
 
-func ended(id, node string, attempt int, res Result) Outcome {
+func outcomeOf(id, node string, attempt int, res Result) Outcome {
 	return Outcome{ID: id, Node: node, Attempt: attempt, Result: res, Elapsed: 10 * ms, Closed: res == Done}
 }
 
 // sends lists the ids and nodes of the attempts among actions.
-func sends(actions []Action) (list []string) {
+func sentAttempts(actions []Action) (list []string) {
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			list = append(list, s.ID+">"+s.Node)
@@ -92,7 +92,7 @@
 }
 
 // finals lists the final answers among actions.
-func finals(actions []Action) (list []string) {
+func finalAnswers(actions []Action) (list []string) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Refuse:
@@ -104,18 +104,18 @@
 	return list
 }
 
-func (b *bench) want(what string, got []string, want ...string) {
+func (b *harness) expect(what string, got []string, expect ...string) {
 	b.t.Helper()
-	if !slices.Equal(got, want) {
-		b.t.Errorf("%s: got %v, want %v", what, got, want)
+	if !slices.Equal(got, expect) {
+		b.t.Errorf("%s: got %v, want %v", what, got, expect)
 	}
 }
 
 func TestNewNamesTheBadField(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		spoil func(*Settings)
-		want  string
+		name    string
+		corrupt func(*Settings)
+		want    string
 	}{
 		{"no class", func(s *Settings) { s.Classes = nil }, "classes"},
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "classes[read].effect"},
@@ -130,7 +130,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			set := settings()
-			tt.spoil(&set)
+			tt.corrupt(&set)
 			_, err := New(set, 1)
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
 				t.Errorf("error %v does not name %q", err, tt.want)
@@ -142,9 +142,9 @@
 	}
 }
 
-func TestUnheldIsPassedOver(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
-	got := b.step(ms, ended("x", "n", 0, Done), ClientGone{"x"}, TimerFired{77}, AnswerStarted{ID: "x"},
+func TestUnknownIDsAreIgnored(t *testing.T) {
+	b := newHarness(t, settings(), nodeEntry("n", 0))
+	got := b.step(ms, outcomeOf("x", "n", 0, Done), ClientGone{"x"}, TimerFired{77}, AnswerStarted{ID: "x"},
 		ProbeResult{Node: "q"})
 	if len(got) != 0 {
 		t.Errorf("actions for what is not held: %v", got)
@@ -153,32 +153,32 @@
 
 // Rule 1: one final answer, nothing after it.
 func TestOneFinalAnswer(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
-	b.want("first", sends(b.step(ms, read("a"))), "a>n")
-	got := b.step(time.Second, ended("a", "n", 0, TimedOut), ClientGone{"a"}, TimerFired{b.c.token})
-	b.want("outcome, client gone and timer in one batch", append(sends(got), finals(got)...))
-	if len(b.c.reqs) != 0 {
-		t.Errorf("%d requests still kept", len(b.c.reqs))
-	}
-	b.step(ms, read("b"))
-	got = b.step(time.Second-ms, ended("b", "n", 0, TimedOut))
-	b.want("time-out at the deadline", finals(got), "refuse b")
+	b := newHarness(t, settings(), nodeEntry("n", 0))
+	b.expect("first", sentAttempts(b.step(ms, readRequest("a"))), "a>n")
+	got := b.step(time.Second, outcomeOf("a", "n", 0, TimedOut), ClientGone{"a"}, TimerFired{b.c.timerToken})
+	b.expect("outcome, client gone and timer in one batch", append(sentAttempts(got), finalAnswers(got)...))
+	if len(b.c.requests) != 0 {
+		t.Errorf("%d requests still kept", len(b.c.requests))
+	}
+	b.step(ms, readRequest("b"))
+	got = b.step(time.Second-ms, outcomeOf("b", "n", 0, TimedOut))
+	b.expect("time-out at the deadline", finalAnswers(got), "refuse b")
 	got = b.step(ms, ClientGone{"b"})
-	b.want("after the answer", append(sends(got), finals(got)...))
+	b.expect("after the answer", append(sentAttempts(got), finalAnswers(got)...))
 }
 
 func TestHeldRequestIsAnsweredByItsDeadline(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	answered, taken := map[string]int{}, 0
 	for range 30 {
 		taken++
-		b.note(answered, b.step(0, read(fmt.Sprint("r", taken))))
+		b.countAnswers(answered, b.step(0, readRequest(fmt.Sprint("r", taken))))
 	}
 	for range 110 { // the node answers nothing
-		b.note(answered, b.step(10*ms, TimerFired{b.c.token}))
+		b.countAnswers(answered, b.step(10*ms, TimerFired{b.c.timerToken}))
 	}
 	out := 0
-	for _, r := range b.c.reqs {
+	for _, r := range b.c.requests {
 		if r.held {
 			t.Errorf("%s is still held after its deadline", r.ID)
 		}
@@ -189,9 +189,9 @@
 	}
 }
 
-func (b *bench) note(answered map[string]int, actions []Action) {
+func (b *harness) countAnswers(answered map[string]int, actions []Action) {
 	b.t.Helper()
-	for _, f := range finals(actions) {
+	for _, f := range finalAnswers(actions) {
 		id := strings.Fields(f)[1]
 		if answered[id]++; answered[id] > 1 {
 			b.t.Errorf("%s answered twice", id)
@@ -201,8 +201,8 @@
 
 // Rule 2: which class goes where after which outcome.
 func TestEffects(t *testing.T) {
-	two := []Node{entry("n", 0), entry("o", 1)}
-	free := func(class string) Request { r := of(class, "a"); r.Shard = AnyShard; return r }
+	two := []Node{nodeEntry("n", 0), nodeEntry("o", 1)}
+	free := func(class string) Request { r := requestOf(class, "a"); r.Shard = AnyShard; return r }
 	for _, tt := range []struct {
 		name   string
 		req    Request
@@ -210,11 +210,11 @@
 		after  time.Duration
 		want   string // where it goes next, or the final answer
 	}{
-		{"safe after an error", of("read", "a"), Error, ms, "send"},
-		{"unsafe after an error", of("once", "a"), Error, ms, "fail"},
-		{"unsafe turned away", of("once", "a"), Busy, ms, "send"},
-		{"unsafe unreachable", of("once", "a"), Unreachable, ms, "send"},
-		{"unsafe reset", of("once", "a"), Reset, ms, "fail"},
+		{"safe after an error", requestOf("read", "a"), Error, ms, "send"},
+		{"unsafe after an error", requestOf("once", "a"), Error, ms, "fail"},
+		{"unsafe turned away", requestOf("once", "a"), Busy, ms, "send"},
+		{"unsafe unreachable", requestOf("once", "a"), Unreachable, ms, "send"},
+		{"unsafe reset", requestOf("once", "a"), Reset, ms, "fail"},
 		{"keyed cell in its window", free("write"), Error, 100 * ms, "same"},
 		{"keyed cell after its window", free("write"), Error, 501 * ms, "fail"},
 		{"keyed all after its window", free("anywhere"), Error, 501 * ms, "refuse"},
@@ -222,22 +222,22 @@
 		{"keyed zone after its window", free("zoned"), Reset, 501 * ms, "fail"},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, settings(), two...)
-			first := sends(b.step(ms, tt.req))
+			b := newHarness(t, settings(), two...)
+			first := sentAttempts(b.step(ms, tt.req))
 			if len(first) != 1 {
 				t.Fatalf("first attempts %v", first)
 			}
 			at := first[0][2:]
-			got := b.step(tt.after, ended("a", at, 0, tt.result))
+			got := b.step(tt.after, outcomeOf("a", at, 0, tt.result))
 			switch tt.want {
 			case "send":
-				if len(sends(got)) != 1 {
+				if len(sentAttempts(got)) != 1 {
 					t.Errorf("got %v", got)
 				}
 			case "same":
-				b.want("next", sends(got), first[0])
+				b.expect("next", sentAttempts(got), first[0])
 			default:
-				b.want("answer", append(sends(got), finals(got)...), tt.want+" a")
+				b.expect("answer", append(sentAttempts(got), finalAnswers(got)...), tt.want+" a")
 			}
 		})
 	}
@@ -246,44 +246,44 @@
 // A keyed request that may have run leaves its group neither when its node goes
 // nor when another is free.
 func TestKeyedStaysInItsGroup(t *testing.T) {
-	b := start(t, settings(), entry("n", 0), entry("o", 1))
-	r := of("write", "a")
+	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
+	r := requestOf("write", "a")
 	r.Shard = AnyShard
-	first := sends(b.step(ms, r))[0][2:]
+	first := sentAttempts(b.step(ms, r))[0][2:]
 	shard := b.c.nodes[first].Shard
 	got := b.step(ms, NodeList{Kind: ListDelta, Nodes: []Node{{ID: first, Shard: shard, State: Gone}}},
-		ended("a", first, 0, Reset))
-	b.want("no node of the group", append(sends(got), finals(got)...), "fail a")
+		outcomeOf("a", first, 0, Reset))
+	b.expect("no node of the group", append(sentAttempts(got), finalAnswers(got)...), "fail a")
 }
 
 // Rule 3: nothing new once told, whatever the list calls it.
-func TestDrains(t *testing.T) {
+func TestDrainingNodeGetsNothingNew(t *testing.T) {
 	gone := []struct {
 		name string
 		news NodeList
 	}{
 		{"draining", NodeList{Kind: ListDelta, Nodes: []Node{{ID: "n", State: Draining}}}},
 		{"gone", NodeList{Kind: ListDelta, Nodes: []Node{{ID: "n", State: Gone}}}},
-		{"left out of a full list", NodeList{Kind: ListFull, Nodes: []Node{entry("o", 1)}}},
+		{"left out of a full list", NodeList{Kind: ListFull, Nodes: []Node{nodeEntry("o", 1)}}},
 	}
 	for _, tt := range gone {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, settings(), entry("n", 0), entry("o", 1))
+			b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
 			for i := range 9 { // some held
-				b.step(0, read(fmt.Sprint("h", i)))
+				b.step(0, readRequest(fmt.Sprint("h", i)))
 			}
-			got := b.step(ms, tt.news, read("a"))
-			got = append(got, b.step(ms, ended("h0", "n", 0, Done))...)
-			b.want("sends", sends(got))
-			b.step(ms, NodeList{Kind: ListDelta, Nodes: []Node{entry("n", 0)}})
-			b.want("back", sends(b.step(ms, read("b"))), "b>n")
+			got := b.step(ms, tt.news, readRequest("a"))
+			got = append(got, b.step(ms, outcomeOf("h0", "n", 0, Done))...)
+			b.expect("sends", sentAttempts(got))
+			b.step(ms, NodeList{Kind: ListDelta, Nodes: []Node{nodeEntry("n", 0)}})
+			b.expect("back", sentAttempts(b.step(ms, readRequest("b"))), "b>n")
 		})
 	}
-	b := start(t, settings(), entry("n", 0))
-	b.step(ms, NodeList{Kind: ListDelta, Nodes: []Node{{ID: "n", State: Draining}, entry("p", 0)}})
-	b.want("successor of the same shard", sends(b.step(ms, read("a"))), "a>p")
+	b := newHarness(t, settings(), nodeEntry("n", 0))
+	b.step(ms, NodeList{Kind: ListDelta, Nodes: []Node{{ID: "n", State: Draining}, nodeEntry("p", 0)}})
+	b.expect("successor of the same shard", sentAttempts(b.step(ms, readRequest("a"))), "a>p")
 	b.step(ms, NodeList{Kind: ListFailed})
-	b.want("list kept after a failure", sends(b.step(ms, read("b"))), "b>p")
+	b.expect("list kept after a failure", sentAttempts(b.step(ms, readRequest("b"))), "b>p")
 }
 
 func TestListOnRequest(t *testing.T) {
@@ -293,7 +293,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &bench{t: t, c: c, now: time.Hour}
+	b := &harness{t: t, c: c, now: time.Hour}
 	asks := func(a []Action) int {
 		return len(slices.DeleteFunc(a, func(a Action) bool { _, ok := a.(Subscribe); return !ok }))
 	}
@@ -301,7 +301,7 @@
 		t.Errorf("%d calls at the start, want 1", n)
 	}
 	b.step(ms, NodeList{Kind: ListFailed})
-	if n := asks(b.step(9*time.Second, TimerFired{b.c.token})); n != 1 {
+	if n := asks(b.step(9*time.Second, TimerFired{b.c.timerToken})); n != 1 {
 		t.Errorf("%d calls within the stated silence after a failure, want 1", n)
 	}
 	b.step(ms, NodeList{Kind: ListFull})
@@ -316,13 +316,13 @@
 	for _, cancelling := range []bool{true, false} {
 		set := settings()
 		set.Cancelling = cancelling
-		b := start(t, set, entry("n", 0))
+		b := newHarness(t, set, nodeEntry("n", 0))
 		var out, held []string
 		for i := range 40 {
 			id := fmt.Sprint("r", i)
-			if len(sends(b.step(0, of("write", id)))) > 0 {
+			if len(sentAttempts(b.step(0, requestOf("write", id)))) > 0 {
 				out = append(out, id)
-			} else if b.c.reqs[id] != nil {
+			} else if b.c.requests[id] != nil {
 				held = append(held, id)
 			}
 		}
@@ -347,9 +347,9 @@
 		for _, id := range out {
 			b.step(0, Outcome{ID: id, Node: "n", Result: Cancelled, Closed: true})
 		}
-		b.pass(3 * time.Second)
-		if len(b.c.reqs) != 0 {
-			t.Errorf("%d requests are remembered", len(b.c.reqs))
+		b.advance(3 * time.Second)
+		if len(b.c.requests) != 0 {
+			t.Errorf("%d requests are remembered", len(b.c.requests))
 		}
 	}
 }
@@ -368,12 +368,12 @@
 		return 0
 	}
 	for class, again := range map[string]time.Duration{"write": 500 * ms, "read": 0} {
-		b := start(t, settings(), entry("n", 0))
+		b := newHarness(t, settings(), nodeEntry("n", 0))
 		began := b.now
-		if l := latest(b.step(0, of(class, "a"))); l != 0 {
+		if l := latest(b.step(0, requestOf(class, "a"))); l != 0 {
 			t.Errorf("%s: a first attempt must begin by %v", class, l)
 		}
-		if l := latest(b.step(20*ms, ended("a", "n", 0, Error))); again == 0 && l != 0 || again > 0 && l != began+again {
+		if l := latest(b.step(20*ms, outcomeOf("a", "n", 0, Error))); again == 0 && l != 0 || again > 0 && l != began+again {
 			t.Errorf("%s: the repeat must begin by %v, sent at %v", class, l, began)
 		}
 	}
@@ -394,18 +394,18 @@
 		const seconds = 6
 		var sent [seconds * 50]float64 // units by 20 ms, of all hosts
 		for h := range tt.hosts {
-			b := start(t, set, entry("o", 1))
+			b := newHarness(t, set, nodeEntry("o", 1))
 			b.c.rng.Seed(int64(h))
-			b.c.served[0] = flow{tt.before/float64(tt.hosts)*rateMemory.Seconds() + 1, b.now}
-			b.c.all = flow{2 * tt.before / float64(tt.hosts) * rateMemory.Seconds(), b.now} // as much at o
-			n := entry("n", 0)
+			b.c.servedByShard[0] = decayingSum{tt.before/float64(tt.hosts)*rateSpan.Seconds() + 1, b.now}
+			b.c.servedTotal = decayingSum{2 * tt.before / float64(tt.hosts) * rateSpan.Seconds(), b.now} // as much at o
+			n := nodeEntry("n", 0)
 			n.StartedAt = b.now
 			b.step(0, NodeList{Kind: ListDelta, Nodes: []Node{n}})
 			for i := range sent {
-				for _, s := range sends(b.step(20*ms, read(fmt.Sprint("r", i)))) {
+				for _, s := range sentAttempts(b.step(20*ms, readRequest(fmt.Sprint("r", i)))) {
 					sent[i] += 2
 					id, _, _ := strings.Cut(s, ">")
-					b.step(0, ended(id, "n", 0, Done))
+					b.step(0, outcomeOf(id, "n", 0, Done))
 				}
 			}
 		}
@@ -417,7 +417,7 @@
 			}
 			warmth := 0.2 + 0.8*float64(from+50)/500
 			// What it bears in any case, or the multiple of what it can, which is more than it did before.
-			most := max(20*warmth/0.2, 3*warmth*tt.before/coldLoad)
+			most := max(20*warmth/0.2, 3*warmth*tt.before/maxMeanLoad)
 			if slack := 2.0 * float64(min(tt.hosts, 4)); units > most+slack {
 				t.Fatalf("%+v: %v units within a span from %d ms, at most %v", tt, units, 20*from, most)
 			}
@@ -433,15 +433,15 @@
 func TestLimit(t *testing.T) {
 	set := settings()
 	set.Plans = []Plan{{Name: "p", LimitRate: 20, LimitBurst: 40, LimitSlack: 4, Weight: 1}}
-	b := start(t, set, entry("n", 0))
+	b := newHarness(t, set, nodeEntry("n", 0))
 	units := 0.0
 	for i := range 300 {
-		r := read(fmt.Sprint("r", i))
+		r := readRequest(fmt.Sprint("r", i))
 		r.Plan, r.Hosts = "p", 2
-		for _, s := range sends(b.step(10*ms, r)) {
+		for _, s := range sentAttempts(b.step(10*ms, r)) {
 			units += 2
 			id, _, _ := strings.Cut(s, ">")
-			b.step(0, ended(id, "n", 0, Done))
+			b.step(0, outcomeOf(id, "n", 0, Done))
 		}
 	}
 	// 3 s at half of 20 a second, and half of the slack.
@@ -454,29 +454,29 @@
 func TestKeyOrder(t *testing.T) {
 	set := settings()
 	set.OrderRest = 100 * ms
-	b := start(t, set, entry("n", 0))
-	turn := func(id string) Request { r := of("turns", id); r.Item = "k"; return r }
-	b.want("first", sends(b.step(0, turn("a"), turn("b"), turn("c"))), "a>n")
-	b.want("own further try goes first", sends(b.step(ms, ended("a", "n", 0, Error))), "a>n")
-	b.want("client gone, attempt still out", sends(b.step(ms, ClientGone{"a"})))
-	b.want("doubt", sends(b.step(ms, ended("a", "n", 1, TimedOut))))
-	b.want("rest", sends(b.step(90*ms, TimerFired{b.c.token})))
-	b.want("rested", sends(b.step(11*ms, TimerFired{b.c.token})), "b>n")
-	b.want("next", sends(b.step(ms, ended("b", "n", 0, Done))), "c>n")
+	b := newHarness(t, set, nodeEntry("n", 0))
+	turn := func(id string) Request { r := requestOf("turns", id); r.Item = "k"; return r }
+	b.expect("first", sentAttempts(b.step(0, turn("a"), turn("b"), turn("c"))), "a>n")
+	b.expect("own further try goes first", sentAttempts(b.step(ms, outcomeOf("a", "n", 0, Error))), "a>n")
+	b.expect("client gone, attempt still out", sentAttempts(b.step(ms, ClientGone{"a"})))
+	b.expect("doubt", sentAttempts(b.step(ms, outcomeOf("a", "n", 1, TimedOut))))
+	b.expect("rest", sentAttempts(b.step(90*ms, TimerFired{b.c.timerToken})))
+	b.expect("rested", sentAttempts(b.step(11*ms, TimerFired{b.c.timerToken})), "b>n")
+	b.expect("next", sentAttempts(b.step(ms, outcomeOf("b", "n", 0, Done))), "c>n")
 }
 
 // Rule 7: further attempts within the stated budget.
 func TestAttemptBudget(t *testing.T) {
 	set := settings()
 	set.ExtraFree, set.ExtraShare, set.ExtraSpan = 2, 0.1, 5*time.Second
-	b := start(t, set, entry("n", 0))
+	b := newHarness(t, set, nodeEntry("n", 0))
 	taken, extra := 0, 0
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
 		taken++
-		for attempt := range sends(b.step(20*ms, read(id))) {
+		for attempt := range sentAttempts(b.step(20*ms, readRequest(id))) {
 			for again := true; again; attempt++ {
-				got := sends(b.step(0, ended(id, "n", attempt, Error)))
+				got := sentAttempts(b.step(0, outcomeOf(id, "n", attempt, Error)))
 				again = len(got) > 0
 				extra += len(got)
 			}
@@ -491,10 +491,10 @@
 }
 
 func TestNoSecondCopy(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
-	b.step(0, read("a"))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
+	b.step(0, readRequest("a"))
 	for range 50 {
-		b.want("while one is out", sends(b.step(10*ms, TimerFired{b.c.token})))
+		b.expect("while one is out", sentAttempts(b.step(10*ms, TimerFired{b.c.timerToken})))
 	}
 }
 
@@ -521,34 +521,34 @@
 			[]string{"refuse a"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, settings(), entry("n", 0))
+			b := newHarness(t, settings(), nodeEntry("n", 0))
 			n := b.c.nodes["n"]
 			n.window = 0 // nothing leaves
 			// 20 units a second, measured.
-			n.meter.slots = []slotCount{{from: b.now, units: 20, span: float64(time.Second)}}
+			n.meter.slots = []meterSlot{{start: b.now, units: 20, heldTime: float64(time.Second)}}
 			for _, r := range tt.held {
 				r.node, r.held = n, true
 				n.held = append(n.held, r)
 			}
 			b.c.actions, b.c.now = nil, b.now
 			b.c.shed(n)
-			b.want("refused", finals(b.c.actions), tt.want...)
+			b.expect("refused", finalAnswers(b.c.actions), tt.want...)
 		})
 	}
 }
 
 func TestDepartureByDeadline(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	b.c.nodes["n"].window = 1
-	b.c.unit = low{value: float64(5 * ms), seen: 100} // known from other nodes
-	b.step(0, read("first"))
-	late, soon := of("write", "late"), read("soon")
+	b.c.overallUnitTime = lowQuantile{value: float64(5 * ms), count: 100} // known from other nodes
+	b.step(0, readRequest("first"))
+	late, soon := requestOf("write", "late"), readRequest("soon")
 	b.c.nodes["n"].wait.last, b.c.nodes["n"].wait.at = float64(90*ms), b.now
 	b.step(0, late, soon)
-	slow := ended("first", "n", 0, Done) // the window stays at one
+	slow := outcomeOf("first", "n", 0, Done) // the window stays at one
 	slow.Elapsed = 90 * ms
-	b.want("next", sends(b.step(5*ms, slow)), "soon>n")
-	b.want("then", sends(b.step(5*ms, ended("soon", "n", 0, Done))), "late>n")
+	b.expect("next", sentAttempts(b.step(5*ms, slow)), "soon>n")
+	b.expect("then", sentAttempts(b.step(5*ms, outcomeOf("soon", "n", 0, Done))), "late>n")
 }
 
 func TestWindow(t *testing.T) {
@@ -565,26 +565,26 @@
 		{"time-out", TimedOut, 150 * ms, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, settings(), entry("n", 0))
+			b := newHarness(t, settings(), nodeEntry("n", 0))
 			n := b.c.nodes["n"]
-			b.c.unit = low{value: float64(2 * ms), seen: 100} // known from other nodes
+			b.c.overallUnitTime = lowQuantile{value: float64(2 * ms), count: 100} // known from other nodes
 			for i := range 200 {
 				id := fmt.Sprint("r", i)
 				before := n.window
-				for range sends(b.step(0, read(id))) {
-					o := ended(id, "n", 0, tt.result)
+				for range sentAttempts(b.step(0, readRequest(id))) {
+					o := outcomeOf(id, "n", 0, tt.result)
 					o.Elapsed, o.Closed = tt.took, true
-					b.pass(tt.took)
+					b.advance(tt.took)
 					b.step(0, o)
 				}
-				if n.window > windowTop || n.window < windowFloor {
+				if n.window > maxWindow || n.window < minWindow {
 					t.Fatalf("window %v out of bounds", n.window)
 				}
 				if !tt.grows && n.window > before {
 					t.Fatalf("window grew from %v to %v", before, n.window)
 				}
 			}
-			if !tt.grows && n.window != windowFloor {
+			if !tt.grows && n.window != minWindow {
 				t.Errorf("window %v, want the floor", n.window)
 			}
 		})
@@ -592,33 +592,33 @@
 }
 
 func TestNewObjectGoesWhereItEndsFirst(t *testing.T) {
-	b := start(t, settings(), entry("n", 0), entry("o", 1))
-	b.step(0, read("a"))
-	w := of("write", "w")
+	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
+	b.step(0, readRequest("a"))
+	w := requestOf("write", "w")
 	w.Shard = AnyShard
-	b.want("new object", sends(b.step(ms, w)), "w>o")
+	b.expect("new object", sentAttempts(b.step(ms, w)), "w>o")
 }
 
 // A measured rate that was brought down in a pause must not refuse what an open
 // window would serve (atlanta-main big-2).
-func TestRateDoesNotSpiral(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+func TestLowMeasuredRateDoesNotRefuse(t *testing.T) {
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	n := b.c.nodes["n"]
-	n.rtt, n.unit = float64(10*ms), low{value: float64(5 * ms), seen: 1}
-	n.meter.slots = []slotCount{{from: b.now, units: 0, span: float64(5 * time.Second)}}
+	n.rtt, n.unitTime = float64(10*ms), lowQuantile{value: float64(5 * ms), count: 1}
+	n.meter.slots = []meterSlot{{start: b.now, units: 0, heldTime: float64(5 * time.Second)}}
 	var run []Event
 	for i := range 8 {
-		run = append(run, read(fmt.Sprint("r", i)))
+		run = append(run, readRequest(fmt.Sprint("r", i)))
 	}
-	if got := b.step(ms, run...); len(finals(got)) != 0 {
-		t.Errorf("refused at an open window: %v", finals(got))
+	if got := b.step(ms, run...); len(finalAnswers(got)) != 0 {
+		t.Errorf("refused at an open window: %v", finalAnswers(got))
 	}
 }
 
 // Under a load of three times the rate, answers go on coming in time: what is
 // late already gives way (incidents i2a3b36, id6193e, i1de7f9).
 func TestOverloadDoesNotQueueLate(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	taken, sent := map[string]time.Duration{}, map[string]time.Duration{}
 	var out []string
 	inTime, late := 0, 0
@@ -632,16 +632,16 @@
 			} else {
 				late++
 			}
-			o := ended(id, "n", 0, Done)
+			o := outcomeOf(id, "n", 0, Done)
 			o.Elapsed = b.now + 5*ms - sent[id]
 			events = append(events, o)
 		}
 		for k := range 2 {
 			id := fmt.Sprint("r", i, ".", k)
 			taken[id] = b.now + 5*ms
-			events = append(events, read(id))
+			events = append(events, readRequest(id))
 		}
-		for _, s := range sends(b.step(5*ms, events...)) {
+		for _, s := range sentAttempts(b.step(5*ms, events...)) {
 			id, _, _ := strings.Cut(s, ">")
 			out, sent[id] = append(out, id), b.now
 		}
@@ -655,7 +655,7 @@
 // actions.
 func TestRandomEvents(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		first, second := play(t, seed), play(t, seed)
+		first, second := playRandom(t, seed), playRandom(t, seed)
 		if !reflect.DeepEqual(first, second) {
 			t.Fatalf("seed %d: two runs differ", seed)
 		}
@@ -663,7 +663,7 @@
 }
 
 // world keeps what the rules need to know of a random sequence.
-type world struct {
+type ruleChecker struct {
 	t        *testing.T
 	over     map[string]bool
 	answers  map[string]int
@@ -673,7 +673,7 @@
 	state    map[string]NodeState
 }
 
-func (w *world) check(actions []Action) {
+func (w *ruleChecker) check(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
@@ -695,30 +695,30 @@
 	}
 }
 
-func (w *world) final(id string) {
+func (w *ruleChecker) final(id string) {
 	if w.over[id] {
 		w.t.Fatalf("%s answered after its end", id)
 	}
 	w.over[id] = true
 }
 
-func play(t *testing.T, seed int64, first ...Event) []Action {
+func playRandom(t *testing.T, seed int64, first ...Event) []Action {
 	rng := rand.New(rand.NewSource(seed))
 	set := settings()
 	set.ShareWorth, set.SpareWorth, set.Plans = 0.8, 0.1, []Plan{{Name: "", Nominal: 20, Weight: 1}}
 	set.ExtraSpan, set.ExtraFree, set.ExtraShare = time.Second, 3, 0.2
 	set.ColdFor, set.ColdCapacity, set.FallMultiple, set.FallSpan, set.ColdBears =
 		5*time.Second, 0.2, 3, time.Second, 20
-	nodes := []Node{entry("n", 0), entry("o", 1), entry("p", 2)}
-	b := start(t, set, nodes...)
+	nodes := []Node{nodeEntry("n", 0), nodeEntry("o", 1), nodeEntry("p", 2)}
+	b := newHarness(t, set, nodes...)
 	b.step(0, first...)
-	w := &world{t: t, over: map[string]bool{}, requests: map[string]Request{}, tries: map[string]int{},
+	w := &ruleChecker{t: t, over: map[string]bool{}, requests: map[string]Request{}, tries: map[string]int{},
 		state: map[string]NodeState{}}
 	var all []Action
 	for i := range 1500 {
 		var events []Event
 		for range rng.Intn(4) {
-			r := of(set.Classes[rng.Intn(len(set.Classes))].Name, fmt.Sprint("q", i, ".", len(events)))
+			r := requestOf(set.Classes[rng.Intn(len(set.Classes))].Name, fmt.Sprint("q", i, ".", len(events)))
 			r.Shard, r.Units, r.Item = rng.Intn(4)-1, float64(1+rng.Intn(8)), fmt.Sprint("k", rng.Intn(20))
 			r.Expires = time.Duration(20+rng.Intn(800)) * ms
 			w.requests[r.ID] = r
@@ -731,7 +731,7 @@
 			k := rng.Intn(len(w.out))
 			o := w.out[k]
 			w.out = slices.Delete(w.out, k, k+1)
-			o.Result = Result(rng.Intn(int(unknownCount)))
+			o.Result = Result(rng.Intn(int(resultCount)))
 			o.Elapsed = time.Duration(rng.Intn(200)) * ms
 			o.Closed = w.over[o.ID] || o.Result == Done
 			w.over[o.ID] = o.Closed
@@ -753,12 +753,12 @@
 				events = append(events, ClientGone{id})
 			}
 		}
-		actions := b.step(time.Duration(rng.Intn(20))*ms, append(events, TimerFired{b.c.token})...)
+		actions := b.step(time.Duration(rng.Intn(20))*ms, append(events, TimerFired{b.c.timerToken})...)
 		w.check(actions)
 		all = append(all, actions...)
 	}
 	for i := 0; i < 100; i++ { // all clients' time passes
-		w.check(b.step(20*ms, TimerFired{b.c.token}))
+		w.check(b.step(20*ms, TimerFired{b.c.timerToken}))
 	}
 	for id := range w.requests {
 		out := slices.ContainsFunc(w.out, func(o Outcome) bool { return o.ID == id })
@@ -771,8 +771,8 @@
 
 // Sends of r0, r1, ... until the node has been given up on: nothing it was sent
 // is answered (incident i9a2a8a).
-func TestSilentNodeGetsATrickleAndComesBack(t *testing.T) {
-	b := start(t, settings(), entry("n", 0), entry("o", 1))
+func TestSilentNodeGetsFewAttemptsAndRecovers(t *testing.T) {
+	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
 	logs := 0
 	step := func(d time.Duration, events ...Event) []Action {
 		got := b.step(d, events...)
@@ -786,7 +786,7 @@
 	var last string
 	sent := 0
 	for i := range 200 {
-		for _, s := range sends(step(10*ms, read(fmt.Sprint("r", i)))) {
+		for _, s := range sentAttempts(step(10*ms, readRequest(fmt.Sprint("r", i)))) {
 			last, _, _ = strings.Cut(s, ">")
 			if i >= 100 {
 				sent++
@@ -796,11 +796,11 @@
 	if sent == 0 || sent > 10 {
 		t.Errorf("%d attempts in the second second of silence, want a trickle", sent)
 	}
-	w := of("write", "w")
+	w := requestOf("write", "w")
 	w.Shard = AnyShard
-	b.want("new object", sends(step(ms, w)), "w>o")
-	step(ms, ended(last, "n", 0, Done))
-	b.want("after an answer", sends(step(ms, read("z"))), "z>n")
+	b.expect("new object", sentAttempts(step(ms, w)), "w>o")
+	step(ms, outcomeOf(last, "n", 0, Done))
+	b.expect("after an answer", sentAttempts(step(ms, readRequest("z"))), "z>n")
 	if logs != 2 {
 		t.Errorf("%d log lines, want one for the silence and one for its end", logs)
 	}
@@ -809,83 +809,83 @@
 // An unreachable node has nothing queued; new objects must not flock to it
 // (incidents i9a2a8a, i28f911).
 func TestUnreachableNodeGetsNoNewObjects(t *testing.T) {
-	b := start(t, settings(), entry("n", 0), entry("o", 1))
+	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
 	bad := 0
 	for i := range 40 {
-		w := of("write", fmt.Sprint("w", i))
+		w := requestOf("write", fmt.Sprint("w", i))
 		w.Shard = AnyShard
-		for again := sends(b.step(5*ms, w)); len(again) > 0; {
+		for again := sentAttempts(b.step(5*ms, w)); len(again) > 0; {
 			id, at, _ := strings.Cut(again[0], ">")
-			o := ended(id, at, len(b.c.reqs[id].attempts)-1, Done)
+			o := outcomeOf(id, at, len(b.c.requests[id].attempts)-1, Done)
 			if at == "n" {
 				o.Result, o.Closed = Unreachable, false
 				bad++
 			}
-			again = sends(b.step(ms, o))
+			again = sentAttempts(b.step(ms, o))
 		}
 	}
-	if bad > suspectAfter {
+	if bad > suspectFailures {
 		t.Errorf("%d new objects tried at the unreachable node", bad)
 	}
 }
 
 // One lost answer must not block a window of one (incident i9a2a8a).
 func TestLostAnswerDoesNotBlock(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	n := b.c.nodes["n"]
-	n.window, n.rtt = windowFloor, float64(10*ms)
-	b.step(ms, read("lost"))
-	b.want("one out", sends(b.step(ms, read("a"))))
-	b.want("overdue", sends(b.step(200*ms, read("b"))), "b>n")
+	n.window, n.rtt = minWindow, float64(10*ms)
+	b.step(ms, readRequest("lost"))
+	b.expect("one out", sentAttempts(b.step(ms, readRequest("a"))))
+	b.expect("overdue", sentAttempts(b.step(200*ms, readRequest("b"))), "b>n")
 }
 
 // Errors are no reason to shun the only node that serves a read.
 func TestErrorsDoNotMakeSuspect(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	for i := range 20 {
 		id := fmt.Sprint("r", i)
-		for range sends(b.step(20*ms, read(id))) {
-			o := ended(id, "n", 0, Error)
+		for range sentAttempts(b.step(20*ms, readRequest(id))) {
+			o := outcomeOf(id, "n", 0, Error)
 			o.Closed = true
 			b.step(ms, o)
 		}
 	}
-	b.want("read", sends(b.step(20*ms, read("a"))), "a>n")
+	b.expect("read", sentAttempts(b.step(20*ms, readRequest("a"))), "a>n")
 }
 
 // The queue is other hosts' work: this host sends one request now and then, and
 // each waits. What would come late is refused, what was seen fades, and a node
 // heard of long ago counts as nodes in general do (incidents iace8ba, i441b33,
 // ie79a12).
-func TestOthersQueueIsSeen(t *testing.T) {
-	b := start(t, settings(), entry("n", 0), entry("o", 1))
-	b.c.unit = low{value: float64(5 * ms), seen: 100}
+func TestBacklogOfOtherHostsIsSeen(t *testing.T) {
+	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
+	b.c.overallUnitTime = lowQuantile{value: float64(5 * ms), count: 100}
 	for i := range 4 {
 		id := fmt.Sprint("r", i)
-		got := b.step(0, read(id))
-		for range sends(got) {
-			o := ended(id, "n", 0, Done)
+		got := b.step(0, readRequest(id))
+		for range sentAttempts(got) {
+			o := outcomeOf(id, "n", 0, Done)
 			o.Elapsed = 400 * ms
-			b.pass(400 * ms)
+			b.advance(400 * ms)
 			b.step(0, o)
 		}
 	}
-	b.want("behind a queue of 400 ms", finals(b.step(ms, read("late"))), "refuse late")
-	other := read("other")
+	b.expect("behind a queue of 400 ms", finalAnswers(b.step(ms, readRequest("late"))), "refuse late")
+	other := readRequest("other")
 	other.Shard = 1
 	if b.c.backlog(b.c.nodes["o"]) == 0 {
 		t.Error("nothing is held likely of a node not heard of, when others have queues")
 	}
-	b.want("long after", sends(b.step(time.Minute, read("again"))), "again>n")
+	b.expect("long after", sentAttempts(b.step(time.Minute, readRequest("again"))), "again>n")
 }
 
 // One costly request among quick ones is no backlog.
 func TestCostlyRequestIsNoBacklog(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
+	b := newHarness(t, settings(), nodeEntry("n", 0))
 	for i := range 20 {
 		id := fmt.Sprint("r", i)
-		b.step(0, read(id))
-		o := ended(id, "n", 0, Done)
+		b.step(0, readRequest(id))
+		o := outcomeOf(id, "n", 0, Done)
 		if i == 18 {
 			o.Elapsed = 400 * ms
 		}
@@ -899,38 +899,38 @@
 // Little time from the start is no retry: the aim counts from now. A retry's aim
 // counts from its first try, and so does that of what came while this host stood
 // still (atlanta-main-later, days of give_up; all days of balancer_stall).
-func TestShortPatience(t *testing.T) {
-	unserved := func(b *bench, item string) {
-		first := read("f")
+func TestTimeSpentBeforeArrival(t *testing.T) {
+	unserved := func(b *harness, item string) {
+		first := readRequest("f")
 		first.Item = item
 		b.step(0, first)
-		b.step(190*ms, ended("f", "n", 0, TimedOut), ClientGone{"f"})
+		b.step(190*ms, outcomeOf("f", "n", 0, TimedOut), ClientGone{"f"})
 		b.step(10 * ms)
 	}
 	for _, tt := range []struct {
 		name    string
-		before  func(b *bench)
+		before  func(b *harness)
 		flagged bool
 		want    time.Duration
 	}{
-		{"little time from the start", func(b *bench) { b.step(200 * ms) }, false, 0},
-		{"a retry of what was not served", func(b *bench) { unserved(b, "x") }, false, 200 * ms},
-		{"another item was not served", func(b *bench) { unserved(b, "y") }, false, 0},
-		{"flagged as a retry", func(b *bench) { b.step(0) }, true, 200 * ms},
-		{"came while this host stood still", func(b *bench) {
-			b.c.wakeAt(b.now + 10*ms)
+		{"little time from the start", func(b *harness) { b.step(200 * ms) }, false, 0},
+		{"a retry of what was not served", func(b *harness) { unserved(b, "x") }, false, 200 * ms},
+		{"another item was not served", func(b *harness) { unserved(b, "y") }, false, 0},
+		{"flagged as a retry", func(b *harness) { b.step(0) }, true, 200 * ms},
+		{"came while this host stood still", func(b *harness) {
+			b.c.setTimerAt(b.now + 10*ms)
 			b.step(300 * ms)
 		}, false, 200 * ms},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			b := start(t, settings(), entry("n", 0))
-			b.step(0, read("usual"))
-			b.step(ms, ended("usual", "n", 0, Done))
-			b.step(time.Second, TimerFired{b.c.token})
+			b := newHarness(t, settings(), nodeEntry("n", 0))
+			b.step(0, readRequest("usual"))
+			b.step(ms, outcomeOf("usual", "n", 0, Done))
+			b.step(time.Second, TimerFired{b.c.timerToken})
 			tt.before(b)
-			again := read("s")
+			again := readRequest("s")
 			again.Item, again.Expires, again.Retry = "x", 800*ms, tt.flagged
-			if got := b.c.spent(again, b.c.classes["read"]); got != tt.want {
+			if got := b.c.timeSpent(again, b.c.classes["read"]); got != tt.want {
 				t.Errorf("%v of the patience taken as spent, want %v", got, tt.want)
 			}
 		})
@@ -939,22 +939,22 @@
 
 // A new object goes rather to a node heard from lately than to one that was quick
 // long ago (atlanta-main-later big-2: slow nodes, found out by each of 150 hosts).
-func TestNewObjectGoesWhereNewsIsFresh(t *testing.T) {
-	b := start(t, settings(), entry("n", 0), entry("o", 1))
+func TestNewObjectPrefersRecentlyHeardNode(t *testing.T) {
+	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
 	at := func(node string, shard int, id string, took time.Duration) {
-		r := read(id)
+		r := readRequest(id)
 		r.Shard = shard
 		b.step(0, r)
-		o := ended(id, node, 0, Done)
+		o := outcomeOf(id, node, 0, Done)
 		o.Elapsed = took
 		b.step(took, o)
 	}
 	at("n", 0, "a", 10*ms)
-	b.step(20*time.Second, TimerFired{b.c.token})
+	b.step(20*time.Second, TimerFired{b.c.timerToken})
 	at("o", 1, "b", 20*ms)
-	w := of("write", "w")
+	w := requestOf("write", "w")
 	w.Shard = AnyShard
-	b.want("new object", sends(b.step(ms, w)), "w>o")
+	b.expect("new object", sentAttempts(b.step(ms, w)), "w>o")
 }
 
 // What nothing refers to any more is dropped: a host that runs for months, through
@@ -962,27 +962,27 @@
 func TestStateIsBounded(t *testing.T) {
 	set := settings()
 	set.ExtraSpan, set.ExtraFree, set.ExtraShare, set.OrderRest = time.Second, 3, 0.2, 100*ms
-	b := start(t, set)
+	b := newHarness(t, set)
 	for i := range 1000 {
 		id := fmt.Sprint("n", i)
-		n := entry(id, i)
+		n := nodeEntry(id, i)
 		b.step(time.Second, NodeList{Kind: ListDelta, Nodes: []Node{n}})
-		r := of("turns", fmt.Sprint("r", i))
+		r := requestOf("turns", fmt.Sprint("r", i))
 		r.Shard, r.Item, r.Volume = i, fmt.Sprint("item", i), fmt.Sprint("volume", i)
-		if got := sends(b.step(0, r)); len(got) != 1 {
+		if got := sentAttempts(b.step(0, r)); len(got) != 1 {
 			t.Fatalf("%s: attempts %v", r.ID, got)
 		}
-		o := ended(r.ID, id, 0, Done)
+		o := outcomeOf(r.ID, id, 0, Done)
 		if i%3 == 0 {
 			o.Result, o.Closed = TimedOut, true
 		}
 		n.State = Gone
 		b.step(10*ms, o, NodeList{Kind: ListDelta, Nodes: []Node{n}})
 	}
-	most := 4 * int(keepFor/time.Second)
-	for what, k := range map[string]int{"volumes": len(b.c.volumes), "nodes": len(b.c.nodes), "order": len(b.c.order),
-		"items": len(b.c.items), "unserved": len(b.c.unserved), "served": len(b.c.served),
-		"taken": len(b.c.taken), "extra": len(b.c.extra), "after": len(b.c.after), "requests": len(b.c.reqs)} {
+	most := 4 * int(stateRetention/time.Second)
+	for what, k := range map[string]int{"volumes": len(b.c.volumes), "nodes": len(b.c.nodes), "order": len(b.c.nodesByID),
+		"items": len(b.c.items), "unserved": len(b.c.firstTries), "served": len(b.c.servedByShard),
+		"taken": len(b.c.recentRequests), "extra": len(b.c.recentRetries), "after": len(b.c.laterAttempts), "requests": len(b.c.requests)} {
 		if k > most {
 			t.Errorf("%d %s kept, want %d at most", k, what, most)
 		}
@@ -991,25 +991,25 @@
 
 // An answer found after this host stood still tells nothing of its node: a timer that
 // fires late tells (days of balancer_stall).
-func TestOwnStallIsNoFaultOfTheNode(t *testing.T) {
-	b := start(t, settings(), entry("n", 0))
-	b.c.unit = low{value: float64(5 * ms), seen: 100}
+func TestHostStallDoesNotPenalizeNode(t *testing.T) {
+	b := newHarness(t, settings(), nodeEntry("n", 0))
+	b.c.overallUnitTime = lowQuantile{value: float64(5 * ms), count: 100}
 	n := b.c.nodes["n"]
 	for i := range 10 {
 		id := fmt.Sprint("r", i)
-		b.step(0, read(id)) // sets a timer
-		o := ended(id, "n", 0, Done)
+		b.step(0, readRequest(id)) // sets a timer
+		o := outcomeOf(id, "n", 0, Done)
 		o.Elapsed = 500 * ms
 		b.step(500*ms, o)
 	}
-	if n.suspect() || n.window < windowStart || b.c.backlog(n) > float64(ms) {
+	if n.suspect() || n.window < initialWindow || b.c.backlog(n) > float64(ms) {
 		t.Errorf("suspect %v, window %v, backlog %v after own stalls", n.suspect(), n.window, b.c.backlog(n))
 	}
 }
 
 // Odd but legal settings and events of any value: no panic, and every time in an
 // action is finite and not negative.
-func TestOddSettings(t *testing.T) {
+func TestExtremeSettings(t *testing.T) {
 	for name, odd := range map[string]func(*Settings){
 		"no hosts":          func(s *Settings) { s.Hosts = 0 },
 		"1000 hosts":        func(s *Settings) { s.Hosts = 1000 },
@@ -1026,23 +1026,23 @@
 			set := settings()
 			odd(&set)
 			rng := rand.New(rand.NewSource(1))
-			b := start(t, set, entry("n", 0), entry("o", 1))
+			b := newHarness(t, set, nodeEntry("n", 0), nodeEntry("o", 1))
 			loads := [][]float64{nil, {0, 5}, {math.NaN(), math.Inf(1)}, {-1, -1}, {1e300, 1e300}, {1}}
 			var out []Outcome
 			for i := range 2000 {
-				r := of([]string{"read", "write", "turns"}[rng.Intn(3)], fmt.Sprint("r", i))
+				r := requestOf([]string{"read", "write", "turns"}[rng.Intn(3)], fmt.Sprint("r", i))
 				r.Plan, r.Shard, r.Hosts, r.Units = "p", rng.Intn(4)-1, rng.Intn(3)*rng.Intn(500), float64(rng.Intn(9))
 				r.Expires = time.Duration(rng.Intn(2000)) * ms
-				events := []Event{r, TimerFired{b.c.token}}
+				events := []Event{r, TimerFired{b.c.timerToken}}
 				if len(out) > 3 {
 					o := out[0]
 					out = out[1:]
-					o.Result, o.Elapsed = Result(rng.Intn(int(unknownCount))), time.Duration(rng.Intn(1000))*ms
+					o.Result, o.Elapsed = Result(rng.Intn(int(resultCount))), time.Duration(rng.Intn(1000))*ms
 					o.Load = loads[rng.Intn(len(loads))]
 					events = append(events, o)
 				}
 				if rng.Intn(20) == 0 {
-					n := entry("n", 0)
+					n := nodeEntry("n", 0)
 					n.StartedAt = b.now
 					events = append(events, NodeList{Kind: ListDelta, Nodes: []Node{n}})
 				}
@@ -1062,7 +1062,7 @@
 					}
 				}
 			}
-			for _, n := range b.c.order {
+			for _, n := range b.c.nodesByID {
 				if w := b.c.backlog(n); math.IsNaN(w) || math.IsInf(w, 0) || math.IsNaN(n.window) {
 					t.Errorf("node %s: backlog %v, window %v", n.ID, w, n.window)
 				}
@@ -1093,19 +1093,19 @@
 	}
 	var nodes []Node
 	for i := range 42 {
-		nodes = append(nodes, entry(fmt.Sprint("n", i), i))
+		nodes = append(nodes, nodeEntry(fmt.Sprint("n", i), i))
 	}
 	now := time.Hour
 	events = append(events, NodeList{Kind: ListCached, Nodes: nodes})
 	for i := 0; b.Loop(); i++ {
-		r := read(fmt.Sprint("r", i))
+		r := readRequest(fmt.Sprint("r", i))
 		r.Shard = i%43 - 1
 		now += 5 * ms
-		sent := c.Step(now, append(events, r, TimerFired{c.token}))
+		sent := c.Step(now, append(events, r, TimerFired{c.timerToken}))
 		events = nil
 		for _, a := range sent {
 			if s, ok := a.(Send); ok {
-				events = append(events, ended(s.ID, s.Node, 0, Done))
+				events = append(events, outcomeOf(s.ID, s.Node, 0, Done))
 			}
 		}
 	}
@@ -1113,17 +1113,17 @@
 
 // A run of requests that can wait is held at a node with nothing else to do: it is
 // not refused for its own length (quiet days of caerdydd-main).
-func TestRunThatCanWaitIsHeld(t *testing.T) {
+func TestBurstThatCanWaitIsHeld(t *testing.T) {
 	set := settings()
 	set.Classes[1].Aim = time.Second // "write"
-	b := start(t, set, entry("n", 0))
-	b.c.unit = low{value: float64(5 * ms), seen: 100}
-	b.c.unitWorth = 4 // others are worth more
+	b := newHarness(t, set, nodeEntry("n", 0))
+	b.c.overallUnitTime = lowQuantile{value: float64(5 * ms), count: 100}
+	b.c.meanUnitWorth = 4 // others are worth more
 	var run []Event
 	for i := range 20 {
-		run = append(run, of("write", fmt.Sprint("w", i)))
+		run = append(run, requestOf("write", fmt.Sprint("w", i)))
 	}
-	if got := finals(b.step(ms, run...)); len(got) != 0 {
+	if got := finalAnswers(b.step(ms, run...)); len(got) != 0 {
 		t.Errorf("refused of a run that takes a fifth of its aim: %v", got)
 	}
 }
--- a/control/fade_test.go
+++ b/control/fade_test.go
@@ -10,15 +10,15 @@
 
 // siteVolume is a volume of the small site below: what it asks for and is due, units a second.
 type siteVolume struct {
-	name, plan  string
-	asks, share float64
+	name, plan    string
+	demand, share float64
 }
 
 // site plays one host before three nodes of 100 units a second each, a queue and one server,
 // for some seconds, and returns the part of the worth due that was earned: of each second a
 // volume's units within its share count in full, beyond it a twentieth. Nodes meter volumes
 // over two seconds. It shares no code with what it judges.
-func site(t *testing.T, seed int64, seconds int, volumes []siteVolume, shares Shares) float64 {
+func simulateSite(t *testing.T, seed int64, seconds int, volumes []siteVolume, shares Shares) float64 {
 	t.Helper()
 	set := settings()
 	set.Hosts, set.ShareWorth, set.SpareWorth, set.MeterSpan = 1, 1, 0.05, 2*time.Second
@@ -34,50 +34,50 @@
 		volume    int
 		sent, end time.Duration
 	}
-	type ask struct {
+	type arrival struct {
 		volume, second int
 		at             time.Duration
 	}
 	now := time.Hour
-	events := []Event{NodeList{Kind: ListFull, Nodes: []Node{entry("n0", 0), entry("n1", 1), entry("n2", 2)}}, shares}
-	busy, asks := map[string]time.Duration{}, map[string]ask{}
-	var out []job
-	due, got := map[[2]int]float64{}, map[[2]int]float64{}
-	use, next := make([]float64, len(volumes)), make([]time.Duration, len(volumes))
+	events := []Event{NodeList{Kind: ListFull, Nodes: []Node{nodeEntry("n0", 0), nodeEntry("n1", 1), nodeEntry("n2", 2)}}, shares}
+	busyUntil, arrivals := map[string]time.Duration{}, map[string]arrival{}
+	var inFlight []job
+	offered, servedInAim := map[[2]int]float64{}, map[[2]int]float64{}
+	recentUse, nextArrival := make([]float64, len(volumes)), make([]time.Duration, len(volumes))
 	const tick, units = 2 * ms, 2.0
-	for i := range next {
-		next[i] = now
+	for i := range nextArrival {
+		nextArrival[i] = now
 	}
 	number, timer, token := 0, time.Duration(math.MaxInt64), int64(0)
 	for end := now + time.Duration(seconds)*time.Second; now < end; now += tick {
 		for i, v := range volumes {
-			use[i] *= math.Exp(-float64(tick) / float64(2*time.Second))
-			for next[i] <= now {
-				next[i] += time.Duration(rng.ExpFloat64() * units / v.asks * float64(time.Second))
+			recentUse[i] *= math.Exp(-float64(tick) / float64(2*time.Second))
+			for nextArrival[i] <= now {
+				nextArrival[i] += time.Duration(rng.ExpFloat64() * units / v.demand * float64(time.Second))
 				id := fmt.Sprint("r", number)
 				number++
 				second := int(now / time.Second)
-				asks[id] = ask{i, second, now}
-				due[[2]int{i, second}] += units
+				arrivals[id] = arrival{i, second, now}
+				offered[[2]int{i, second}] += units
 				events = append(events, Request{ID: id, Class: "read", Plan: v.plan, Volume: v.name, Shard: number % 3, Hosts: 1,
 					Units: units, Expires: time.Second})
 			}
 		}
-		rest := out[:0]
-		for _, j := range out {
+		remaining := inFlight[:0]
+		for _, j := range inFlight {
 			if j.end > now {
-				rest = append(rest, j)
+				remaining = append(remaining, j)
 				continue
 			}
-			use[j.volume] += units
-			percent := 100 * use[j.volume] / 2 / set.Plans[map[string]int{"standard": 0, "priority": 1}[volumes[j.volume].plan]].Nominal
-			a := asks[j.id]
+			recentUse[j.volume] += units
+			percent := 100 * recentUse[j.volume] / 2 / set.Plans[map[string]int{"standard": 0, "priority": 1}[volumes[j.volume].plan]].Nominal
+			a := arrivals[j.id]
 			if now-a.at <= 100*ms {
-				got[[2]int{a.volume, a.second}] += units
+				servedInAim[[2]int{a.volume, a.second}] += units
 			}
 			events = append(events, Outcome{ID: j.id, Node: j.node, Result: Done, Elapsed: now - j.sent, Closed: true, VolumeUse: 1 + int(percent)})
 		}
-		out = rest
+		inFlight = remaining
 		if timer <= now {
 			timer = math.MaxInt64
 			events = append(events, TimerFired{token})
@@ -88,34 +88,34 @@
 		for _, a := range c.Step(now, events) {
 			switch a := a.(type) {
 			case Send:
-				busy[a.Node] = max(busy[a.Node], now) + 20*ms
-				out = append(out, job{a.ID, a.Node, asks[a.ID].volume, now, busy[a.Node]})
+				busyUntil[a.Node] = max(busyUntil[a.Node], now) + 20*ms
+				inFlight = append(inFlight, job{a.ID, a.Node, arrivals[a.ID].volume, now, busyUntil[a.Node]})
 			case SetTimer:
 				timer, token = a.At, a.Token
 			}
 		}
 		events = events[:0]
 	}
-	counts := func(i int, units float64) float64 {
+	worthOf := func(i int, units float64) float64 {
 		return price[volumes[i].plan] * (min(units, volumes[i].share) + 0.05*max(0, units-volumes[i].share))
 	}
-	sum, all := 0.0, 0.0
+	earned, total := 0.0, 0.0
 	for i := range volumes {
 		for second := range seconds {
 			k := [2]int{i, int(time.Hour/time.Second) + second}
-			sum, all = sum+counts(i, got[k]), all+counts(i, due[k])
+			earned, total = earned+worthOf(i, servedInAim[k]), total+worthOf(i, offered[k])
 		}
 	}
-	return sum / all
+	return earned / total
 }
 
 // TestWrongSharesFade: five volumes ask for half more than the nodes have. With right shares
 // told they earn no less than with none; with those of a third of the volumes ten times too
 // large or too small at most 0.03 less, since the meter belies them. Means of five seeds.
-func TestWrongSharesFade(t *testing.T) {
+func TestWrongSharesLoseTrust(t *testing.T) {
 	volumes := []siteVolume{{"a", "priority", 40, 40}, {"b", "priority", 30, 30}, {"c", "standard", 40, 40}, {"d", "standard", 40, 40},
 		{"e", "standard", 300, 120}}
-	told := func(off map[string]float64) Shares {
+	sharesScaledBy := func(off map[string]float64) Shares {
 		s := Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{}}
 		for _, v := range volumes {
 			factor := 1.0
@@ -128,17 +128,17 @@
 	}
 	mean := func(s Shares) (sum float64) {
 		for seed := range int64(5) {
-			sum += site(t, seed, 12, volumes, s) / 5
+			sum += simulateSite(t, seed, 12, volumes, s) / 5
 		}
 		return sum
 	}
-	none, right := mean(Shares{}), mean(told(nil))
+	none, right := mean(Shares{}), mean(sharesScaledBy(nil))
 	t.Logf("none %.3f, right %.3f", none, right)
 	if right < none-0.005 {
 		t.Errorf("with right shares %.3f of the worth, without any %.3f", right, none)
 	}
 	for _, off := range []map[string]float64{{"a": 10, "c": 0.1}, {"a": 0.1, "e": 10}, {"e": 0.1, "d": 10}, {"b": 0.1, "c": 0.1}} {
-		got := mean(told(off))
+		got := mean(sharesScaledBy(off))
 		t.Logf("%v: %.3f", off, got)
 		if got < none-0.03 {
 			t.Errorf("off by %v: %.3f of the worth, without any %.3f", off, got, none)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -10,19 +10,19 @@
 
 // fleet is many controllers before the same nodes, in explicit time, each of which sees its own traffic only.
 type fleet struct {
-	set   Settings
-	hosts []*Controller
-	share []float64 // of the traffic, by host: few are busy
-	rng   *rand.Rand
-	now   time.Duration
-	next  int
-	out   []pending
-	sent  map[string][]float64 // units, by node and step
-	steps int
-	busy  float64 // part of the attempts that are turned away, and may be repeated
+	set          Settings
+	hosts        []*Controller
+	trafficShare []float64 // of the traffic, by host: few are busy
+	rng          *rand.Rand
+	now          time.Duration
+	nextID       int
+	inFlight     []pendingOutcome
+	sent         map[string][]float64 // units, by node and step
+	steps        int
+	busyFraction float64 // part of the attempts that are turned away, and may be repeated
 }
 
-type pending struct {
+type pendingOutcome struct {
 	host    int
 	outcome Outcome
 	at      time.Duration
@@ -37,11 +37,11 @@
 	sum := 0.0
 	for i := range hosts {
 		f.hosts = append(f.hosts, f.controller(t, seed*1000+int64(i)))
-		f.share = append(f.share, 1/float64(1+i)) // the busiest sees several times the mean
-		sum += f.share[i]
+		f.trafficShare = append(f.trafficShare, 1/float64(1+i)) // the busiest sees several times the mean
+		sum += f.trafficShare[i]
 	}
-	for i := range f.share {
-		f.share[i] /= sum
+	for i := range f.trafficShare {
+		f.trafficShare[i] /= sum
 	}
 	return f
 }
@@ -55,7 +55,7 @@
 }
 
 // list tells all hosts of entries.
-func (f *fleet) list(kind ListKind, nodes ...Node) {
+func (f *fleet) announce(kind ListKind, nodes ...Node) {
 	for i := range f.hosts {
 		f.step(i, NodeList{Kind: kind, Nodes: nodes})
 	}
@@ -71,44 +71,44 @@
 		for len(f.sent[s.Node]) <= f.steps {
 			f.sent[s.Node] = append(f.sent[s.Node], 0)
 		}
-		r := f.hosts[host].reqs[s.ID]
+		r := f.hosts[host].requests[s.ID]
 		f.sent[s.Node][f.steps] += r.Units
 		o := Outcome{ID: s.ID, Attempt: len(r.attempts) - 1, Node: s.Node, Result: Done, Elapsed: 30 * ms, Closed: true}
-		if f.rng.Float64() < f.busy {
+		if f.rng.Float64() < f.busyFraction {
 			o.Result, o.Closed = Busy, false
 		}
-		f.out = append(f.out, pending{host, o, f.now + 30*ms})
+		f.inFlight = append(f.inFlight, pendingOutcome{host, o, f.now + 30*ms})
 	}
 }
 
 // pass plays so much time, with so many requests a second over all hosts to each of the shards; -1 is any.
-func (f *fleet) pass(d time.Duration, rate float64, shards ...int) {
+func (f *fleet) advance(d time.Duration, rate float64, shards ...int) {
 	for until := f.now + d; f.now < until; {
 		f.now += fleetStep
 		f.steps++
-		var later []pending
+		var later []pendingOutcome
 		due := map[int][]Event{}
-		for _, p := range f.out {
+		for _, p := range f.inFlight {
 			if p.at <= f.now {
 				due[p.host] = append(due[p.host], p.outcome)
 			} else {
 				later = append(later, p)
 			}
 		}
-		f.out = later
+		f.inFlight = later
 		for i, c := range f.hosts {
 			events := due[i]
 			for _, shard := range shards {
-				mean := rate * f.share[i] * fleetStep.Seconds()
+				mean := rate * f.trafficShare[i] * fleetStep.Seconds()
 				for k := poisson(f.rng, mean); k > 0; k-- {
-					f.next++
+					f.nextID++
 					units := 1 + 2*f.rng.Float64()
-					events = append(events, Request{ID: fmt.Sprint(f.next), Class: "read", Plan: "p", Volume: fmt.Sprint("v", f.next%7),
+					events = append(events, Request{ID: fmt.Sprint(f.nextID), Class: "read", Plan: "p", Volume: fmt.Sprint("v", f.nextID%7),
 						Shard: shard, Hosts: 3, Units: units, Expires: 2 * time.Second})
 				}
 			}
 			if c.timerSet && c.timerAt <= f.now {
-				events = append(events, TimerFired{c.token})
+				events = append(events, TimerFired{c.timerToken})
 			}
 			if len(events) > 0 {
 				f.step(i, events...)
@@ -126,7 +126,7 @@
 
 // worst is the most that a node got within a span from a step on, set against what the settings allow it then
 // with its chance, both in mean requests; and what it got in all.
-func (f *fleet) worst(node Node, capacity float64) (over, total float64) {
+func (f *fleet) worstSpan(node Node, capacity float64) (over, total float64) {
 	steps := int(f.set.FallSpan / fleetStep)
 	sent := f.sent[node.ID]
 	for from := range sent {
@@ -149,16 +149,16 @@
 // nothing. Arithmetic: a host's rate is coldMargin of its part; what it stores and what fills in a span come to
 // coldMargin + (1 - coldMargin) of it. Of the two parts it may take the larger one; the sum of those is over N
 // where few are busy, by less than what chance adds to the demand that there is.
-func TestColdFleet(t *testing.T) {
+func TestFleetStaysWithinColdBudget(t *testing.T) {
 	const capacity = 27.0 // units a second of a warm node: 37 units in a span are what a cold one bears of it
 	const usual = 0.6 * capacity / 2
 	all := []int{0, 1, 2, 3}
-	warm := []Node{entry("a0", 0), entry("a1", 1), entry("a2", 2), entry("a3", 3)}
+	warm := []Node{nodeEntry("a0", 0), nodeEntry("a1", 1), nodeEntry("a2", 2), nodeEntry("a3", 3)}
 	replaced := func(f *fleet) Node {
-		f.pass(12*time.Second, usual, all...)
-		n, gone := entry("b0", 0), warm[0]
+		f.advance(12*time.Second, usual, all...)
+		n, gone := nodeEntry("b0", 0), warm[0]
 		n.StartedAt, gone.State = f.now, Gone
-		f.list(ListDelta, gone, n)
+		f.announce(ListDelta, gone, n)
 		return n
 	}
 	for _, hosts := range []int{3, 30, 300} {
@@ -172,31 +172,31 @@
 		}{
 			{"steady", 55, func(f *fleet) Node {
 				n := replaced(f)
-				f.pass(10*time.Second, usual, all...)
+				f.advance(10*time.Second, usual, all...)
 				return n
 			}},
 			{"several times the mean", 150, func(f *fleet) Node {
 				n := replaced(f)
-				f.pass(10*time.Second, 4*usual, all...)
+				f.advance(10*time.Second, 4*usual, all...)
 				return n
 			}},
 			{"quiet, then a burst", 100, func(f *fleet) Node {
 				n := replaced(f)
-				f.pass(4*time.Second, usual/20, all...)
-				f.pass(4*time.Second, 8*usual, all...)
+				f.advance(4*time.Second, usual/20, all...)
+				f.advance(4*time.Second, 8*usual, all...)
 				return n
 			}},
 			{"turned away and repeated", 100, func(f *fleet) Node {
 				n := replaced(f)
-				f.busy = 0.4
-				f.pass(4*time.Second, usual/20, all...)
-				f.pass(4*time.Second, 6*usual, all...)
+				f.busyFraction = 0.4
+				f.advance(4*time.Second, usual/20, all...)
+				f.advance(4*time.Second, 6*usual, all...)
 				return n
 			}},
 			{"new objects", 0, func(f *fleet) Node {
 				n := replaced(f)
-				f.pass(4*time.Second, usual/20, all...)
-				f.pass(6*time.Second, 8*usual, AnyShard)
+				f.advance(4*time.Second, usual/20, all...)
+				f.advance(6*time.Second, 8*usual, AnyShard)
 				return n
 			}},
 			{"all hosts just restarted", 100, func(f *fleet) Node {
@@ -204,28 +204,28 @@
 				for i := range f.hosts {
 					f.hosts[i] = f.controller(t, int64(90000+i))
 				}
-				f.out = nil
-				f.list(ListFull, n, warm[1], warm[2], warm[3])
-				f.pass(10*time.Second, 4*usual, all...)
+				f.inFlight = nil
+				f.announce(ListFull, n, warm[1], warm[2], warm[3])
+				f.advance(10*time.Second, 4*usual, all...)
 				return n
 			}},
 			{"all cold at once", 100, func(f *fleet) Node {
-				f.pass(12*time.Second, usual, all...)
+				f.advance(12*time.Second, usual, all...)
 				var list []Node
 				for i := range all {
-					n := entry(fmt.Sprint("b", i), i)
+					n := nodeEntry(fmt.Sprint("b", i), i)
 					n.StartedAt = f.now
 					list = append(list, n)
 				}
-				f.list(ListFull, list...)
-				f.pass(10*time.Second, 3*usual, 0, 1, 2, 3, AnyShard, AnyShard)
+				f.announce(ListFull, list...)
+				f.advance(10*time.Second, 3*usual, 0, 1, 2, 3, AnyShard, AnyShard)
 				return list[0]
 			}},
 		} {
 			for seed := range int64(3) {
 				f := newFleet(t, hosts, set, seed+1)
-				f.list(ListFull, warm...)
-				over, total := f.worst(c.play(f), capacity)
+				f.announce(ListFull, warm...)
+				over, total := f.worstSpan(c.play(f), capacity)
 				if t.Logf("%3d hosts, %-26s seed %d: worst span %.2f of what is allowed; %.0f units in all",
 					hosts, c.name, seed+1, over, total); over > 1 || total < c.least {
 					t.Errorf("%d hosts, %s, seed %d: %.2f of what is allowed, %.0f units of at least %.0f",
--- a/control/forever_test.go
+++ b/control/forever_test.go
@@ -7,13 +7,13 @@
 )
 
 // TestForEver: ids, volumes, items and nodes that are always new leave nothing behind that grows.
-func TestForEver(t *testing.T) {
+func TestLongRunStateIsBounded(t *testing.T) {
 	c, err := New(Settings{Hosts: 3, MeanUnits: 1, Classes: []Class{{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := func() int {
-		return len(c.reqs) + len(c.nodes) + len(c.order) + len(c.volumes) + len(c.items) + len(c.unserved) + len(c.served) + len(c.after)
+	entries := func() int {
+		return len(c.requests) + len(c.nodes) + len(c.nodesByID) + len(c.volumes) + len(c.items) + len(c.firstTries) + len(c.servedByShard) + len(c.laterAttempts)
 	}
 	now, most, half := time.Duration(0), 0, 0
 	for i := range 100_000 {
@@ -29,7 +29,7 @@
 				c.Step(now+time.Millisecond, []Event{Outcome{ID: s.ID, Node: s.Node, Result: Done, Elapsed: time.Millisecond, Closed: true}})
 			}
 		}
-		if most = max(most, held()); i == 50_000 {
+		if most = max(most, entries()); i == 50_000 {
 			half = most
 		}
 	}
--- a/control/module_test.go
+++ b/control/module_test.go
@@ -8,7 +8,7 @@
 )
 
 // The module is printed for the on-call folder: its size is bounded.
-func TestModuleFitsTheFolder(t *testing.T) {
+func TestModuleSize(t *testing.T) {
 	text, err := os.ReadFile("control.go")
 	if err != nil {
 		t.Fatal(err)
