--- a/control/api.go
+++ b/control/api.go
@@ -1,9 +1,12 @@
 // Package control decides when a host sends which read or write to which
-// storage node, and which requests it turns away.
+// storage node, and which requests it refuses. Package host runs it.
 //
-// This file is the interface: settings, events and actions. All decisions are
-// in control.go. A Controller is driven by one goroutine: events with the
-// present time go in, actions come out, and nothing else is read or written.
+// A Controller is driven by one goroutine: it takes events and the current
+// time and returns actions. It reads and writes nothing else, neither a clock
+// nor a socket, so the same events and seed always give the same actions.
+//
+// This file holds the interface: settings, events and actions. All decisions
+// are in control.go.
 package control
 
 import (
@@ -17,8 +20,8 @@
 
 // The kinds of effect.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // carries a key: a group of nodes drops repeats for a while
+	Safe   Effect = iota // may be repeated without limit
+	Keyed                // carries a key by which a group of nodes drops repeats during Class.Window
 	Unsafe               // may be sent again only if it is known not to have run
 )
 
@@ -38,28 +41,28 @@
 	Effect    Effect
 	Group     Group         // Keyed only
 	Window    time.Duration // Keyed only: how long repeats are dropped
-	Aim       time.Duration // an answer within it earns the full worth
-	Deadline  time.Duration // the client's whole patience
+	Aim       time.Duration // latency objective: an answer within it earns the full worth
+	Deadline  time.Duration // time after which an answer is of no use to the client
 	Worth     float64       // worth of one request answered within the aim
-	LateWorth float64       // part of the worth left after the aim
-	InOrder   bool          // requests with one item run one at a time
+	LateWorth float64       // part of the worth that an answer after the aim earns
+	InOrder   bool          // requests for one item run one at a time
 	Writes    bool
 }
 
-// Plan describes what the volumes of one plan are owed, over all hosts.
+// Plan describes what each volume of a plan is entitled to, over all hosts.
 type Plan struct {
 	Name       string
-	Nominal    float64 // units a second a volume is sized for
+	Nominal    float64 // units a second for which a volume is sized
 	Price      float64 // factor on the worth; 0 counts as 1
 	Reserve    float64 // units a second that earn their full worth
-	Weight     float64 // weight in the share of what is left
-	LimitRate  float64 // units a second at which the limit's store fills; 0: no limit
-	LimitBurst float64 // most units that the store holds
-	LimitSlack float64 // how far the store may go below 0
+	Weight     float64 // weight with which the capacity beyond the reserves is shared
+	LimitRate  float64 // units a second at which the limit's bucket fills; 0: no limit
+	LimitBurst float64 // most units that the bucket holds
+	LimitSlack float64 // how far the bucket may go below 0
 }
 
-// Settings is all that a Controller is told at its start. Fields left at zero
-// mean that the rule, or the piece of information, does not exist.
+// Settings configures a Controller. A field left at zero means that its rule,
+// or its piece of information, does not exist.
 type Settings struct {
 	Hosts   int // hosts in the fleet, this one included
 	Classes []Class
@@ -67,8 +70,8 @@
 
 	MeanUnits  float64 // mean units of a request
 	MostUnits  float64 // most units of a request
-	ShareWorth float64 // part of the worth for units beyond the reserve within the share
-	SpareWorth float64 // part of the worth for units beyond both
+	ShareWorth float64 // part of the worth that units beyond the reserve, within the share, earn
+	SpareWorth float64 // part of the worth that units beyond both earn
 	MeterSpan  time.Duration
 	Shards     int
 
@@ -81,25 +84,25 @@
 
 	DrainGrace time.Duration
 
-	ColdFor      time.Duration // a node that started is warm after this
-	ColdCapacity float64       // part of its capacity that it starts with
-	FallMultiple float64       // more than this many times the present capacity ...
-	FallSpan     time.Duration // ... for this long, and a cold node falls over
-	ColdBears    float64       // units within FallSpan that it bears in any case
+	ColdFor      time.Duration // time after its start at which a node is warm
+	ColdCapacity float64       // part of its capacity with which a node starts
+	FallMultiple float64       // a cold node fails under more than this multiple of its current capacity ...
+	FallSpan     time.Duration // ... during this time
+	ColdBears    float64       // units within FallSpan that a cold node withstands in any case
 
-	ExtraFree  float64       // further attempts allowed on top
-	ExtraShare float64       // further attempts for each request taken
-	ExtraSpan  time.Duration // span over which both are counted; 0: no such rule
+	ExtraFree  float64       // retries allowed within ExtraSpan regardless of the requests
+	ExtraShare float64       // retries allowed for each request accepted within ExtraSpan
+	ExtraSpan  time.Duration // span of the retry budget; 0: no budget
 
-	OrderRest time.Duration // rest of a key after an attempt that may still run
+	OrderRest time.Duration // pause of an item after an attempt that may still be running
 
-	ListOnRequest bool          // the node list comes only when asked for
-	AskWithin     time.Duration // longest silence towards the list service
+	ListOnRequest bool          // the node list is sent only on request
+	AskWithin     time.Duration // longest time without a request to the list service
 
 	LoadFields []string // names of the values in a load report
 }
 
-// check names the first field that makes deciding impossible.
+// check returns an error that names the first invalid field.
 func (s *Settings) check() error {
 	if len(s.Classes) == 0 {
 		return fmt.Errorf("settings: classes: none given")
@@ -143,24 +146,24 @@
 	return nil
 }
 
-// bad says that a figure is negative or no finite number.
+// invalid reports whether a figure is negative or not finite.
 func invalid(x float64) bool { return !(x >= 0) || math.IsInf(x, 1) }
 
-// Result tells how an attempt or a probe ended.
+// Result is the way in which an attempt or a probe ended.
 type Result int
 
 // The results.
 const (
-	Done        Result = iota
-	Error              // an error answer; it may have run
-	Busy               // turned away unseen
-	TimedOut           // no answer in time; it may run yet
-	Unreachable        // no connection; it never ran
-	Reset              // the connection dropped; it may have run
-	Cancelled          // called off; it may have run
-	NotSent            // never left
-	NoRoom             // turned away: the node has no room for it; it never ran
-	resultCount        // number of results
+	Done        Result = iota // a complete answer
+	Error                     // an error answer; it may have run
+	Busy                      // the node refused it before it ran
+	TimedOut                  // no answer in time; it may still run
+	Unreachable               // no connection; it never ran
+	Reset                     // the connection was lost; it may have run
+	Cancelled                 // cancelled by the host; it may have run
+	NotSent                   // the host did not send it
+	NoRoom                    // the node refused it for lack of space; it never ran
+	resultCount               // number of results
 )
 
 // NeverRan reports whether the result proves that the attempt did not run.
@@ -191,24 +194,24 @@
 	StartedAt time.Duration // 0: long ago
 }
 
-// ListKind tells what a NodeList event brings.
+// ListKind is the kind of content of a NodeList event.
 type ListKind int
 
 // The kinds.
 const (
 	ListDelta  ListKind = iota // changed entries only
 	ListFull                   // the whole list
-	ListCached                 // the whole list as last seen, perhaps stale
-	ListFailed                 // a call failed or the subscription dropped
+	ListCached                 // the whole list as last seen; it may be stale
+	ListFailed                 // a call failed or the subscription was lost
 )
 
-// AnyShard marks a new object, which any node may take.
+// AnyShard is the Shard of a new object, which any node may take.
 const AnyShard = -1
 
-// Event is one thing that happened to the host.
+// Event is something that happened at the host.
 type Event interface{ event() }
 
-// Request is a client's request that the host now owes one final answer.
+// Request is a new request of a client. The host gives it exactly one final answer.
 type Request struct {
 	ID      string
 	Class   string
@@ -216,13 +219,13 @@
 	Volume  string
 	Item    string
 	Shard   int // or AnyShard
-	Hosts   int // hosts through which the volume's requests come
+	Hosts   int // number of hosts through which the volume's requests come
 	Units   float64
-	Share   float64       // units a second told in advance as the volume's share at this host; 0: not told
+	Share   float64       // the volume's known share at this host, units a second; 0: unknown
 	Expires time.Duration // time until the client gives up
-	Retry   bool          // the client says that it has tried before
-	Tiers   [][]int       // of a new object: shards that are to take it, the best tier first; none: any may
-	Avoid   []int         // of a new object: shards that take nothing new, ascending
+	Retry   bool          // the client flags the request as a retry
+	Tiers   [][]int       // for a new object: shards that should store it, best tier first; none: any may
+	Avoid   []int         // for a new object: shards that take nothing new, ascending
 }
 
 // Outcome ends one attempt.
@@ -232,25 +235,25 @@
 	Node      string
 	Result    Result
 	Elapsed   time.Duration
-	Closed    bool      // the request is over
-	VolumeUse int       // 1 + percent of the plan's nominal rate served lately; 0: not told
-	OthersGot float64   // units served for the volume by this node through other hosts since
+	Closed    bool      // the request has its final answer
+	VolumeUse int       // 1 + percent of the plan's nominal rate served within Settings.MeterSpan; 0: unknown
+	OthersGot float64   // units that this node has served for the volume through other hosts since the last answer
 	Load      []float64 // load report, in the order of Settings.LoadFields
 }
 
-// ClientGone says that the client has left.
+// ClientGone reports that the client has disconnected.
 type ClientGone struct{ ID string }
 
-// AnswerStarted says that a streamed answer has begun: its time-outs are over.
+// AnswerStarted reports that a streamed answer has begun. Its time-outs no longer apply.
 type AnswerStarted struct {
 	ID      string
 	Attempt int
 }
 
-// TimerFired is one of the controller's own timers.
+// TimerFired reports that a timer set by SetTimer has fired.
 type TimerFired struct{ Token int64 }
 
-// NodeList is news of the node list.
+// NodeList is an update of the node list, or its failure.
 type NodeList struct {
 	Kind  ListKind
 	Nodes []Node
@@ -264,20 +267,20 @@
 	Load    []float64
 }
 
-// Shares are what all volumes are due, worked out ahead, in the place of what was told
-// before: the whole set changes between two steps. The maps must not change afterwards.
+// Shares holds the shares of all volumes, computed in advance. It replaces the previous shares as a whole,
+// between two steps. The maps must not be changed afterwards.
 type Shares struct {
 	Version uint64
-	Age     time.Duration // since they were worked out
-	Trust   time.Duration // trusted in full up to this age, then less and less; 0: not at all
+	Age     time.Duration // time since they were computed
+	Trust   time.Duration // age up to which they are trusted in full, and less beyond it; 0: not at all
 	Volumes map[string]VolumeShare
 }
 
-// VolumeShare is what one volume is due, units a second over all hosts, its reserve included.
+// VolumeShare is the share of one volume, in units a second over all hosts, its reserve included.
 type VolumeShare struct {
 	Rate float64            // over all nodes
-	Met  bool               // that is all it was expected to ask for: it is due no less, and may be due more
-	At   map[string]float64 // at each node on which it is placed: for those who choose nodes
+	Met  bool               // Rate covers the whole expected demand; the volume gets no less and may get more
+	At   map[string]float64 // by node on which it is placed, for callers that choose nodes
 }
 
 func (Request) event()       {}
@@ -289,63 +292,63 @@
 func (NodeList) event()      {}
 func (ProbeResult) event()   {}
 
-// Belief is what a controller believes of a node.
+// Belief is a controller's estimate of the state of a node.
 type Belief struct {
 	Node      string
 	State     NodeState
 	Listed    bool
-	Out, Held int // attempts out there, requests held for it
+	Out, Held int // attempts in flight there, requests held for it
 	Window    float64
 	RoundTrip time.Duration // mean
 	Backlog   time.Duration // wait that a new attempt meets
-	UnitTime  time.Duration // without a wait
-	Errors    float64       // share of error answers of late
+	UnitTime  time.Duration // time per unit without a queue
+	Errors    float64       // moving average of the share of error answers
 	Suspect   bool
 	Cold      bool
 }
 
-// Action is one thing that the host is to do.
+// Action is something that the host has to do.
 type Action interface{ action() }
 
-// Send starts an attempt. Within is its time-out; 0: until the client gives up. Latest is the moment from which on
-// it must not begin any more: past it a repeat would have its effect again; 0: there is none.
+// Send starts an attempt. Within is its time-out; 0: until the client gives up. Latest is the time from which
+// it must no longer begin, since the nodes would not drop the repeat any more; 0: no such time.
 type Send struct {
 	ID, Node string
 	Within   time.Duration
 	Latest   time.Duration
 }
 
-// Refuse is a final answer: a retry is harmless, and welcome after RetryAfter.
+// Refuse gives the final answer that a retry is harmless and may come after RetryAfter.
 type Refuse struct {
 	ID         string
 	RetryAfter time.Duration
 }
 
-// Fail is a final answer that promises nothing.
+// Fail gives the final answer that the request failed. It makes no promise about a retry.
 type Fail struct{ ID string }
 
-// Cancel stops waiting for an attempt.
+// Cancel cancels an attempt.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// SetTimer asks for a TimerFired event.
+// SetTimer asks for a TimerFired event with the token at the given time.
 type SetTimer struct {
 	At    time.Duration
 	Token int64
 }
 
-// Probe asks a node how it is.
+// Probe asks for a probe of a node, which a ProbeResult ends.
 type Probe struct{ Node string }
 
-// Subscribe asks for changes of the node list from now on.
+// Subscribe subscribes to changes of the node list.
 type Subscribe struct{}
 
-// FetchList asks for the whole node list once.
+// FetchList fetches the whole node list once.
 type FetchList struct{}
 
-// Log is a line for the on-call staff.
+// Log writes a line to the log for the on-call staff.
 type Log struct{ Text string }
 
 func (Send) action()      {}
--- a/control/state.go
+++ b/control/state.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-// The state that control.go decides on: plain data and its bookkeeping.
+// This file holds the state on which control.go decides, and its bookkeeping.
 
-// Controller decides for one host.
+// Controller decides for one host which requests it sends to which node and which it refuses. It is not safe
+// for concurrent use.
 type Controller struct {
 	settings Settings
 	classes  map[string]*class
@@ -18,43 +19,43 @@
 	now      time.Duration
 	actions  []Action
 
-	slot           time.Duration
+	slot           time.Duration // the tightest aim, from 10 to 500 ms; the unit of checks and pauses
 	requests       map[string]*request
 	nodes          map[string]*node
-	nodesByID      []*node // by id
+	nodesByID      []*node // sorted by id
 	volumes        map[string]*volume
 	items          map[string]*itemQueue
-	cleanedAt      time.Duration
-	servedTotal    decayingSum                // what this host got of late, anywhere
-	servedByShard  map[int]decayingSum        // by shard: what this host got there of late
-	firstTries     map[retryKey]time.Duration // when the first try of a request that may come again was taken
-	stallTime      time.Duration              // how long this host stood still before this step
-	recentRequests []timedAmount              // for the attempt budget
-	recentRetries  []timedAmount
+	cleanedAt      time.Duration              // when removeStale last ran
+	servedTotal    decayingSum                // units that all nodes served to this host
+	servedByShard  map[int]decayingSum        // the same by shard
+	firstTries     map[retryKey]time.Duration // when the first try of a request that may come again arrived
+	stallTime      time.Duration              // how long this host was stalled before this step; 0: not
+	recentRequests []timedAmount              // within Settings.ExtraSpan, for the retry budget
+	recentRetries  []timedAmount              // the same
 	timerToken     int64
 	timerAt        time.Duration
 	timerSet       bool
 	started        bool
 
-	overallWait      decayingMean // backlog met at nodes in general
-	laterAttempts    []*attempt   // sent after the latest one that was answered left
-	lastAnsweredSent time.Duration
-	overallUnitTime  lowQuantile // unqueued ns a unit at nodes in general
-	meanUnitWorth    float64     // mean worth a unit of the requests taken, in full
+	overallWait      decayingMean  // backlog over all nodes
+	laterAttempts    []*attempt    // sent after lastAnsweredSent
+	lastAnsweredSent time.Duration // when the latest answered attempt was sent
+	overallUnitTime  lowQuantile   // ns a unit without a queue, over all nodes
+	meanUnitWorth    float64       // mean full worth a unit of the accepted requests
 	subscribed       bool
 	listAskedAt      time.Duration
 
-	shares   Shares        // told; without volumes: none
-	sharesAt time.Duration // when they were worked out
+	shares   Shares        // the shares last received; no volumes: none
+	sharesAt time.Duration // when they were computed
 }
 
-// class is a Class with what the controller derives from it.
+// class is a Class and what the controller has learned about it.
 type class struct {
 	Class
-	maxExpires time.Duration // the longest Expires seen: a first try's
+	maxExpires time.Duration // the longest Expires seen, which is that of a first try
 }
 
-// tryKey is what a client's tries of one request have in common.
+// retryKey is what all tries of one client request have in common.
 type retryKey struct{ volume, class, item string }
 
 // attempt is one Send of a request.
@@ -62,22 +63,22 @@
 	req            *request
 	node           *node
 	sentAt         time.Duration
-	heldTimeAtSend time.Duration // the node's meter then
-	open           bool
+	heldTimeAtSend time.Duration // heldTime of the node's meter at that time
+	open           bool          // still without an outcome
 }
 
-// request is a request taken, until it is over and no attempt of it is out.
+// request is an accepted request, kept until it is finished and has no open attempt.
 type request struct {
 	Request
 	class         *class
 	volume        *volume
-	queue         *itemQueue // its key's turn, where the class keeps order
+	queue         *itemQueue // the queue of its item, if its class keeps order
 	node          *node      // where it is held or was last sent
 	deadline      time.Duration
-	aimAt         time.Duration
-	firstTryAt    time.Duration // when its first try was taken
-	worth         float64
-	chargedTo     *bucket // what its units came out of
+	aimAt         time.Duration // an answer up to this time earns the full worth
+	firstTryAt    time.Duration // when its first try arrived
+	worth         float64       // if answered within the aim
+	chargedTo     *bucket       // the bucket that its units were taken from
 	held          bool
 	finished      bool
 	answerStarted bool
@@ -86,7 +87,7 @@
 	fullShards    []int    // shards that had no room for it
 }
 
-// volume is a volume's account at this host.
+// volume is the account of a volume at this host.
 type volume struct {
 	plan    *Plan
 	reserve bucket
@@ -94,41 +95,44 @@
 	demand  decayingSum
 	limit   bucket
 
-	hosts                   float64     // through which its requests come
-	ownServed, othersServed decayingSum // units served for it to this host, and to others meanwhile
-	meteredRate             float64     // units a second by its meter; negative: not told
+	hosts                   float64     // number of hosts through which its requests come
+	ownServed, othersServed decayingSum // units served for it through this host and through the others
+	meteredRate             float64     // units a second by the nodes' meters; negative: unknown
 }
 
-// metered books what an answer tells of the volume's use.
+// recordUse records what an answer reports about the volume's use.
 func (v *volume) recordUse(now time.Duration, e Outcome, units float64) {
 	v.meteredRate = float64(e.VolumeUse-1) / 100 * v.plan.Nominal
-	v.ownServed, v.othersServed = v.ownServed.add(now, units, rateSpan), v.othersServed.add(now, e.OthersGot, rateSpan)
+	v.ownServed, v.othersServed =
+		v.ownServed.add(now, units, rateSpan), v.othersServed.add(now, e.OthersGot, rateSpan)
 }
 
-// flow is the units that came of late, as it was when the last of them came: what a
-// node that is down did before stays known.
+// decayingSum is a sum of units that decays with age. It decays only when units are added, so that the work
+// that a node did before it went down stays known.
 type decayingSum struct {
 	sum float64
 	at  time.Duration
 }
 
+// add returns the sum, decayed to now with the time constant span, plus the units.
 func (f decayingSum) add(now time.Duration, units float64, span time.Duration) decayingSum {
 	return decayingSum{f.sum*math.Exp(-float64(now-f.at)/float64(span)) + units, now}
 }
 
-// bucket is a store of units that fills at a rate up to a top.
+// bucket is a token bucket of units: it fills at a rate, in units a second, up to its capacity.
 type bucket struct {
 	level, rate, capacity float64
 	at                    time.Duration
 }
 
+// refill adds the units that have accrued until now and returns the level.
 func (b *bucket) refill(now time.Duration) float64 {
 	b.level = min(b.capacity, b.level+b.rate*(now-b.at).Seconds())
 	b.at = now
 	return b.level
 }
 
-// take takes units out of the store if it holds them.
+// take removes the units if the bucket holds them, and reports whether it did.
 func (b *bucket) take(now time.Duration, units float64) bool {
 	if b.refill(now) < units {
 		return false
@@ -137,24 +141,27 @@
 	return true
 }
 
-// delay is a mean of delays seen, ns, that fades with age. Of each two in a row
-// the lesser counts: a queue delays all, a costly request only itself.
+// decayingMean is a moving average of observed delays, in ns, that decays with age. The lesser of each two
+// consecutive observations counts: a queue delays all requests, a costly request only itself.
 type decayingMean struct {
 	mean, last float64
 	at         time.Duration
 }
 
-// trust is the part of the mean that age has left.
+// remaining returns the weight that the mean still has at its age.
 func (d *decayingMean) remaining(now, decay time.Duration) float64 {
 	return math.Exp(-float64(now-d.at) / float64(decay))
 }
 
+// value returns the mean, decayed to now.
 func (d *decayingMean) value(now, decay time.Duration) float64 {
 	return d.mean * d.remaining(now, decay)
 }
 
-// add books a delay. If the last one is old, what is usual elsewhere stands in for it.
-func (d *decayingMean) add(now time.Duration, observed, gain float64, decay, lastDecay time.Duration, usual float64) float64 {
+// add records an observed delay and returns the lesser of it and the previous one. As the mean and the
+// previous observation age, the usual delay elsewhere replaces them.
+func (d *decayingMean) add(
+	now time.Duration, observed, gain float64, decay, lastDecay time.Duration, usual float64) float64 {
 	remaining := d.remaining(now, decay)
 	lesser := min(observed, max(d.last*d.remaining(now, lastDecay), usual))
 	old := d.mean*remaining + usual*(1-remaining)
@@ -162,14 +169,15 @@
 	return lesser
 }
 
-// low follows a low quantile of what is seen, in steps that are the smaller the
-// more comes in a second: what lasts for seconds only must not become the usual.
+// lowQuantile tracks a low quantile of observed values. Its steps are smaller the more values arrive in a
+// second, so that a condition that lasts only seconds does not become the usual value.
 type lowQuantile struct {
 	value float64
-	count float64
+	count float64 // number of values
 	at    time.Duration
 }
 
+// add moves the estimate towards x, by at most gain a second once there are many values.
 func (l *lowQuantile) add(now time.Duration, x, quantile, gain float64) {
 	if l.count++; l.count == 1 {
 		l.value = x
@@ -182,62 +190,63 @@
 	}
 }
 
-// itemQueue keeps the turn of the requests with one item.
+// itemQueue orders the requests for one item.
 type itemQueue struct {
-	waiting     []*request
-	pausedUntil time.Duration
+	waiting     []*request    // in order of arrival; the first one may be sent
+	pausedUntil time.Duration // while an attempt may still be running
 }
 
-// stamp is an amount at a time, for budgets over a sliding span.
+// timedAmount is an amount at a time, for budgets over a sliding span.
 type timedAmount struct {
 	at     time.Duration
 	amount float64
 }
 
-// node is a storage node as this host knows it.
+// node is what this host knows of a storage node.
 type node struct {
 	Node
 	listed           bool
-	held             []*request // by deadline
-	inFlight         []*attempt // by time sent
-	window           float64
-	halvedAt         time.Duration
+	held             []*request    // sorted by deadline
+	inFlight         []*attempt    // sorted by time sent
+	window           float64       // most attempts in flight
+	halvedAt         time.Duration // when the window was last halved
 	rtt              float64       // mean round trip, ns; 0: none yet
-	unitTime         lowQuantile   // unqueued ns a unit
-	wait             decayingMean  // backlog met there
-	lastAnsweredSent time.Duration // when the latest attempt that was answered left
+	unitTime         lowQuantile   // ns a unit without a queue
+	wait             decayingMean  // backlog that attempts met there
+	lastAnsweredSent time.Duration // when the latest answered attempt was sent
 	lastAnswerAt     time.Duration
-	silent           bool
-	failures         int           // failures since the last answer
-	errorRate        float64       // share of error answers of late
-	backoff          time.Duration // between attempts while suspect
-	nextTryAt        time.Duration // the next one
+	silent           bool          // no answer since an attempt that became overdue
+	failures         int           // since the last answer
+	errorRate        float64       // moving average of the share of error answers
+	backoff          time.Duration // pause between attempts while suspect
+	nextTryAt        time.Duration // when a suspect node gets the next attempt
 	meter            rateMeter
 	credit           float64 // while cold: units that may be sent there
 	creditAt         time.Duration
 }
 
-// usable says that new work may go to the node: the drain rule's only gate.
+// usable reports whether new work may go to the node. It is the only check of the drain rule.
 func (n *node) usable() bool { return n.listed && n.State == Ready }
 
-// meter measures minRead: the units served while requests were held at the
-// node, over the time for which they were, slot by slot. Of the units of an
-// answer those count that fall, evenly over its time at the node, on time with
-// requests held: else a short queue would count its wait but not what it got.
+// rateMeter measures a node's service rate, slot by slot: the units served while requests were held for the
+// node, divided by the time during which they were. The units of an answer are spread evenly over its time
+// at the node, and the part that falls on held time counts. Otherwise a short queue would count its waiting
+// time but not the units served meanwhile.
 type rateMeter struct {
-	slots     []meterSlot // the last few seconds
-	heldTotal time.Duration
+	slots     []meterSlot   // in order of time
+	heldTotal time.Duration // held time up to updatedAt
 	updatedAt time.Duration
-	holding   bool
+	holding   bool // requests are held since updatedAt
 }
 
+// meterSlot is what a rateMeter measured in one slot.
 type meterSlot struct {
 	start    time.Duration
 	units    float64
 	heldTime float64 // ns during which requests were held
 }
 
-// last is the slot of now; what is older than the memory is dropped.
+// currentSlot returns the slot of now, and drops the slots older than the span.
 func (m *rateMeter) currentSlot(now, slot, span time.Duration) *meterSlot {
 	if k := len(m.slots); k == 0 || now-m.slots[k-1].start >= slot {
 		m.slots = append(m.slots, meterSlot{start: now})
@@ -248,7 +257,7 @@
 	return &m.slots[len(m.slots)-1]
 }
 
-// heldFor is the time so far during which requests were held.
+// heldTime returns the total time during which requests were held.
 func (m *rateMeter) heldTime(now time.Duration) time.Duration {
 	if m.holding {
 		return m.heldTotal + now - m.updatedAt
@@ -256,7 +265,7 @@
 	return m.heldTotal
 }
 
-// saturated notes whether requests are held from now on.
+// setHolding records whether requests are held from now on.
 func (m *rateMeter) setHolding(now, slot, span time.Duration, held bool) {
 	if m.holding {
 		m.heldTotal += now - m.updatedAt
@@ -265,7 +274,7 @@
 	m.updatedAt, m.holding = now, held
 }
 
-// rate is units a nanosecond over the slots in memory, if they come to enough.
+// rate returns the units a nanosecond over the kept slots, and whether their held time reaches the minimum.
 func (m *rateMeter) rate(minHeldTime float64) (float64, bool) {
 	units, heldTime := 0.0, 0.0
 	for _, s := range m.slots {
@@ -274,11 +283,12 @@
 	return units / max(heldTime, 1), heldTime >= minHeldTime
 }
 
+// hasOpenAttempt reports whether an attempt of the request has no outcome yet.
 func (c *Controller) hasOpenAttempt(r *request) bool {
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool { return a.open })
 }
 
-// forget drops a request that is over and has nothing out, and passes its turn on.
+// removeFinished removes a request that is finished and has no open attempt, also from the queue of its item.
 func (c *Controller) removeFinished(r *request) {
 	if !r.finished || c.hasOpenAttempt(r) {
 		return
@@ -292,7 +302,7 @@
 	}
 }
 
-// wakeAt makes sure that a timer fires at the time or before.
+// setTimerAt ensures that a timer fires at or before the given time, but not within the next millisecond.
 func (c *Controller) setTimerAt(at time.Duration) {
 	at = max(at, c.now+time.Millisecond)
 	if c.timerSet && c.timerAt <= at {
@@ -303,13 +313,14 @@
 	c.emit(SetTimer{at, c.timerToken})
 }
 
-// Beliefs is what is believed of each node that is known, by id. It changes nothing: who runs a controller
-// sets it against what passes on the sockets.
+// Beliefs returns the controller's estimates of each known node, sorted by id. It changes nothing. Callers
+// compare it with what they observe on the sockets.
 func (c *Controller) Beliefs() []Belief {
 	list := make([]Belief, 0, len(c.nodesByID))
 	for _, n := range c.nodesByID {
-		list = append(list, Belief{Node: n.ID, State: n.State, Listed: n.listed, Out: len(n.inFlight), Held: len(n.held),
-			Window: n.window, RoundTrip: time.Duration(n.rtt), Backlog: time.Duration(n.wait.value(c.now, backlogDecay)),
+		list = append(list, Belief{Node: n.ID, State: n.State, Listed: n.listed,
+			Out: len(n.inFlight), Held: len(n.held), Window: n.window,
+			RoundTrip: time.Duration(n.rtt), Backlog: time.Duration(n.wait.value(c.now, backlogDecay)),
 			UnitTime: time.Duration(n.unitTime.value), Errors: n.errorRate, Suspect: n.suspect(), Cold: c.cold(n)})
 	}
 	return list
