--- a/control/among_test.go
+++ b/control/among_test.go
@@ -6,74 +6,76 @@
 	"time"
 )
 
-// answer has a node answer a read of its shard after so long.
-func (b *harness) answerRead(id, node string, shard int, took time.Duration) {
-	b.t.Helper()
+// answerRead sends a read of a shard and has its node answer after the given time.
+func (h *harness) answerRead(id, node string, shard int, took time.Duration) {
+	h.t.Helper()
 	r := readRequest(id)
 	r.Shard, r.Expires = shard, 2*time.Second
-	b.expect("read of its shard", sentAttempts(b.step(0, r)), id+">"+node)
+	h.expect("read of its shard", sentAttempts(h.step(0, r)), id+">"+node)
 	o := outcomeOf(id, node, 0, Done)
 	o.Elapsed = took
-	b.advance(took) // in one stride it would look like a pause of the host's own
-	b.step(0, o)
+	h.advance(took) // in a single step this would look like a stall of the host
+	h.step(0, o)
 }
 
-// known has the second of two nodes answer quickly and the first slowly, twice: once is a costly request.
-func (b *harness) measureNodes() {
-	b.t.Helper()
+// measureNodes lets node o answer quickly and node n slowly. Node n answers twice, since a single slow answer
+// counts as a costly request.
+func (h *harness) measureNodes() {
+	h.t.Helper()
 	for i := range 20 {
-		b.answerRead(fmt.Sprint("o", i), "o", 1, 4*ms)
+		h.answerRead(fmt.Sprint("o", i), "o", 1, 4*ms)
 	}
-	b.answerRead("a", "n", 0, 150*ms)
-	b.answerRead("b", "n", 0, 150*ms)
+	h.answerRead("a", "n", 0, 150*ms)
+	h.answerRead("b", "n", 0, 150*ms)
 }
 
-// choose has a new object choose between two shards, have its answer after so long, and returns
-// where it went.
-func (b *harness) writeNewObject(id string, took func(node string) time.Duration) string {
-	b.t.Helper()
+// writeNewObject writes a new object that may go to either of two shards, has it answered after the time that
+// took gives for its node, and returns the node.
+func (h *harness) writeNewObject(id string, took func(node string) time.Duration) string {
+	h.t.Helper()
 	w := requestOf("write", id)
 	w.Shard, w.Tiers = AnyShard, [][]int{{0, 1}}
-	for _, a := range b.step(ms, w) {
+	for _, a := range h.step(ms, w) {
 		if s, ok := a.(Send); ok {
 			o := outcomeOf(id, s.Node, 0, Done)
 			o.Elapsed = took(s.Node)
-			b.advance(o.Elapsed)
-			b.step(0, o)
+			h.advance(o.Elapsed)
+			h.step(0, o)
 			return s.Node
 		}
 	}
-	b.t.Fatalf("%s was not sent at once", id)
+	h.t.Fatalf("%s was not sent at once", id)
 	return ""
 }
 
-// Candidates are as good as what is known of them is fresh. Of two the first told, of which each
-// object has another, is taken where both are the same. A node whose first answers took long (a
-// dial, a pause of the machine) has its part again soon after.
-// (Seen on a starved machine: 1 to 10 of 24 nodes took one write each, and the others 90.)
+// TestSlowFirstAnswerIsForgotten checks that slow answers count less as they age, and that the first of two
+// equal candidates is chosen. Without the ageing, nodes whose first answers were slow (a dial, a pause of the
+// machine) were avoided for good: on an overloaded machine 1 to 10 of 24 nodes took one write each, and the
+// others 90.
 func TestSlowFirstAnswerIsForgotten(t *testing.T) {
-	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
-	b.measureNodes()
+	h := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
+	h.measureNodes()
 	quick := func(string) time.Duration { return 4 * ms }
-	if at := b.writeNewObject("at once", quick); at != "o" {
-		t.Errorf("right after two answers of 150 ms a new object goes to %s", at)
+	if at := h.writeNewObject("at once", quick); at != "o" {
+		t.Errorf("right after two answers of 150 ms, a new object goes to %s, want o", at)
 	}
-	b.advance(10 * time.Second)
+	h.advance(10 * time.Second)
 	chosen := 0
 	for i := range 100 {
-		if b.writeNewObject(fmt.Sprint("w", i), quick) == "n" {
+		if h.writeNewObject(fmt.Sprint("w", i), quick) == "n" {
 			chosen++
 		}
 	}
 	if chosen < 90 {
-		t.Errorf("10 s later, of 100 objects that had n first it took %d", chosen)
+		t.Errorf("10 s later, n took %d of 100 objects that list it first, want at least 90", chosen)
 	}
 }
 
-// A node that stays slow is tried now and then, and takes no more than that.
+// TestSlowCandidateIsTriedOccasionally checks that a node that stays slow gets an attempt now and then, and no
+// more than that.
 func TestSlowCandidateIsTriedOccasionally(t *testing.T) {
-	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
-	b.measureNodes()
+	h := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
+	h.measureNodes()
 	slow := func(node string) time.Duration {
 		if node == "n" {
 			return 150 * ms
@@ -81,23 +83,23 @@
 		return 4 * ms
 	}
 	chosen, written := 0, 0
-	for end := b.now + 60*time.Second; b.now < end; written++ {
-		b.advance(20 * ms)
-		if b.writeNewObject(fmt.Sprint("w", written), slow) == "n" {
+	for end := h.now + 60*time.Second; h.now < end; written++ {
+		h.advance(20 * ms)
+		if h.writeNewObject(fmt.Sprint("w", written), slow) == "n" {
 			chosen++
 		}
 	}
 	if chosen < 5 || chosen > 60 {
-		t.Errorf("in 60 s a slow node took %d of %d new objects that had it first; about one in two seconds is due", chosen, written)
+		t.Errorf("in 60 s a slow node took %d of %d new objects that list it first, want 5 to 60", chosen, written)
 	}
 }
 
-// While one is out at a node of which nothing was heard for long, no second goes there on the
-// strength of what is usual: a burst does not pile up where nothing is known.
+// TestUnknownCandidateTakesOneAtATime checks that a node without recent answers gets no second attempt while
+// one is in flight there, so that a burst does not pile up at a node of unknown state.
 func TestUnknownCandidateTakesOneAtATime(t *testing.T) {
-	b := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
-	b.measureNodes()
-	b.advance(10 * time.Second)
+	h := newHarness(t, settings(), nodeEntry("n", 0), nodeEntry("o", 1))
+	h.measureNodes()
+	h.advance(10 * time.Second)
 	var events []Event
 	for i := range 4 {
 		w := requestOf("write", fmt.Sprint("w", i))
@@ -105,12 +107,12 @@
 		events = append(events, w)
 	}
 	sentToUnknown := 0
-	for _, s := range sentAttempts(b.step(ms, events...)) {
+	for _, s := range sentAttempts(h.step(ms, events...)) {
 		if s[len(s)-1] == 'n' {
 			sentToUnknown++
 		}
 	}
 	if sentToUnknown > 2 {
-		t.Errorf("%d of a burst of 4 went where nothing was heard of for 10 s", sentToUnknown)
+		t.Errorf("%d of a burst of 4 went to a node without answers for 10 s, want at most 2", sentToUnknown)
 	}
 }
--- a/control/fade_test.go
+++ b/control/fade_test.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// siteVolume is a volume of the small site below: what it asks for and is due, units a second.
+// siteVolume is a volume of the simulated site: its demand and its share, in units a second.
 type siteVolume struct {
 	name, plan    string
 	demand, share float64
 }
 
-// site plays one host before three nodes of 100 units a second each, a queue and one server,
-// for some seconds, and returns the part of the worth due that was earned: of each second a
-// volume's units within its share count in full, beyond it a twentieth. Nodes meter volumes
-// over two seconds. It shares no code with what it judges.
+// simulateSite runs one host for some seconds in front of three nodes of 100 units a second
+// each, with a queue and one server per node, and returns the earned part of the offered
+// worth. In each second, a volume's units within its share count in full, those beyond it a
+// twentieth. Nodes meter volumes over two seconds. The simulation shares no code with the
+// controller.
 func simulateSite(t *testing.T, seed int64, seconds int, volumes []siteVolume, shares Shares) float64 {
 	t.Helper()
 	set := settings()
@@ -109,17 +110,18 @@
 	return earned / total
 }
 
-// TestWrongSharesFade: five volumes ask for half more than the nodes have. With right shares
-// told they earn no less than with none; with those of a third of the volumes ten times too
-// large or too small at most 0.03 less, since the meter belies them. Means of five seeds.
+// TestWrongSharesLoseTrust: the demand of five volumes is half more than the nodes can
+// serve. With correct shares the host earns no less than without any. With shares of a third
+// of the volumes ten times too large or too small it earns at most 0.03 less, because they
+// contradict the meters. All values are means over five seeds.
 func TestWrongSharesLoseTrust(t *testing.T) {
 	volumes := []siteVolume{{"a", "priority", 40, 40}, {"b", "priority", 30, 30}, {"c", "standard", 40, 40}, {"d", "standard", 40, 40},
 		{"e", "standard", 300, 120}}
-	sharesScaledBy := func(off map[string]float64) Shares {
+	sharesScaledBy := func(factors map[string]float64) Shares {
 		s := Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{}}
 		for _, v := range volumes {
 			factor := 1.0
-			if f, ok := off[v.name]; ok {
+			if f, ok := factors[v.name]; ok {
 				factor = f
 			}
 			s.Volumes[v.name] = VolumeShare{Rate: v.share * factor}
@@ -135,13 +137,13 @@
 	none, right := mean(Shares{}), mean(sharesScaledBy(nil))
 	t.Logf("none %.3f, right %.3f", none, right)
 	if right < none-0.005 {
-		t.Errorf("with right shares %.3f of the worth, without any %.3f", right, none)
+		t.Errorf("with correct shares %.3f of the worth, without any %.3f", right, none)
 	}
-	for _, off := range []map[string]float64{{"a": 10, "c": 0.1}, {"a": 0.1, "e": 10}, {"e": 0.1, "d": 10}, {"b": 0.1, "c": 0.1}} {
-		got := mean(sharesScaledBy(off))
-		t.Logf("%v: %.3f", off, got)
+	for _, factors := range []map[string]float64{{"a": 10, "c": 0.1}, {"a": 0.1, "e": 10}, {"e": 0.1, "d": 10}, {"b": 0.1, "c": 0.1}} {
+		got := mean(sharesScaledBy(factors))
+		t.Logf("%v: %.3f", factors, got)
 		if got < none-0.03 {
-			t.Errorf("off by %v: %.3f of the worth, without any %.3f", off, got, none)
+			t.Errorf("with shares scaled by %v: %.3f of the worth, without any %.3f", factors, got, none)
 		}
 	}
 }
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -8,20 +8,21 @@
 	"time"
 )
 
-// fleet is many controllers before the same nodes, in explicit time, each of which sees its own traffic only.
+// fleet simulates many controllers in front of the same nodes. Each of them sees only its own traffic.
 type fleet struct {
 	set          Settings
 	hosts        []*Controller
-	trafficShare []float64 // of the traffic, by host: few are busy
+	trafficShare []float64 // part of the traffic, by host; a few hosts get most of it
 	rng          *rand.Rand
 	now          time.Duration
 	nextID       int
 	inFlight     []pendingOutcome
-	sent         map[string][]float64 // units, by node and step
+	sent         map[string][]float64 // units by node and step
 	steps        int
-	busyFraction float64 // part of the attempts that are turned away, and may be repeated
+	busyFraction float64 // part of the attempts that nodes refuse as busy
 }
 
+// pendingOutcome is an outcome that a host receives at a later time.
 type pendingOutcome struct {
 	host    int
 	outcome Outcome
@@ -37,7 +38,7 @@
 	sum := 0.0
 	for i := range hosts {
 		f.hosts = append(f.hosts, f.controller(t, seed*1000+int64(i)))
-		f.trafficShare = append(f.trafficShare, 1/float64(1+i)) // the busiest sees several times the mean
+		f.trafficShare = append(f.trafficShare, 1/float64(1+i)) // the busiest host gets several times the mean
 		sum += f.trafficShare[i]
 	}
 	for i := range f.trafficShare {
@@ -54,14 +55,14 @@
 	return c
 }
 
-// list tells all hosts of entries.
+// announce sends an update of the node list to all hosts.
 func (f *fleet) announce(kind ListKind, nodes ...Node) {
 	for i := range f.hosts {
 		f.step(i, NodeList{Kind: kind, Nodes: nodes})
 	}
 }
 
-// step hands events to one host, and has its attempts answered after 30 ms.
+// step passes events to one host and schedules the answers to its attempts after 30 ms.
 func (f *fleet) step(host int, events ...Event) {
 	for _, a := range f.hosts[host].Step(f.now, events) {
 		s, ok := a.(Send)
@@ -81,7 +82,8 @@
 	}
 }
 
-// pass plays so much time, with so many requests a second over all hosts to each of the shards; -1 is any.
+// advance simulates the given time, with a rate of requests a second over all hosts to each of the shards,
+// where -1 is any shard.
 func (f *fleet) advance(d time.Duration, rate float64, shards ...int) {
 	for until := f.now + d; f.now < until; {
 		f.now += fleetStep
@@ -124,8 +126,8 @@
 	return k
 }
 
-// worst is the most that a node got within a span from a step on, set against what the settings allow it then
-// with its chance, both in mean requests; and what it got in all.
+// worstSpan returns the largest ratio, over all spans of FallSpan, of what a node was sent to what the settings
+// allow plus a margin for chance, both in mean requests; and the units that it was sent in total.
 func (f *fleet) worstSpan(node Node, capacity float64) (over, total float64) {
 	steps := int(f.set.FallSpan / fleetStep)
 	sent := f.sent[node.ID]
@@ -143,12 +145,15 @@
 	return over, total
 }
 
-// TestColdFleet: what hundreds of hosts together send to a cold node, each by what it sees alone, stays within what
-// the settings allow it in any span, with 2 x root of N + 2 for chance: whatever their parts were before, with
-// credit that filled unused, with repeats, at several times the mean, and when they know nothing. And it is not
-// nothing. Arithmetic: a host's rate is coldMargin of its part; what it stores and what fills in a span come to
-// coldMargin + (1 - coldMargin) of it. Of the two parts it may take the larger one; the sum of those is over N
-// where few are busy, by less than what chance adds to the demand that there is.
+// TestFleetStaysWithinColdBudget checks what up to 300 hosts together send to a cold node, each by its own
+// observations only. In any span it stays within the N requests that the settings allow, plus 2 sqrt(N) + 2 for
+// chance: whatever the hosts' parts were before, with unused credit, with repeats, at several times the mean
+// load and without any history. The total also has a lower bound.
+//
+// The bound follows from a host's rate, which is coldBudgetFraction of its part: the credit that it stores and
+// the credit that fills in a span add up to coldBudgetFraction + (1 - coldBudgetFraction) of the part. A host
+// takes the larger of two parts. Where a few hosts are busy, the sum of these exceeds N, but by less than chance
+// adds to the demand.
 func TestFleetStaysWithinColdBudget(t *testing.T) {
 	const capacity = 27.0 // units a second of a warm node: 37 units in a span are what a cold one bears of it
 	const usual = 0.6 * capacity / 2
@@ -167,7 +172,7 @@
 		set.ColdFor, set.ColdCapacity, set.FallMultiple, set.FallSpan, set.ColdBears = 18*time.Second, 0.17, 4, 2*time.Second, 37
 		for _, c := range []struct {
 			name  string
-			least float64 // units in all
+			least float64 // lower bound of the units in total
 			play  func(f *fleet) Node
 		}{
 			{"steady", 55, func(f *fleet) Node {
@@ -186,7 +191,7 @@
 				f.advance(4*time.Second, 8*usual, all...)
 				return n
 			}},
-			{"turned away and repeated", 100, func(f *fleet) Node {
+			{"refused and repeated", 100, func(f *fleet) Node {
 				n := replaced(f)
 				f.busyFraction = 0.4
 				f.advance(4*time.Second, usual/20, all...)
@@ -226,9 +231,9 @@
 				f := newFleet(t, hosts, set, seed+1)
 				f.announce(ListFull, warm...)
 				over, total := f.worstSpan(c.play(f), capacity)
-				if t.Logf("%3d hosts, %-26s seed %d: worst span %.2f of what is allowed; %.0f units in all",
+				if t.Logf("%3d hosts, %-26s seed %d: worst span %.2f of the allowed units; %.0f units in total",
 					hosts, c.name, seed+1, over, total); over > 1 || total < c.least {
-					t.Errorf("%d hosts, %s, seed %d: %.2f of what is allowed, %.0f units of at least %.0f",
+					t.Errorf("%d hosts, %s, seed %d: %.2f of the allowed units in a span, %.0f units in total, want at least %.0f",
 						hosts, c.name, seed+1, over, total, c.least)
 				}
 			}
--- a/control/forever_test.go
+++ b/control/forever_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestForEver: ids, volumes, items and nodes that are always new leave nothing behind that grows.
+// TestLongRunStateIsBounded checks that the state does not grow with requests, volumes, items and nodes that
+// are always new.
 func TestLongRunStateIsBounded(t *testing.T) {
 	c, err := New(Settings{Hosts: 3, MeanUnits: 1, Classes: []Class{{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}, 1)
 	if err != nil {
@@ -34,6 +35,6 @@
 		}
 	}
 	if most > half+half/10 || most > 100_000 {
-		t.Fatalf("%d entries held at most, %d in the first half", most, half)
+		t.Fatalf("at most %d entries kept, %d in the first half", most, half)
 	}
 }
--- a/control/module_test.go
+++ b/control/module_test.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// The module is printed for the on-call folder: its size is bounded.
+// TestModuleSize bounds the size of control.go, which is printed for the on-call staff.
 func TestModuleSize(t *testing.T) {
 	text, err := os.ReadFile("control.go")
 	if err != nil {
@@ -26,6 +26,6 @@
 		t.Errorf("control.go has %d non-blank lines, at most 1000", lines)
 	}
 	if !strings.Contains(string(text)[:400], "api.go") {
-		t.Error("the head of control.go does not name the interface file api.go")
+		t.Error("the first 400 bytes of control.go do not name the interface file api.go")
 	}
 }
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -8,29 +8,30 @@
 	"time"
 )
 
-// priced is the part of its full worth that a request for units of a volume is held at; it
-// is served at once.
-func worthWhenServed(b *harness, id, volume string, units float64) float64 {
-	b.t.Helper()
-	part := worthWhenHeld(b, id, volume, units)
-	answerServed(b, id, 0, 0)
+// worthWhenServed returns the part of its full worth that a request for units of a volume
+// gets, and has it served at once.
+func worthWhenServed(h *harness, id, volume string, units float64) float64 {
+	h.t.Helper()
+	part := worthWhenHeld(h, id, volume, units)
+	answerServed(h, id, 0, 0)
 	return part
 }
 
-// held is the same of a request that stays open.
-func worthWhenHeld(b *harness, id, volume string, units float64) float64 {
-	b.t.Helper()
+// worthWhenHeld returns the same for a request that stays open.
+func worthWhenHeld(h *harness, id, volume string, units float64) float64 {
+	h.t.Helper()
 	r := Request{ID: id, Class: "read", Plan: "p", Volume: volume, Shard: 1, Hosts: 1, Units: units, Expires: time.Second}
-	b.step(0, r)
-	q := b.c.requests[id]
+	h.step(0, r)
+	q := h.c.requests[id]
 	if q == nil {
-		b.t.Fatalf("%s is not there any more", id)
+		h.t.Fatalf("%s is no longer kept", id)
 	}
 	return q.worth / (2 * units / 2)
 }
 
-func answerServed(b *harness, id string, use int, others float64) {
-	b.step(5*ms, Outcome{ID: id, Node: "n1", Result: Done, Elapsed: 5 * ms, Closed: true, VolumeUse: use, OthersGot: others})
+// answerServed has a request answered 5 ms later, with the given report of the volume's use.
+func answerServed(h *harness, id string, use int, others float64) {
+	h.step(5*ms, Outcome{ID: id, Node: "n1", Result: Done, Elapsed: 5 * ms, Closed: true, VolumeUse: use, OthersGot: others})
 }
 
 func newSharesHarness(t *testing.T) *harness {
@@ -40,81 +41,84 @@
 	return newHarness(t, set, nodeEntry("n1", 1))
 }
 
+// sharesOfV returns shares in which only volume v has one, at the given rate.
 func sharesOfV(rate float64) Shares {
 	return Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{"v": {Rate: rate, At: map[string]float64{"n1": rate}}}}
 }
 
-// TestSharesTold: what a volume asks within the share told is held at the share's worth, of
-// what it asks beyond it the part counts that is inside; volumes of which nothing is told are
-// guessed at as before. Where the shares place its data makes no difference.
+// TestWorthWithinAndBeyondShare: requests within a volume's share get the share's worth. Of
+// a demand beyond it, the covered part counts. Volumes without a share get the worth by their
+// nominal rate, as do all volumes after the shares are withdrawn. The nodes on which the
+// shares place a volume make no difference.
 func TestWorthWithinAndBeyondShare(t *testing.T) {
 	for _, at := range []map[string]float64{{"n1": 40}, {"n1": 2}, {"n9": 40}, nil} {
-		b := newSharesHarness(t)
-		b.step(0, Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{"v": {Rate: 40, At: at}}})
+		h := newSharesHarness(t)
+		h.step(0, Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{"v": {Rate: 40, At: at}}})
 		last := 0.0
 		for i := range 100 { // 20 units a second
-			if last = worthWhenServed(b, fmt.Sprint("in", i), "v", 0.1); math.Abs(last-0.8) > 1e-9 {
-				t.Fatalf("inside its share request %d is held at %v of its worth, want 0.8", i, last)
+			if last = worthWhenServed(h, fmt.Sprint("in", i), "v", 0.1); math.Abs(last-0.8) > 1e-9 {
+				t.Fatalf("request %d, within the share, gets %v of its worth, want 0.8", i, last)
 			}
 		}
 		for i := range 1000 { // 100 units a second, two and a half times its share
-			worthWhenServed(b, fmt.Sprint("over", i), "v", 0.5)
+			worthWhenServed(h, fmt.Sprint("over", i), "v", 0.5)
 		}
-		last = worthWhenHeld(b, "last", "v", 0.5)
-		part, trust := b.c.sharesFactor(b.c.requests["last"])
+		last = worthWhenHeld(h, "last", "v", 0.5)
+		part, trust := h.c.sharesFactor(h.c.requests["last"])
 		if want := 0.1 + 0.7*40/100; math.Abs(part-want) > 0.02 || trust != 1 || math.Abs(last-(trust*part+(1-trust)*0.8)) > 0.02 {
-			t.Errorf("placed %v: beyond its share a request counts %v, trusted %v, held at %v; want about %v", at, part, trust, last, want)
+			t.Errorf("placed %v: beyond the share the factor is %v with trust %v, and a request gets %v; want about %v", at, part, trust, last, want)
 		}
-		if w := worthWhenServed(b, "c", "other", 0.8); math.Abs(w-0.8) > 1e-9 {
-			t.Errorf("of a volume of which nothing is told: %v, want today's 0.8", w)
+		if w := worthWhenServed(h, "c", "other", 0.8); math.Abs(w-0.8) > 1e-9 {
+			t.Errorf("a request of a volume without a share gets %v, want 0.8", w)
 		}
-		untold := newSharesHarness(t)
+		plain := newSharesHarness(t)
 		for i := range 50 {
-			worthWhenServed(untold, fmt.Sprint("g", i), "v", 0.8)
+			worthWhenServed(plain, fmt.Sprint("g", i), "v", 0.8)
 		}
-		b = newSharesHarness(t)
-		b.step(0, sharesOfV(1))
-		b.step(0, Shares{Version: 2})
+		h = newSharesHarness(t)
+		h.step(0, sharesOfV(1))
+		h.step(0, Shares{Version: 2})
 		for i := range 50 {
-			last = worthWhenServed(b, fmt.Sprint("g", i), "v", 0.8)
+			last = worthWhenServed(h, fmt.Sprint("g", i), "v", 0.8)
 		}
-		if w := worthWhenServed(untold, "x", "v", 8); w != worthWhenServed(b, "x", "v", 8) {
-			t.Errorf("after the shares were withdrawn it is not priced as if none had been told: %v", w)
+		if w := worthWhenServed(plain, "x", "v", 8); w != worthWhenServed(h, "x", "v", 8) {
+			t.Errorf("after the shares were withdrawn, the worth differs from %v, that without any shares", w)
 		}
 	}
 }
 
-// TestSharesMet: a volume whose share is all that it was expected to ask for is priced no lower
-// than it is guessed at, however much it asks; one that is due more than the guess gains.
+// TestMetShareDoesNotLowerWorth: a volume whose share covers its whole expected demand gets
+// no less than the worth by its nominal rate, however large its demand, and more if the share
+// is larger. A share that does not cover the expected demand lowers the worth.
 func TestMetShareDoesNotLowerWorth(t *testing.T) {
 	price := func(met bool, rate float64) (last float64) {
-		b := newSharesHarness(t)
-		b.step(0, Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{"v": {Rate: rate, Met: met}}})
-		for i := range 1000 { // 100 units a second; guessed at in full up to 200
-			last = worthWhenServed(b, fmt.Sprint("r", i), "v", 0.5)
+		h := newSharesHarness(t)
+		h.step(0, Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{"v": {Rate: rate, Met: met}}})
+		for i := range 1000 { // 100 units a second; the nominal rate covers up to 200
+			last = worthWhenServed(h, fmt.Sprint("r", i), "v", 0.5)
 		}
 		return last
 	}
 	if got := price(true, 40); math.Abs(got-0.8) > 1e-9 {
-		t.Errorf("met, and guessed at more: held at %v, want 0.8", got)
+		t.Errorf("with a met share, a request gets %v, want 0.8", got)
 	}
 	if got := price(false, 40); got > 0.5 {
-		t.Errorf("not met: held at %v", got)
+		t.Errorf("with a share that is not met, a request gets %v, want at most 0.5", got)
 	}
 }
 
-// TestSharesFade: older than stated, or belied by the volume's meter, shares told give
-// way to the guess; within a factor of two of the meter they hold.
+// TestShareTrustDecays: shares lose their trust past the trusted age, or if the volume's
+// meter contradicts them. Within a factor of two of the meter they are trusted in full.
 func TestShareTrustDecays(t *testing.T) {
 	trust := func(age time.Duration, use int, rate float64) float64 {
-		b := newSharesHarness(t)
+		h := newSharesHarness(t)
 		s := sharesOfV(rate)
 		s.Age = age
-		b.step(0, s)
-		worthWhenHeld(b, "a", "v", 1)
-		answerServed(b, "a", use, 0)
-		worthWhenHeld(b, "b", "v", 1)
-		_, trust := b.c.sharesFactor(b.c.requests["b"])
+		h.step(0, s)
+		worthWhenHeld(h, "a", "v", 1)
+		answerServed(h, "a", use, 0)
+		worthWhenHeld(h, "b", "v", 1)
+		_, trust := h.c.sharesFactor(h.c.requests["b"])
 		return trust
 	}
 	for _, c := range []struct {
@@ -128,48 +132,50 @@
 		{75 * time.Minute, 101, 10, 0}, {75 * time.Minute, 57, 10, 0.25},
 	} {
 		if got := trust(c.age, c.use, c.rate); math.Abs(got-c.want) > 0.02 {
-			t.Errorf("age %v, use %d of 100, share %v: trusted %v, want %v", c.age, c.use-1, c.rate, got, c.want)
+			t.Errorf("age %v, use %d of 100, share %v: trust %v, want %v", c.age, c.use-1, c.rate, got, c.want)
 		}
 	}
 	last := 2.0
-	for use := 10; use <= 120; use += 5 { // never more trust the further off
+	for use := 10; use <= 120; use += 5 { // trust never grows with the distance
 		got := trust(0, 1+use, 10)
 		if got > last {
-			t.Errorf("use %d: trusted %v, after %v", use, got, last)
+			t.Errorf("use %d: trust %v, higher than %v at a lower use", use, got, last)
 		}
 		last = got
 	}
 }
 
-// TestSharesOfManyHosts: of the share this host has the part that it has of the volume's
-// work, by what answers tell of the others.
+// TestSharesOfManyHosts: this host counts on the part of the share that corresponds to its
+// part of the volume's work, which answers report for the other hosts.
 func TestSharesOfManyHosts(t *testing.T) {
-	b := newSharesHarness(t)
-	b.step(0, sharesOfV(60))
+	h := newSharesHarness(t)
+	h.step(0, sharesOfV(60))
 	for i := range 40 { // three other hosts serve as much each
 		id := fmt.Sprint("r", i)
-		b.step(0, Request{ID: id, Class: "read", Plan: "p", Volume: "v", Shard: 1, Hosts: 4, Units: 2, Expires: time.Second})
-		b.step(95*ms, Outcome{ID: id, Node: "n1", Result: Done, Elapsed: 95 * ms, Closed: true, VolumeUse: 61, OthersGot: 6})
+		h.step(0, Request{ID: id, Class: "read", Plan: "p", Volume: "v", Shard: 1, Hosts: 4, Units: 2, Expires: time.Second})
+		h.step(95*ms, Outcome{ID: id, Node: "n1", Result: Done, Elapsed: 95 * ms, Closed: true, VolumeUse: 61, OthersGot: 6})
 	}
-	for i := range 100 { // 200 units a second here: far beyond any part of it
-		worthWhenHeld(b, fmt.Sprint("x", i), "v", 2)
-		answerServed(b, fmt.Sprint("x", i), 61, 6)
+	for i := range 100 { // 200 units a second here, far beyond any part of the share
+		worthWhenHeld(h, fmt.Sprint("x", i), "v", 2)
+		answerServed(h, fmt.Sprint("x", i), 61, 6)
 	}
-	worthWhenHeld(b, "y", "v", 2)
-	if got, _ := b.c.sharesFactor(b.c.requests["y"]); math.Abs(got-(0.1+0.7*15/157)) > 0.03 { // 157 of them within the last second, fading
-		t.Errorf("far more asked than a quarter of 60: told %v", got)
+	worthWhenHeld(h, "y", "v", 2)
+	// The decayed sum of the units of the last second is 157.
+	if got, _ := h.c.sharesFactor(h.c.requests["y"]); math.Abs(got-(0.1+0.7*15/157)) > 0.03 {
+		t.Errorf("with a demand far above a quarter of 60, the factor is %v", got)
 	}
 }
 
-// TestNoSharesNoChange: an event without shares, or with shares of other volumes, changes no
-// action of any random history.
+// TestIrrelevantSharesChangeNothing: an event without shares, or with shares of other
+// volumes, changes no action of a random sequence of events. With relevant shares, the same
+// events still give the same actions.
 func TestIrrelevantSharesChangeNothing(t *testing.T) {
 	for seed := range int64(30) {
 		plain := playRandom(t, seed)
 		for _, s := range []Shares{{}, {Version: 9, Trust: time.Hour}, {Version: 3, Trust: time.Hour,
 			Volumes: map[string]VolumeShare{"nobody": {Rate: 5, At: map[string]float64{"n1": 5}}}}} {
 			if got := playRandom(t, seed, s); !reflect.DeepEqual(plain, got) {
-				t.Fatalf("seed %d: %+v changes what is done", seed, s)
+				t.Fatalf("seed %d: shares %+v change the actions", seed, s)
 			}
 		}
 		s := Shares{Version: 3, Trust: time.Hour, Volumes: map[string]VolumeShare{}}
@@ -177,7 +183,7 @@
 			s.Volumes[fmt.Sprint("v", i)] = VolumeShare{Rate: 3, At: map[string]float64{"n1": 1, "n2": 2}}
 		}
 		if one, two := playRandom(t, seed, s), playRandom(t, seed, s); !reflect.DeepEqual(one, two) {
-			t.Fatalf("seed %d: the same events with shares, other actions", seed)
+			t.Fatalf("seed %d: two runs with the same shares differ", seed)
 		}
 	}
 }
