--- a/control/control.go
+++ b/control/control.go
@@ -511,8 +511,9 @@
 
 // opportunityCost returns what a unit of the node's time is worth to other requests: the full mean worth of
 // a unit times a load. The load is the part of the tightest aim that the node's backlog takes plus, to the
-// power 1.5, the part of the request's own aim that held work takes; it is squared while there is no overall
-// backlog. This prevents a queue in which every request is late, whatever the cause of the shortage.
+// power 1.5, the part of the request's own aim that held work takes. It is squared while there is no overall
+// backlog; an overall backlog raises the second factor, up to 2. This prevents a queue in which every request
+// is late, whatever the cause of the shortage.
 // Drawback: a node that pauses refuses requests of low worth although it would have time for them.
 func (c *Controller) opportunityCost(r *request, sim simulation) float64 {
 	slot := float64(c.slot)
