--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,6 +1,6 @@
-// Command wirehost runs controllers on the bench's line protocol: batches of
-// events on standard input, a reply for each on standard output. Each instance
-// has a controller of its own; they share nothing.
+// Command wirehost runs controllers over the line protocol of the simulator: it reads batches of events from
+// standard input and writes a reply to each batch to standard output. Each instance has its own controller;
+// instances share no state.
 package main
 
 import (
@@ -22,23 +22,23 @@
 	}
 }
 
-// instance is one host: its controller, and its events of the present batch.
+// instance is one simulated host: its controller and its events in the current batch.
 type instance struct {
 	name       string
 	controller *control.Controller
 	events     []control.Event
-	queued     bool
+	queued     bool // it is in host.active
 }
 
 // host holds the instances of this process.
 type host struct {
 	instances map[string]*instance
-	active    []*instance // those with events in this batch, in order
+	active    []*instance // instances with events in this batch, in order of their first event
 	clock     time.Duration
 	reply     []byte
 }
 
-// serve answers batches until the input ends.
+// serve processes batches until the input ends.
 func serve(in io.Reader, out, log io.Writer) error {
 	reader, writer := wire.NewReader(in), bufio.NewWriter(out)
 	h := &host{instances: map[string]*instance{}}
@@ -61,7 +61,7 @@
 		case wire.KindEvent:
 			h.event(m)
 		case wire.KindUnknown:
-			fmt.Fprintf(log, "wirehost: message %s is unknown and passed over\n", m.Name)
+			fmt.Fprintf(log, "wirehost: message %s is unknown and is ignored\n", m.Name)
 		case wire.KindEnd:
 			h.finish()
 			if _, err := writer.Write(wire.AppendReady(h.reply, batch)); err != nil {
@@ -74,22 +74,22 @@
 	}
 }
 
-// start brings an instance up, empty.
+// start creates an instance with a new controller. It replaces a running instance of the same name.
 func (h *host) start(m wire.Message) {
 	h.stop(m.Instance)
-	set, err := wire.Settings(m.Setup)
+	settings, err := wire.Settings(m.Settings)
 	var c *control.Controller
 	if err == nil {
-		c, err = control.New(set, m.Seed)
+		c, err = control.New(settings, m.Seed)
 	}
 	if err != nil {
-		h.reply = wire.AppendFault(h.reply, m.Instance, err.Error())
+		h.reply = wire.AppendInternalError(h.reply, m.Instance, err.Error())
 		return
 	}
 	h.instances[m.Instance] = &instance{name: m.Instance, controller: c}
 }
 
-// stop throws away all that an instance knew.
+// stop discards an instance and its state.
 func (h *host) stop(name string) {
 	if i := h.instances[name]; i != nil {
 		i.controller = nil
@@ -97,6 +97,7 @@
 	}
 }
 
+// event adds an event to its instance's part of the batch. It drops events for unknown instances.
 func (h *host) event(m wire.Message) {
 	i := h.instances[m.Instance]
 	if i == nil {
@@ -109,7 +110,7 @@
 	i.events = append(i.events, m.Event)
 }
 
-// finish lets every instance with events decide.
+// finish runs the controllers of all instances with events in this batch.
 func (h *host) finish() {
 	for _, i := range h.active {
 		if i.controller != nil {
@@ -120,12 +121,12 @@
 	h.active = h.active[:0]
 }
 
-// decide appends an instance's actions. A panic in the controller is reported
-// as that instance's fault, and the instance is gone.
+// decide runs an instance's controller and appends its actions to the reply. A panic in the controller is
+// reported as an internal error of that instance, and the instance is removed.
 func (h *host) decide(i *instance) {
 	defer func() {
 		if p := recover(); p != nil {
-			h.reply = wire.AppendFault(h.reply, i.name, fmt.Sprint(p))
+			h.reply = wire.AppendInternalError(h.reply, i.name, fmt.Sprint(p))
 			h.stop(i.name)
 		}
 	}()
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -8,9 +8,8 @@
 	"eiderhold/control"
 )
 
-// setup is the part of the settings message that the library has a use for.
-// Unknown keys are skipped.
-type setup struct {
+// settingsMessage holds the keys of the settings message that are used. Unknown keys are ignored.
+type settingsMessage struct {
 	Balancers int `json:"balancers"`
 	Classes   []struct {
 		Name       string  `json:"name"`
@@ -81,28 +80,30 @@
 	"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone, "cell": control.GroupCell,
 }
 
-// Conns are the settings of connections to nodes, which concern the host that opens them and not the library.
+// Conns holds the settings of connections to nodes. They apply to the host that opens the connections,
+// not to the controller.
 type Conns struct {
-	Idle        time.Duration // a node closes a connection that has idled for so long; 0: it does not
-	DialTimeout time.Duration // a connection that is not up by then counts as unreachable; 0: not told
+	Idle        time.Duration // a node closes a connection that has been idle for this long; 0: it does not
+	DialTimeout time.Duration // a node that does not accept a connection in this time is unreachable; 0: not set
 }
 
-// ConnSettings reads what the settings say of connections.
+// ConnSettings parses the connection settings of a start message.
 func ConnSettings(text []byte) (Conns, error) {
-	var s setup
-	if err := json.Unmarshal(text, &s); err != nil {
+	var message settingsMessage
+	if err := json.Unmarshal(text, &message); err != nil {
 		return Conns{}, fmt.Errorf("settings: %w", err)
 	}
-	c := Conns{duration(s.Limits.ConnIdleMS), duration(s.Limits.DialTimeoutMS)}
-	if c.Idle < 0 || c.DialTimeout < 0 {
-		return c, fmt.Errorf("settings: limits: conn_idle_ms %v, dial_timeout_ms %v: expected none below 0",
-			s.Limits.ConnIdleMS, s.Limits.DialTimeoutMS)
+	conns := Conns{duration(message.Limits.ConnIdleMS), duration(message.Limits.DialTimeoutMS)}
+	if conns.Idle < 0 || conns.DialTimeout < 0 {
+		return conns, fmt.Errorf("settings: limits: conn_idle_ms %v, dial_timeout_ms %v: expected none below 0",
+			message.Limits.ConnIdleMS, message.Limits.DialTimeoutMS)
 	}
-	return c, nil
+	return conns, nil
 }
 
-// check names the first field that cannot be meant. Figures are the controller's to check.
-func (s *setup) check() error {
+// check validates names and counts and returns an error for an invalid field. The controller validates the
+// other values.
+func (s *settingsMessage) check() error {
 	if s.Discovery != "" && s.Discovery != "pushed" && s.Discovery != "on_request" {
 		return fmt.Errorf("discovery: %q: expected pushed or on_request", s.Discovery)
 	}
@@ -128,50 +129,49 @@
 	return nil
 }
 
-// Settings translates the settings of a start message. Whether they make sense
-// is for the controller's constructor to say.
+// Settings translates the settings of a start message. control.New validates the result.
 func Settings(text []byte) (control.Settings, error) {
-	var s setup
-	if err := json.Unmarshal(text, &s); err != nil {
+	var message settingsMessage
+	if err := json.Unmarshal(text, &message); err != nil {
 		return control.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := s.check(); err != nil {
+	if err := message.check(); err != nil {
 		return control.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	set := control.Settings{
-		Hosts:     s.Balancers,
-		MeanUnits: s.FamilyInfo.UnitMean, MostUnits: s.FamilyInfo.MostUnits,
-		ShareWorth: s.FamilyInfo.WithinShare, SpareWorth: s.FamilyInfo.IdleWorth,
-		MeterSpan: duration(s.FamilyInfo.UsePeriodMS), Shards: s.FamilyInfo.SlotsTotal,
-		MaxAttempts: s.Limits.MaxAttempts, MaxRetryAfter: duration(s.Limits.MaxRetryAfterMS),
-		SecondCopies: s.Limits.SecondCopies, Cancelling: s.Limits.Cancelling,
-		Probing: s.Limits.Probes, ProbePrice: s.Tariffs.Probe,
-		DrainGrace: duration(s.Safety.DrainGraceMS),
-		ColdFor:    duration(s.Safety.ColdMS), ColdCapacity: s.Safety.StartCapacity,
-		FallMultiple: s.Safety.OverloadFactor, FallSpan: duration(s.Safety.FallMS),
-		ColdBears: s.FamilyInfo.ColdBears,
-		ExtraFree: s.Safety.BudgetFree, ExtraShare: s.Safety.ResendRatio,
-		ExtraSpan: duration(s.Safety.ResendSpanMS), OrderRest: duration(s.Safety.SettleAfterDoubtMS),
-		ListOnRequest: s.Discovery == "on_request", AskWithin: duration(s.Safety.MustAskInMS),
-		LoadFields: s.Telemetry.Fields,
+	settings := control.Settings{
+		Hosts:     message.Balancers,
+		MeanUnits: message.FamilyInfo.UnitMean, MostUnits: message.FamilyInfo.MostUnits,
+		ShareWorth: message.FamilyInfo.WithinShare, SpareWorth: message.FamilyInfo.IdleWorth,
+		MeterSpan: duration(message.FamilyInfo.UsePeriodMS), Shards: message.FamilyInfo.SlotsTotal,
+		MaxAttempts: message.Limits.MaxAttempts, MaxRetryAfter: duration(message.Limits.MaxRetryAfterMS),
+		SecondCopies: message.Limits.SecondCopies, Cancelling: message.Limits.Cancelling,
+		Probing: message.Limits.Probes, ProbePrice: message.Tariffs.Probe,
+		DrainGrace: duration(message.Safety.DrainGraceMS),
+		ColdFor:    duration(message.Safety.ColdMS), ColdCapacity: message.Safety.StartCapacity,
+		FallMultiple: message.Safety.OverloadFactor, FallSpan: duration(message.Safety.FallMS),
+		ColdBears: message.FamilyInfo.ColdBears,
+		ExtraFree: message.Safety.BudgetFree, ExtraShare: message.Safety.ResendRatio,
+		ExtraSpan: duration(message.Safety.ResendSpanMS), OrderRest: duration(message.Safety.SettleAfterDoubtMS),
+		ListOnRequest: message.Discovery == "on_request", AskWithin: duration(message.Safety.MustAskInMS),
+		LoadFields: message.Telemetry.Fields,
 	}
-	for i, c := range s.Classes {
+	for i, c := range message.Classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
-			return set, fmt.Errorf("settings: classes[%d].effect: unknown kind %q", i, c.Effect)
+			return settings, fmt.Errorf("settings: classes[%d].effect: unknown kind %q", i, c.Effect)
 		}
 		group, ok := groups[c.DedupScope]
 		if !ok {
-			return set, fmt.Errorf("settings: classes[%d].dedup_scope: unknown kind %q", i, c.DedupScope)
+			return settings, fmt.Errorf("settings: classes[%d].dedup_scope: unknown kind %q", i, c.DedupScope)
 		}
-		set.Classes = append(set.Classes, control.Class{Name: c.Name, Effect: effect, Group: group,
+		settings.Classes = append(settings.Classes, control.Class{Name: c.Name, Effect: effect, Group: group,
 			Window: duration(c.WindowMS), Aim: duration(c.SloMS), Deadline: duration(c.DeadlineMS),
 			Worth: c.Credit, LateWorth: c.LateWorth, InOrder: c.InOrder,
-			Writes: i < len(s.FamilyInfo.Writes) && s.FamilyInfo.Writes[i]})
+			Writes: i < len(message.FamilyInfo.Writes) && message.FamilyInfo.Writes[i]})
 	}
-	for _, p := range s.Policies {
-		set.Plans = append(set.Plans, control.Plan{Name: p.Name, Nominal: p.Nominal, Price: p.Pays,
+	for _, p := range message.Policies {
+		settings.Plans = append(settings.Plans, control.Plan{Name: p.Name, Nominal: p.Nominal, Price: p.Pays,
 			Reserve: p.Reserve, Weight: p.Shares, LimitRate: p.Cap, LimitBurst: p.Burst, LimitSlack: p.Tolerance})
 	}
-	return set, nil
+	return settings, nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,6 @@
-// Package wire reads and writes the bench's line protocol. It translates
-// between lines and the types of package control and knows no policy.
+// Package wire reads and writes the line protocol of the simulator. It translates between protocol lines and
+// the events and actions of package control, and makes no decisions. Command wirehost uses it to run controllers,
+// and package live uses it to read settings in the protocol's format.
 package wire
 
 import (
@@ -16,34 +17,33 @@
 	"eiderhold/control"
 )
 
-// Message is one line from the bench, decoded. Exactly the fields of its kind
-// are set.
+// Message is one decoded line from the simulator. Only the fields of its kind are set.
 type Message struct {
 	Kind     Kind
 	Instance string
 	Event    control.Event // KindEvent
 	Seed     int64         // KindStart
-	Setup    []byte        // KindStart: the settings as JSON
+	Settings []byte        // KindStart: the settings as JSON
 	Clock    time.Duration // KindBatch
-	Batch    string        // KindBatch: the batch's number, as it was written
-	Name     string        // KindUnknown: the message's name
+	Batch    string        // KindBatch: the batch number, as received
+	Name     string        // KindUnknown: the message name
 }
 
-// Kind tells messages apart.
+// Kind is the type of a message.
 type Kind int
 
-// The kinds of message.
+// Message kinds.
 const (
-	KindBatch   Kind = iota // a batch begins
-	KindEnd                 // a batch ends
-	KindStart               // an instance comes up
+	KindBatch   Kind = iota // start of a batch
+	KindEnd                 // end of a batch
+	KindStart               // an instance starts
 	KindStop                // an instance was killed
 	KindEvent               // an event for an instance
-	KindIgnored             // a known message with nothing for the controller
-	KindUnknown             // a message of unknown name
+	KindIgnored             // a known message that carries no event for the controller
+	KindUnknown             // a message with an unknown name
 )
 
-// LineError is a malformed line of a known message.
+// LineError reports a malformed line of a known message.
 type LineError struct {
 	Line int
 	Text string
@@ -56,23 +56,23 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// Reader decodes messages. It keeps the numbered node lists, which belong to
-// the whole stream and are resolved in the order of the lines.
+// Reader decodes messages. It keeps the numbered node lists, which are shared by all instances of the stream;
+// a line refers to the latest list read before it under that number.
 type Reader struct {
-	in    *bufio.Reader
-	line  int
-	banks map[int][]control.Node
+	in        *bufio.Reader
+	line      int
+	nodeLists map[int][]control.Node
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that decodes messages from in.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 1<<16), banks: map[int][]control.Node{}}
+	return &Reader{in: bufio.NewReaderSize(in, 1<<16), nodeLists: map[int][]control.Node{}}
 }
 
 // Next returns the next message, or io.EOF at the end of the input.
 func (r *Reader) Next() (Message, error) {
 	for {
-		text, err := r.text()
+		text, err := r.readLine()
 		if err != nil {
 			return Message{}, err
 		}
@@ -81,25 +81,27 @@
 		}
 		m, err := r.decode(text)
 		if err != nil {
-			var located *LineError
-			if errors.As(err, &located) || errors.Is(err, io.EOF) {
+			var lineError *LineError
+			if errors.As(err, &lineError) || errors.Is(err, io.EOF) {
 				return m, err
 			}
-			return m, &LineError{r.line, clip(text), err}
+			return m, &LineError{r.line, truncate(text), err}
 		}
 		return m, nil
 	}
 }
 
-func clip(text string) string {
-	const most = 200
-	if len(text) > most {
-		return text[:most] + "..."
+// truncate shortens a line for an error message.
+func truncate(text string) string {
+	const maxLength = 200
+	if len(text) > maxLength {
+		return text[:maxLength] + "..."
 	}
 	return text
 }
 
-func (r *Reader) text() (string, error) {
+// readLine returns the next line without its line ending.
+func (r *Reader) readLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	if err != nil && (text == "" || err != io.EOF) {
 		return "", err
@@ -108,81 +110,82 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
+// decode parses one line. For a node list it also reads the lines of its entries.
 func (r *Reader) decode(text string) (Message, error) {
 	name, rest, _ := strings.Cut(text, " ")
 	f := &fields{rest: rest, more: rest != ""}
 	m := Message{Kind: KindEvent}
 	switch name {
 	case "MARK":
-		m.Kind, m.Clock, m.Batch = KindBatch, f.ms(), f.word()
+		m.Kind, m.Clock, m.Batch = KindBatch, f.milliseconds(), f.word()
 	case "END":
 		m.Kind = KindEnd
 	case "HELLO":
-		m.Kind, m.Instance, m.Seed = KindStart, f.word(), f.whole()
-		m.Setup = []byte(f.rest)
-		if !f.more || !json.Valid(m.Setup) {
+		m.Kind, m.Instance, m.Seed = KindStart, f.word(), f.integer()
+		m.Settings = []byte(f.rest)
+		if !f.more || !json.Valid(m.Settings) {
 			f.fail(errors.New("setup is not JSON"))
 		}
 	case "POOL":
 		m.Kind = KindIgnored
-		return m, r.pool(f)
+		return m, r.readNodeList(f)
 	case "EXIT":
 		m.Kind, m.Instance = KindStop, f.word()
 	case "HEARD":
 		m.Kind, m.Instance = KindIgnored, f.word()
 	case "TARGETS":
 		m.Instance = f.word()
-		bank := int(f.whole())
-		m.Event = r.targets(f, bank)
+		number := int(f.integer())
+		m.Event = r.nodeListEvent(f, number)
 	case "DEMAND":
-		m.Instance, m.Event = f.word(), demand(f)
+		m.Instance, m.Event = f.word(), requestEvent(f)
 	case "REPORT_BACK":
-		m.Instance, m.Event = f.word(), report(f)
+		m.Instance, m.Event = f.word(), outcomeEvent(f)
 	case "TIMED_OUT_CLIENT":
 		m.Instance, m.Event = f.word(), control.ClientGone{ID: f.word()}
 	case "ELAPSED":
-		m.Instance, m.Event = f.word(), control.TimerFired{Token: f.whole()}
+		m.Instance, m.Event = f.word(), control.TimerFired{Token: f.integer()}
 	case "ESTABLISHED":
-		m.Instance, m.Event = f.word(), control.AnswerStarted{ID: f.word(), Attempt: int(f.whole())}
+		m.Instance, m.Event = f.word(), control.AnswerStarted{ID: f.word(), Attempt: int(f.integer())}
 	case "PROBED":
 		m.Instance = f.word()
-		m.Event = control.ProbeResult{Node: f.word(), Result: f.result(), Elapsed: f.ms(), Load: f.row()}
+		m.Event = control.ProbeResult{Node: f.word(), Result: f.result(), Elapsed: f.milliseconds(), Load: f.numbers()}
 	default:
 		return Message{Kind: KindUnknown, Name: name}, nil
 	}
 	return m, f.err
 }
 
-// pool reads a numbered list. A newer one takes over its number.
-func (r *Reader) pool(f *fields) error {
-	bank, records := int(f.whole()), int(f.whole())
+// readNodeList reads a numbered node list. It replaces an earlier list of the same number.
+func (r *Reader) readNodeList(f *fields) error {
+	number, entries := int(f.integer()), int(f.integer())
 	if f.err != nil {
 		return f.err
 	}
-	if records < 0 {
+	if entries < 0 {
 		return errors.New("negative number of entries")
 	}
 	var list []control.Node
-	for range records {
-		text, err := r.text()
+	for range entries {
+		text, err := r.readLine()
 		if err != nil {
-			return &LineError{r.line + 1, "", fmt.Errorf("list of %d entries ends early", records)}
+			return &LineError{r.line + 1, "", fmt.Errorf("list of %d entries ends early", entries)}
 		}
 		rest, ok := strings.CutPrefix(text, "NODE ")
-		e := &fields{rest: rest, more: ok}
-		n := control.Node{ID: e.word(), Zone: e.word()}
-		e.word() // the kind of machine
-		n.Shard, n.State = int(e.whole()), e.state()
-		n.Size, n.StartedAt = e.number(), e.ms()
+		entry := &fields{rest: rest, more: ok}
+		node := control.Node{ID: entry.word(), Zone: entry.word()}
+		entry.word() // the machine type, which is not used
+		node.Shard, node.State = int(entry.integer()), entry.nodeState()
+		node.Size, node.StartedAt = entry.number(), entry.milliseconds()
 		if !ok {
-			e.fail(errors.New("not an entry of the list"))
+			entry.fail(errors.New("not an entry of the list"))
 		}
-		if e.err != nil {
-			return &LineError{r.line, clip(text), e.err}
+		if entry.err != nil {
+			return &LineError{r.line, truncate(text), entry.err}
 		}
-		list = append(list, n)
+		list = append(list, node)
 	}
-	r.banks[bank] = list
+	r.nodeLists[number] = list
 	return nil
 }
 
@@ -191,46 +194,51 @@
 	"cached": control.ListCached, "failed": control.ListFailed,
 }
 
-func (r *Reader) targets(f *fields, bank int) control.NodeList {
+// nodeListEvent parses a TARGETS line, which refers to a list by number.
+func (r *Reader) nodeListEvent(f *fields, number int) control.NodeList {
 	kind := lookup(f, "kind of list", listKinds)
 	if kind == control.ListFailed {
 		return control.NodeList{Kind: kind}
 	}
-	list, ok := r.banks[bank]
+	list, ok := r.nodeLists[number]
 	if !ok {
-		f.fail(fmt.Errorf("no list numbered %d", bank))
+		f.fail(fmt.Errorf("no list numbered %d", number))
 	}
 	return control.NodeList{Kind: kind, Nodes: list}
 }
 
-func demand(f *fields) control.Request {
-	q := control.Request{ID: f.word(), Shard: int(f.number()), Hosts: int(f.number()), Plan: f.text(),
-		Units: f.number(), Item: f.text(), Volume: f.text(), Class: f.text(), Expires: f.ms()}
-	q.Retry = f.whole()&2 != 0
-	if q.ID == "" || q.ID == "-" {
+// requestEvent parses a DEMAND line. Bit 1 of its last field marks a client's retry.
+func requestEvent(f *fields) control.Request {
+	request := control.Request{ID: f.word(), Shard: int(f.number()), Hosts: int(f.number()), Plan: f.optionalWord(),
+		Units: f.number(), Item: f.optionalWord(), Volume: f.optionalWord(), Class: f.optionalWord(), Expires: f.milliseconds()}
+	request.Retry = f.integer()&2 != 0
+	if request.ID == "" || request.ID == "-" {
 		f.fail(errors.New("no request id"))
 	}
-	return q
+	return request
 }
 
-func report(f *fields) control.Outcome {
-	return control.Outcome{ID: f.word(), Attempt: int(f.whole()), Node: f.word(), Result: f.result(),
-		Elapsed: f.ms(), Closed: f.whole() == 1, VolumeUse: int(f.whole()), OthersGot: f.number(), Load: f.row()}
+// outcomeEvent parses a REPORT_BACK line.
+func outcomeEvent(f *fields) control.Outcome {
+	return control.Outcome{ID: f.word(), Attempt: int(f.integer()), Node: f.word(), Result: f.result(),
+		Elapsed: f.milliseconds(), Closed: f.integer() == 1, VolumeUse: int(f.integer()), OthersGot: f.number(), Load: f.numbers()}
 }
 
-// fields takes the values of a line one by one; the first error stays.
+// fields parses the space-separated values of a line one by one and keeps the first error.
 type fields struct {
 	rest string
-	more bool
+	more bool // another value follows, possibly an empty one
 	err  error
 }
 
+// fail records err unless an earlier error is recorded.
 func (f *fields) fail(err error) {
 	if f.err == nil {
 		f.err = err
 	}
 }
 
+// word returns the next value, which must be present.
 func (f *fields) word() string {
 	if !f.more {
 		f.fail(errors.New("a value is missing"))
@@ -241,16 +249,17 @@
 	return w
 }
 
-// text is a word that may be absent.
-func (f *fields) text() string {
+// optionalWord returns the next value, or "" if it is "-" (absent).
+func (f *fields) optionalWord() string {
 	if w := f.word(); w != "-" {
 		return w
 	}
 	return ""
 }
 
-func (f *fields) whole() int64 {
-	w := f.text()
+// integer returns the next value as an integer, or 0 if it is absent.
+func (f *fields) integer() int64 {
+	w := f.optionalWord()
 	if w == "" {
 		return 0
 	}
@@ -261,8 +270,9 @@
 	return n
 }
 
+// number returns the next value as a finite number, or 0 if it is absent.
 func (f *fields) number() float64 {
-	w := f.text()
+	w := f.optionalWord()
 	if w == "" {
 		return 0
 	}
@@ -274,32 +284,34 @@
 	return x
 }
 
-func (f *fields) ms() time.Duration { return duration(f.number()) }
+// milliseconds returns the next value, a number of milliseconds, as a duration.
+func (f *fields) milliseconds() time.Duration { return duration(f.number()) }
 
-// duration rounds milliseconds to the bench's microseconds.
+// duration converts milliseconds to a duration, rounded to microseconds, the resolution of the protocol.
 func duration(ms float64) time.Duration {
-	const most = 1e12 // some 30 years: what is more, or less than none, is as good as it
-	return time.Duration(math.Round(max(-most, min(most, ms))*1000)) * time.Microsecond
+	const maxMilliseconds = 1e12 // about 30 years: larger magnitudes are clamped, so that the conversion cannot overflow
+	return time.Duration(math.Round(max(-maxMilliseconds, min(maxMilliseconds, ms))*1000)) * time.Microsecond
 }
 
-func (f *fields) row() []float64 {
-	w := f.text()
+// numbers returns the next value as a comma-separated list of numbers, NaN for one that is absent.
+func (f *fields) numbers() []float64 {
+	w := f.optionalWord()
 	if w == "" {
 		return nil
 	}
-	var row []float64
+	var list []float64
 	for part := range strings.SplitSeq(w, ",") {
 		if part == "-" || part == "" {
-			row = append(row, math.NaN())
+			list = append(list, math.NaN())
 			continue
 		}
 		x, err := strconv.ParseFloat(part, 64)
 		if err != nil {
 			f.fail(fmt.Errorf("%q is not a number", part))
 		}
-		row = append(row, x)
+		list = append(list, x)
 	}
-	return row
+	return list
 }
 
 var results = map[string]control.Result{
@@ -314,9 +326,9 @@
 	"ready": control.Ready, "draining": control.Draining, "gone": control.Gone,
 }
 
-func (f *fields) state() control.NodeState { return lookup(f, "state", states) }
+func (f *fields) nodeState() control.NodeState { return lookup(f, "state", states) }
 
-// lookup takes a word that must stand in a table.
+// lookup returns the entry of table for the next value, which must be one of its keys.
 func lookup[T any](f *fields, what string, table map[string]T) T {
 	w := f.word()
 	x, ok := table[w]
@@ -326,7 +338,7 @@
 	return x
 }
 
-// AppendAction appends the line of an action of an instance.
+// AppendAction appends the line for an action of an instance.
 func AppendAction(b []byte, instance string, a control.Action) []byte {
 	put := func(parts ...string) {
 		for i, p := range parts {
@@ -339,15 +351,15 @@
 	}
 	switch a := a.(type) {
 	case control.Send:
-		put("ATTEMPT", instance, a.ID, a.Node, millis(a.Within))
+		put("ATTEMPT", instance, a.ID, a.Node, formatMilliseconds(a.Within))
 	case control.Refuse:
-		put("SAY_NO", instance, a.ID, millis(a.RetryAfter))
+		put("SAY_NO", instance, a.ID, formatMilliseconds(a.RetryAfter))
 	case control.Fail:
 		put("SURRENDER", instance, a.ID)
 	case control.Cancel:
 		put("RECALL", instance, a.ID, strconv.Itoa(a.Attempt))
 	case control.SetTimer:
-		put("TIMER", instance, millis(a.At), strconv.FormatInt(a.Token, 10))
+		put("TIMER", instance, formatMilliseconds(a.At), strconv.FormatInt(a.Token, 10))
 	case control.Probe:
 		put("TEST", instance, a.Node)
 	case control.Subscribe:
@@ -362,8 +374,8 @@
 	return b
 }
 
-// AppendFault appends the line that reports failed decision code.
-func AppendFault(b []byte, instance, text string) []byte {
+// AppendInternalError appends the line that reports a failure of an instance's controller.
+func AppendInternalError(b []byte, instance, text string) []byte {
 	return append(b, "INTERNAL_ERROR "+instance+" "+oneLine(text)+"\n"...)
 }
 
@@ -372,8 +384,10 @@
 	return append(b, "READY "+batch+"\n"...)
 }
 
+// oneLine replaces each run of white space with one space, so that text fits on a protocol line.
 func oneLine(text string) string { return strings.Join(strings.Fields(text), " ") }
 
-func millis(d time.Duration) string {
+// formatMilliseconds formats a duration in milliseconds, rounded to microseconds.
+func formatMilliseconds(d time.Duration) string {
 	return strconv.FormatFloat(float64(d.Round(time.Microsecond))/float64(time.Millisecond), 'f', -1, 64)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -13,7 +13,7 @@
 
 const ms = time.Millisecond
 
-func events(t *testing.T, text string) []control.Event {
+func readEvents(t *testing.T, text string) []control.Event {
 	t.Helper()
 	r := NewReader(strings.NewReader(text))
 	var list []control.Event
@@ -53,15 +53,16 @@
 			Result: control.TimedOut, Elapsed: 250 * ms}},
 		{"TARGETS host-3 - failed 0", control.NodeList{Kind: control.ListFailed}},
 	} {
-		if got := events(t, tt.line+"\n"); len(got) != 1 || !reflect.DeepEqual(got[0], tt.want) {
+		if got := readEvents(t, tt.line+"\n"); len(got) != 1 || !reflect.DeepEqual(got[0], tt.want) {
 			t.Errorf("%s\n got %+v\nwant %+v", tt.line, got, tt.want)
 		}
 	}
 }
 
-// A list's number is taken over by a newer list, also later in one batch.
+// TestListNumbersAreReusedInOrder checks that a newer list replaces an earlier one of the same number, also
+// later in the same batch.
 func TestListNumbersAreReusedInOrder(t *testing.T) {
-	got := events(t, "MARK 1 1\nPOOL 0 1\nNODE node-a z std 4 ready 1.5 -\nTARGETS host-0 0 cached 1\n"+
+	got := readEvents(t, "MARK 1 1\nPOOL 0 1\nNODE node-a z std 4 ready 1.5 -\nTARGETS host-0 0 cached 1\n"+
 		"POOL 0 1\nNODE node-b z std 5 draining 1 6100.5\nTARGETS host-1 0 delta 2\nEND\n")
 	want := []control.Event{
 		control.NodeList{Kind: control.ListCached, Nodes: []control.Node{{ID: "node-a", Zone: "z", Shard: 4,
