--- a/placement/fill.go
+++ b/placement/fill.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Marks say when a shard takes no new extents any more, and when some again.
+// Marks configure when a shard stops accepting new extents and when it accepts them again.
 type Marks struct {
-	High float64 // part of its bytes from which on it takes none ...
-	Low  float64 // ... and below which it takes some again
-	// Hold is how long a shard that had no room for an extent is left alone, whatever it reports: what
-	// it counts as used and what it refuses may follow other rules.
+	High float64 // a shard stops accepting extents once this fraction of its bytes is used ...
+	Low  float64 // ... and accepts them again once usage is below this fraction
+	// Hold is how long a shard that had no room for an extent gets no new extents, whatever it reports. Its used
+	// bytes and its refusals may follow different rules, so a report alone does not show that it has room again.
 	Hold time.Duration
 }
 
-// DefaultMarks leave a twentieth for what is under way when the mark is passed.
+// DefaultMarks holds the default marks. The high mark leaves 5% for writes that are in flight when it is passed.
 var DefaultMarks = Marks{High: 0.95, Low: 0.9, Hold: 10 * time.Second}
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid mark.
 func (m *Marks) Check() error {
 	if !(m.Low > 0 && m.Low <= m.High && m.High <= 1) {
 		return fmt.Errorf("low = %v, high = %v: more than 0, low at most high, high at most 1", m.Low, m.High)
@@ -32,154 +32,156 @@
 }
 
 const (
-	// AskFull is how often a shard that takes nothing is asked whether it has room again, and AskAll how
-	// often one that takes some: nothing else is heard of a shard that gets no requests.
-	AskFull = 2 * time.Second
-	AskAll  = 30 * time.Second
-	// steps of the room that is left change a shard's weight: not every report a map.
-	steps = 64
+	// FullShardReportInterval is the interval at which a shard that accepts no extents is asked for a report, and
+	// ReportInterval that of other shards. Without being asked, a shard that gets no requests reports nothing.
+	FullShardReportInterval = 2 * time.Second
+	ReportInterval          = 30 * time.Second
+	// headroomSteps is the number of steps in which headroom changes a shard's weight, so that not every report
+	// leads to a new map.
+	headroomSteps = 64
 )
 
-// Fill is what is known of the bytes that shards hold, and which of them take new extents. It is
-// not safe for concurrent use.
+// Fill tracks how many bytes each shard holds and which shards accept new extents. It is not safe for
+// concurrent use.
 type Fill struct {
 	marks  Marks
-	shards map[int]*level
+	shards map[int]*shardFill
 }
 
-// level is that of one shard.
-type level struct {
+// shardFill is the state of one shard.
+type shardFill struct {
 	used, capacity int64
-	at             time.Duration // of the last report
-	asked          time.Duration // when one was last asked for
-	fullAt         time.Duration // when it last had no room
-	full           bool          // it had no room, and has not been heard of long enough since
-	past           bool          // the high mark, and not yet below the low one
+	reportedAt     time.Duration // time of the last report
+	askedAt        time.Duration // time of the last request for a report
+	fullAt         time.Duration // time at which the shard last had no room
+	full           bool          // had no room; cleared by a report after Marks.Hold
+	pastMark       bool          // passed the high mark and is not yet below the low mark
 }
 
-// NewFill knows of no shard yet.
+// NewFill returns a Fill without any shards.
 func NewFill(m Marks) (*Fill, error) {
 	if err := m.Check(); err != nil {
 		return nil, fmt.Errorf("placement: marks: %w", err)
 	}
-	return &Fill{marks: m, shards: map[int]*level{}}, nil
+	return &Fill{marks: m, shards: map[int]*shardFill{}}, nil
 }
 
-// Keep forgets all shards but those.
+// Keep removes all shards for which known returns false.
 func (f *Fill) Keep(known func(shard int) bool) {
-	maps.DeleteFunc(f.shards, func(s int, _ *level) bool { return !known(s) })
+	maps.DeleteFunc(f.shards, func(s int, _ *shardFill) bool { return !known(s) })
 }
 
-func (f *Fill) level(shard int) *level {
+// shard returns the state of a shard and creates it if needed.
+func (f *Fill) shard(shard int) *shardFill {
 	l := f.shards[shard]
 	if l == nil {
-		l = &level{}
+		l = &shardFill{}
 		f.shards[shard] = l
 	}
 	return l
 }
 
-// Report takes what a shard says that it holds, in bytes; a capacity of 0 says nothing. It tells
-// whether who takes extents has changed, or a weight by a step.
+// Report records the used bytes and the capacity that a shard reports; a capacity of 0 means unknown. It returns
+// whether the shard now accepts extents where it did not before, or the reverse, or its headroom changed by a step.
 func (f *Fill) Report(shard int, used, capacity int64, now time.Duration) (changed bool) {
-	l := f.level(shard)
-	took, room := l.takes(), l.step()
-	l.at = max(l.at, now)
+	l := f.shard(shard)
+	tookBefore, stepBefore := l.takes(), l.headroomStep()
+	l.reportedAt = max(l.reportedAt, now)
 	l.used, l.capacity = max(0, used), max(0, capacity)
 	if l.full && now >= l.fullAt+f.marks.Hold {
 		l.full = false
 	}
-	switch part := l.part(); {
+	switch usedFraction := l.usedFraction(); {
 	case l.capacity == 0:
-		l.past = false
-	case part >= f.marks.High:
-		l.past = true
-	case part < f.marks.Low:
-		l.past = false
+		l.pastMark = false
+	case usedFraction >= f.marks.High:
+		l.pastMark = true
+	case usedFraction < f.marks.Low:
+		l.pastMark = false
 	}
-	return took != l.takes() || room != l.step()
+	return tookBefore != l.takes() || stepBefore != l.headroomStep()
 }
 
-// NoRoom takes that a shard had no room for an extent.
+// NoRoom records that a shard had no room for an extent. It returns whether the shard accepted extents before.
 func (f *Fill) NoRoom(shard int, now time.Duration) (changed bool) {
-	l := f.level(shard)
-	took := l.takes()
+	l := f.shard(shard)
+	tookBefore := l.takes()
 	l.full, l.fullAt = true, now
-	return took
+	return tookBefore
 }
 
-func (l *level) takes() bool { return !l.past && !l.full }
+func (l *shardFill) takes() bool { return !l.pastMark && !l.full }
 
-// part is the part of its bytes that is used.
-func (l *level) part() float64 {
+// usedFraction returns the fraction of the shard's bytes that is used; 0 if its capacity is unknown.
+func (l *shardFill) usedFraction() float64 {
 	if l.capacity == 0 {
 		return 0
 	}
 	return float64(l.used) / float64(l.capacity)
 }
 
-func (l *level) step() int { return int(steps * l.part()) }
+func (l *shardFill) headroomStep() int { return int(headroomSteps * l.usedFraction()) }
 
-// Takes says whether a shard takes new extents. One that nothing is known of does.
+// Takes returns whether a shard accepts new extents. An unknown shard does.
 func (f *Fill) Takes(shard int) bool {
 	l := f.shards[shard]
 	return l == nil || l.takes()
 }
 
-// Headroom is the part of its bytes that is free, in whole steps; 1 if nothing is known.
+// Headroom returns the fraction of the shard's bytes that is free, in whole steps; 1 if nothing is known.
 func (f *Fill) Headroom(shard int) float64 {
 	l := f.shards[shard]
 	if l == nil {
 		return 1
 	}
-	return 1 - min(1, float64(l.step())/steps)
+	return 1 - min(1, float64(l.headroomStep())/headroomSteps)
 }
 
-// Ask are those of some shards that are to be asked for a report now, and notes that they were.
-func (f *Fill) Ask(shards []int, now time.Duration) (ask []int) {
+// Ask returns those of the given shards from which a report is due, and records that they are asked now.
+func (f *Fill) Ask(shards []int, now time.Duration) (due []int) {
 	for _, s := range shards {
-		l := f.level(s)
-		every := AskAll
+		l := f.shard(s)
+		interval := ReportInterval
 		if !l.takes() {
-			every = AskFull
+			interval = FullShardReportInterval
 		}
-		if last := max(l.at, l.asked); last == 0 || now >= last+every {
-			l.asked = now
-			ask = append(ask, s)
+		if last := max(l.reportedAt, l.askedAt); last == 0 || now >= last+interval {
+			l.askedAt = now
+			due = append(due, s)
 		}
 	}
-	return ask
+	return due
 }
 
-// Level is what is known of one shard.
+// Level is the fill level of one shard.
 type Level struct {
 	Shard    int
 	Used     int64         // bytes
-	Capacity int64         // bytes; 0: not told
-	Age      time.Duration // of the report; 0 and no capacity: none came
-	Full     bool          // it had no room of late
-	Past     bool          // it is past the high mark, or not yet below the low one again
+	Capacity int64         // bytes; 0: unknown
+	Age      time.Duration // time since the last report; meaningless before the first one
+	Full     bool          // had no room for an extent recently
+	Past     bool          // passed the high mark and is not yet below the low mark
 }
 
-// Levels are those of all shards, by number.
+// Levels returns the fill levels of all known shards, ordered by shard.
 func (f *Fill) Levels(now time.Duration) []Level {
 	list := make([]Level, 0, len(f.shards))
 	for s, l := range f.shards {
-		list = append(list, Level{s, l.used, l.capacity, max(0, now-l.at), l.full, l.past})
+		list = append(list, Level{s, l.used, l.capacity, max(0, now-l.reportedAt), l.full, l.pastMark})
 	}
 	slices.SortFunc(list, func(a, b Level) int { return cmp.Compare(a.Shard, b.Shard) })
 	return list
 }
 
-// ErrNoRoom says that no shard takes new extents.
-type ErrNoRoom struct {
-	Shards   int // that are there
-	Full     int // of them had no room, or are past their mark
+// NoRoomError reports that no shard accepts new extents.
+type NoRoomError struct {
+	Shards   int // number of shards
+	Full     int // number of those that had no room or are past the high mark
 	Used     int64
-	Capacity int64 // of those that are full
+	Capacity int64 // bytes of the full shards
 }
 
-func (e *ErrNoRoom) Error() string {
+func (e *NoRoomError) Error() string {
 	if e.Shards == 0 {
 		return "no room: no node is known that takes new data"
 	}
@@ -187,9 +189,9 @@
 		"remove data or add nodes", e.Shards, e.Full, e.Used, e.Capacity)
 }
 
-// None is the error that no shard of those listed takes new extents.
-func (f *Fill) None(shards []int) *ErrNoRoom {
-	e := &ErrNoRoom{Shards: len(shards)}
+// None returns the error for the case that none of the given shards accepts new extents.
+func (f *Fill) None(shards []int) *NoRoomError {
+	e := &NoRoomError{Shards: len(shards)}
 	for _, s := range shards {
 		if l := f.shards[s]; l != nil && !l.takes() {
 			e.Full++
@@ -200,39 +202,39 @@
 	return e
 }
 
-// Quota bounds the bytes of a volume: those of its files, each counted once, and of new versions
-// that are on their way. It is not safe for concurrent use.
+// Quota limits the bytes of a volume: the bytes of its files, each counted once, plus those of new versions that
+// are being written. It is not safe for concurrent use.
 type Quota struct {
-	Most    int64 // bytes; 0: no bound
-	pending int64
+	Most    int64 // bytes; 0: unlimited
+	pending int64 // bytes that versions in progress add
 }
 
-// ErrQuota says that a file does not fit into its volume.
-type ErrQuota struct {
-	Volume              string
-	Used, Pending, Most int64
-	More                int64 // that it would add
+// QuotaError reports that a file does not fit into the quota of its volume.
+type QuotaError struct {
+	Volume               string
+	Used, Pending, Limit int64
+	Added                int64 // bytes that the new version would add
 }
 
-func (e *ErrQuota) Error() string {
-	text := fmt.Sprintf("quota of module %s: %d of %d bytes are used", e.Volume, e.Used, e.Most)
+func (e *QuotaError) Error() string {
+	text := fmt.Sprintf("quota of module %s: %d of %d bytes are used", e.Volume, e.Used, e.Limit)
 	if e.Pending > 0 {
 		text += fmt.Sprintf(" and %d on their way", e.Pending)
 	}
-	return text + fmt.Sprintf("; %d more do not fit", e.More)
+	return text + fmt.Sprintf("; %d more do not fit", e.Added)
 }
 
-// Take books a new version of size bytes of a file that had old (0: a new file) in a volume that
-// holds used; or says why it does not fit. A version that is no larger always does: a full
-// volume can still be made smaller.
+// Take reserves room for a new version of size bytes of a file whose present version has old bytes (0: a new file),
+// in a volume that uses used bytes. It returns a QuotaError if the version does not fit. A version that is no larger
+// than the present one always fits, so that a full volume can still be reduced.
 func (q *Quota) Take(volume string, used, old, size int64) error {
-	more := max(0, size-old)
-	if q.Most > 0 && more > 0 && (more > q.Most || used+q.pending > q.Most-more) {
-		return &ErrQuota{volume, used, q.pending, q.Most, more}
+	added := max(0, size-old)
+	if q.Most > 0 && added > 0 && (added > q.Most || used+q.pending > q.Most-added) {
+		return &QuotaError{volume, used, q.pending, q.Most, added}
 	}
-	q.pending += more
+	q.pending += added
 	return nil
 }
 
-// Done gives back what Take booked: the version is in the catalogue now, or given up.
+// Done releases what Take reserved, once the version is in the catalogue or has been abandoned.
 func (q *Quota) Done(old, size int64) { q.pending = max(0, q.pending-max(0, size-old)) }
--- a/placement/fill_test.go
+++ b/placement/fill_test.go
@@ -10,39 +10,39 @@
 	"pgregory.net/rapid"
 )
 
-const s = time.Second
+const second = time.Second
 
-// TestMarks: between the marks a shard stays as it was, and one that had no room is left alone for
-// a while whatever it reports.
+// TestMarks checks that a shard keeps its state between the marks, and that a shard that had no room gets no new
+// extents for the hold time, whatever it reports.
 func TestMarks(t *testing.T) {
 	f, err := NewFill(DefaultMarks)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, c := range []struct {
+	for i, test := range []struct {
 		at    time.Duration
 		used  int64 // of 1000; -1: no room
 		takes bool
 	}{
-		{1 * s, 940, true}, {2 * s, 950, false}, {3 * s, 920, false}, {4 * s, 900, false}, {5 * s, 899, true}, {6 * s, 940, true},
-		{7 * s, -1, false}, {8 * s, 100, false}, {16 * s, 100, false}, {17 * s, 100, true}, {18 * s, 1000, false},
+		{1 * second, 940, true}, {2 * second, 950, false}, {3 * second, 920, false}, {4 * second, 900, false}, {5 * second, 899, true}, {6 * second, 940, true},
+		{7 * second, -1, false}, {8 * second, 100, false}, {16 * second, 100, false}, {17 * second, 100, true}, {18 * second, 1000, false},
 	} {
 		before := f.Takes(3)
 		var changed bool
-		if c.used < 0 {
-			changed = f.NoRoom(3, c.at)
+		if test.used < 0 {
+			changed = f.NoRoom(3, test.at)
 		} else {
-			changed = f.Report(3, c.used, 1000, c.at)
+			changed = f.Report(3, test.used, 1000, test.at)
 		}
-		if f.Takes(3) != c.takes {
+		if f.Takes(3) != test.takes {
 			t.Errorf("step %d: takes %v", i, f.Takes(3))
 		}
 		if f.Takes(3) != before && !changed {
-			t.Errorf("step %d: who takes changed and it was not told", i)
+			t.Errorf("step %d: acceptance changed, but no change was returned", i)
 		}
 	}
 	if !f.Takes(4) || f.Headroom(4) != 1 || f.Headroom(3) != 0 {
-		t.Error("an unknown shard takes and is empty, a full one has no headroom")
+		t.Error("expected an unknown shard to accept extents and be empty, and a full one to have no headroom")
 	}
 	if e := f.None([]int{3}); e.Full != 1 || e.Used != 1000 || !strings.Contains(e.Error(), "1 are full") {
 		t.Errorf("%v", e)
@@ -54,14 +54,14 @@
 	}
 }
 
-// TestFullShardsAreAsked: a shard that takes nothing is asked every two seconds, one that takes
-// some only when nothing was heard of it for half a minute, and a known one is forgotten when it goes.
-func TestFullShardsAreAsked(t *testing.T) {
+// TestReportsDue checks that a shard that accepts no extents is asked for a report every two seconds, others only
+// after half a minute without a report, and that Keep removes shards.
+func TestReportsDue(t *testing.T) {
 	f, _ := NewFill(DefaultMarks)
-	f.Report(1, 99, 100, 100*s)
-	f.Report(2, 1, 100, 100*s)
+	f.Report(1, 99, 100, 100*second)
+	f.Report(2, 1, 100, 100*second)
 	asked := map[int]int{}
-	for now := 100 * s; now < 130*s; now += s / 2 {
+	for now := 100 * second; now < 130*second; now += second / 2 {
 		for _, shard := range f.Ask([]int{1, 2, 3}, now) {
 			asked[shard]++
 		}
@@ -70,18 +70,18 @@
 		t.Errorf("asked %v", asked)
 	}
 	f.Keep(func(shard int) bool { return shard == 2 })
-	if l := f.Levels(130 * s); len(l) != 1 || l[0].Shard != 2 || l[0].Age != 30*s {
+	if l := f.Levels(130 * second); len(l) != 1 || l[0].Shard != 2 || l[0].Age != 30*second {
 		t.Errorf("%+v", l)
 	}
 }
 
-// TestFillOrderOfReports: whatever shards report, one takes extents if and only if a model that
-// keeps no more than the last states says so, and Ask never names one twice within AskFull.
-func TestFillOrderOfReports(t *testing.T) {
+// TestFillMatchesModel compares a Fill with a model that keeps only the last state of each shard, for any sequence
+// of reports, and checks that Ask does not return a shard twice within FullShardReportInterval.
+func TestFillMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, _ := NewFill(Marks{High: 0.8, Low: 0.5, Hold: 10 * s})
-		past, full, now := map[int]bool{}, map[int]time.Duration{}, s
-		last := map[int]time.Duration{}
+		f, _ := NewFill(Marks{High: 0.8, Low: 0.5, Hold: 10 * second})
+		pastMark, full, now := map[int]bool{}, map[int]time.Duration{}, second
+		askedAt := map[int]time.Duration{}
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
 			shard := rapid.IntRange(0, 3).Draw(t, "shard")
@@ -91,34 +91,34 @@
 				full[shard] = now
 			default:
 				f.Report(shard, int64(used), 10, now)
-				if at, ok := full[shard]; ok && now >= at+10*s {
+				if at, ok := full[shard]; ok && now >= at+10*second {
 					delete(full, shard)
 				}
-				past[shard] = used >= 8 || past[shard] && used >= 5
+				pastMark[shard] = used >= 8 || pastMark[shard] && used >= 5
 			}
 			for _, x := range f.Ask([]int{0, 1, 2, 3}, now) {
-				if at, ok := last[x]; ok && now < at+AskFull {
+				if at, ok := askedAt[x]; ok && now < at+FullShardReportInterval {
 					t.Fatalf("shard %d asked at %v and %v", x, at, now)
 				}
-				last[x] = now
+				askedAt[x] = now
 			}
 			for x := range 4 {
-				if _, f2 := full[x]; f.Takes(x) == (past[x] || f2) {
-					t.Fatalf("shard %d: takes %v, past %v, full %v", x, f.Takes(x), past[x], f2)
+				if _, isFull := full[x]; f.Takes(x) == (pastMark[x] || isFull) {
+					t.Fatalf("shard %d: takes %v, past %v, full %v", x, f.Takes(x), pastMark[x], isFull)
 				}
 			}
 		}
 	})
 }
 
-// TestQuota: what is booked and used never passes the quota, a version that is no larger always
-// fits, and what is given back can be taken again.
+// TestQuota checks that reserved and used bytes together never exceed the quota, that a version that is no larger
+// always fits, and that released bytes can be reserved again.
 func TestQuota(t *testing.T) {
 	q := &Quota{Most: 100}
 	take := func(used, old, size int64, want bool) {
 		t.Helper()
 		err := q.Take("v", used, old, size)
-		if want != (err == nil) || err != nil && !errors.As(err, new(*ErrQuota)) {
+		if want != (err == nil) || err != nil && !errors.As(err, new(*QuotaError)) {
 			t.Errorf("used %d, %d to %d: %v", used, old, size, err)
 		}
 	}
@@ -127,7 +127,7 @@
 	take(40, 30, 30, true)
 	q.Done(0, 60)
 	take(100, 0, 1, false)
-	take(150, 100, 20, true) // the quota was lowered: smaller is welcome
+	take(150, 100, 20, true) // usage exceeds a lowered quota: a smaller version still fits
 	take(0, 0, 1<<62, false)
 	take(0, 0, 101, false)
 	take(0, 0, 100, true)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,14 +1,13 @@
-// Package placement names, for a new extent, the shards that may take it, in tiers, best
-// first: package control chooses among those of a tier the one that ends earliest. It is a
-// decision package: no I/O, no clock, no goroutine, no map order; the same map and key give
-// the same candidates on every gateway, without a word between them. Callers: the gateway
-// (New, when news of nodes or shares come) and the fronts (Candidates, for each extent).
+// Package placement selects the shards that may store a new extent. It returns candidates in tiers, best first;
+// package control picks the candidate of a tier that is expected to finish first. The package is pure decision
+// code: it does no I/O, reads no clock, starts no goroutine and does not depend on map iteration order. The same
+// map and key give the same candidates on every gateway, without coordination. The gateway calls New when nodes
+// or shards change, and the fronts call Candidates for each extent.
 //
-// A key is hashed with each shard, and each shard's draw is scaled by its weight: weighted
-// rendezvous hashing, as CRUSH's straw2 buckets (S. Weil and others, "CRUSH: controlled,
-// scalable, decentralized placement of replicated data", SC 2006; straw2 in Ceph since
-// 2015; the scaling as J. Resch, SNIA SDC 2015). If the weight of one shard changes,
-// choices move only to it or away from it.
+// A key is hashed with each shard, and the shard's draw is scaled by its weight. This is weighted rendezvous
+// hashing, as in CRUSH's straw2 buckets (S. Weil and others, "CRUSH: controlled, scalable, decentralized placement
+// of replicated data", SC 2006; straw2 in Ceph since 2015; the scaling follows J. Resch, SNIA SDC 2015). When the
+// weight of one shard changes, choices move only to or away from that shard.
 package placement
 
 import (
@@ -21,138 +20,140 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The ceilings.
+// Upper bounds on the inputs.
 const (
-	MostShards = 10_000
-	MostChoice = 8  // candidates in a tier
-	MostWidth  = 64 // nodes that a file is striped over
+	MostShards = 10_000 // shards in a map
+	MaxChoice  = 8      // candidates per tier
+	MaxWidth   = 64     // shards that a file is striped over
 )
 
-// Shard is one as the register and its load report tell it.
+// Shard describes a shard, as known from the register and its load reports.
 type Shard struct {
 	ID       int
 	Zone     string
-	Ready    bool    // takes new extents: it is ready, and not past its mark
-	Weight   float64 // its capacity beside the others'; 0: none
-	Warmth   float64 // part of it that it bears by now; 1: warm
-	Headroom float64 // part of its bytes that is free; 1: not told
+	Ready    bool    // accepts new extents: ready and not past the high watermark
+	Weight   float64 // capacity relative to other shards; 0: gets no extents
+	Warmth   float64 // fraction of its capacity that it can serve while it warms up; 1: warm
+	Headroom float64 // fraction of its bytes that is free; 1: unknown
 }
 
-// Settings say how many shards a choice is made among and how far a file is spread.
+// Settings configure how many candidates an extent has and how far a file is spread.
 type Settings struct {
-	Choice    int   // candidates for one extent
-	Width     int   // shards that a large file is striped over
-	WholeUpTo int64 // bytes of a file that stays whole on one shard
+	Choice    int   // candidates per extent
+	Width     int   // shards that a file larger than WholeUpTo is striped over
+	WholeUpTo int64 // largest file, in bytes, that is stored whole on one shard
 }
 
-// Default settings.
+// Default holds the default settings.
 var Default = Settings{Choice: 3, Width: 4, WholeUpTo: 4 << 20}
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
-	case s.Choice < 1 || s.Choice > MostChoice:
-		return fmt.Errorf("choice = %d: 1 to %d", s.Choice, MostChoice)
-	case s.Width < 1 || s.Width > MostWidth:
-		return fmt.Errorf("width = %d: 1 to %d", s.Width, MostWidth)
+	case s.Choice < 1 || s.Choice > MaxChoice:
+		return fmt.Errorf("choice = %d: 1 to %d", s.Choice, MaxChoice)
+	case s.Width < 1 || s.Width > MaxWidth:
+		return fmt.Errorf("width = %d: 1 to %d", s.Width, MaxWidth)
 	case s.WholeUpTo < 0:
 		return fmt.Errorf("whole_up_to = %d: not negative", s.WholeUpTo)
 	}
 	return nil
 }
 
-// Map is who may take new extents, as of one version. It does not change.
+// Map holds the shards that may store new extents, as of one version of the node list. It is immutable.
 type Map struct {
-	set    Settings
-	shards group                   // with a weight, by id
-	placed map[string]*group       // volumes that a solution of shares places
-	table  [1 << tableBits]float32 // -log2 of a fraction
+	settings Settings
+	all      shardSet                // shards with a positive weight, ordered by ID
+	placed   map[string]*shardSet    // by volume, for volumes whose shards are set by a solution of package shares
+	table    [1 << tableBits]float32 // -log2 of fractions between 0 and 1
 }
 
-type entry struct {
-	hash, mul uint64
-	floor     uint64 // hashes from here on may draw less than the group's few
-	id        int32
-	inv       float32 // 1 / weight
+// shardEntry is a shard as it enters the choice.
+type shardEntry struct {
+	hash, multiplier uint64 // of the shard's ID
+	minHash          uint64 // only hashes from here on can give a draw below the set's cutoff
+	id               int32
+	inverseWeight    float32 // 1 / weight
 }
 
-// group is shards that are chosen among.
-type group struct {
-	list []entry
-	few  float32 // a draw that about likely() of them lie under
+// shardSet is a set of shards to choose among.
+type shardSet struct {
+	entries []shardEntry
+	cutoff  float32 // expectedDraws() draws lie below it on average
 }
 
-// New makes a map. placed names, for volumes that a solution places, their shards; of the
-// others, and of those whose shards take nothing now, all shards are.
-func New(set Settings, shards []Shard, placed map[string][]int) (*Map, error) {
-	if err := set.Check(); err != nil {
+// New builds a map. placed lists the shards of each volume that a solution places. Other volumes, and those with
+// no shard in the list that accepts extents now, use all shards.
+func New(settings Settings, shards []Shard, placed map[string][]int) (*Map, error) {
+	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("placement: %w", err)
 	}
 	if len(shards) > MostShards {
 		return nil, fmt.Errorf("placement: %d shards: at most %d", len(shards), MostShards)
 	}
-	m := &Map{set: set, placed: map[string]*group{}}
+	m := &Map{settings: settings, placed: map[string]*shardSet{}}
 	for i := range m.table {
 		m.table[i] = float32(-math.Log2((float64(i) + 0.5) / (1 << tableBits)))
 	}
 	sorted := slices.SortedFunc(slices.Values(shards), func(a, b Shard) int { return cmp.Compare(a.ID, b.ID) })
-	at := map[int]entry{}
+	entryByID := map[int]shardEntry{}
 	for i, s := range sorted {
 		if i > 0 && sorted[i-1].ID == s.ID {
 			return nil, fmt.Errorf("placement: shard %d is there twice", s.ID)
 		}
-		w := s.weight()
-		if !s.Ready || !(w > 0) {
+		weight := s.weight()
+		if !s.Ready || !(weight > 0) {
 			continue
 		}
-		h := mix(uint64(s.ID)*0x9e3779b97f4a7c15 + 1)
-		e := entry{hash: h, mul: mix(h) | 1, id: int32(s.ID), inv: float32(1 / w)}
-		m.shards.list = append(m.shards.list, e)
-		at[s.ID] = e
+		hash := mix(uint64(s.ID)*0x9e3779b97f4a7c15 + 1)
+		e := shardEntry{hash: hash, multiplier: mix(hash) | 1, id: int32(s.ID), inverseWeight: float32(1 / weight)}
+		m.all.entries = append(m.all.entries, e)
+		entryByID[s.ID] = e
 	}
 	for v, ids := range placed {
-		g := &group{}
+		set := &shardSet{}
 		for _, id := range slices.Compact(slices.Sorted(slices.Values(ids))) {
-			if e, ok := at[id]; ok {
-				g.list = append(g.list, e)
+			if e, ok := entryByID[id]; ok {
+				set.entries = append(set.entries, e)
 			}
 		}
-		if len(g.list) > 0 {
-			g.sum(set.likely())
-			m.placed[v] = g
+		if len(set.entries) > 0 {
+			set.setCutoffs(settings.expectedDraws())
+			m.placed[v] = set
 		}
 	}
-	m.shards.sum(set.likely())
+	m.all.setCutoffs(settings.expectedDraws())
 	return m, nil
 }
 
-// weight is what of new extents a shard is due: its capacity, as far as it is warm, and less
-// when little room is left.
+// weight is the shard's relative part of new extents: its capacity, scaled by its warmth, and scaled down further
+// when less than half of its bytes are free.
 func (s *Shard) weight() float64 {
 	return s.Weight * min(1, max(0, s.Warmth)) * min(1, 2*max(0, s.Headroom))
 }
 
-// likely is how many draws are looked at closely, in the mean: of fewer than the candidates wanted
-// there is a chance of 1 in 2,000 at most, and then all are.
-func (s *Settings) likely() float64 { return float64(2*s.Choice + 8) }
+// expectedDraws is the average number of shards that the preselection keeps. The chance that it keeps fewer than
+// the number of candidates wanted is at most 1 in 2,000; all shards are scanned then.
+func (s *Settings) expectedDraws() float64 { return float64(2*s.Choice + 8) }
 
-// sum works out the draw under which as many lie in the mean: draws are exponential, the rate of each its
-// weight by the logarithm of 2, and those of all together have the sum of the rates.
-func (g *group) sum(likely float64) {
+// setCutoffs sets the draw below which expectedDraws draws lie on average. Draws are exponential, each with a rate
+// of its weight times ln 2, so the rate of all draws together is the sum of these rates.
+func (g *shardSet) setCutoffs(expectedDraws float64) {
 	weight := 0.0
-	for _, e := range g.list {
-		weight += 1 / float64(e.inv)
+	for _, e := range g.entries {
+		weight += 1 / float64(e.inverseWeight)
 	}
-	g.few = float32(likely / (weight * math.Ln2))
-	for i := range g.list { // a draw of -log2(x) / weight, which the table gives but for a step of its own
-		e := &g.list[i]
-		e.floor = uint64(math.Exp2(-float64(g.few)/float64(e.inv)-4.0/(1<<tableBits)) * (1 << 63) * 2)
+	g.cutoff = float32(expectedDraws / (weight * math.Ln2))
+	for i := range g.entries { // a draw is -log2(x) / weight; the margin covers the table's step
+		e := &g.entries[i]
+		e.minHash = uint64(math.Exp2(-float64(g.cutoff)/float64(e.inverseWeight)-4.0/(1<<tableBits)) * (1 << 63) * 2)
 	}
 }
 
-// Len is how many shards take new extents.
-func (m *Map) Len() int { return len(m.shards.list) }
+// Len returns the number of shards that accept new extents.
+func (m *Map) Len() int { return len(m.all.entries) }
 
+// tableBits is the number of bits of a fraction that select an entry of Map.table.
 const tableBits = 12
 
 // mix is the finalizer of SplitMix64 (G. Steele, D. Lea, C. Flood, OOPSLA 2014).
@@ -164,24 +165,24 @@
 	return x ^ x>>31
 }
 
-// neglog is -log2 of a hash as a fraction of all hashes: an exponential draw. It is read from
-// a table, the top of the fraction as the power of two, the next bits as its place: within 1 in
-// 10,000, which is less than a weight is known by.
-func (m *Map) neglog(h uint64) float32 {
+// negLog2 returns -log2 of a hash taken as a fraction of the hash range, which is an exponential draw. The leading
+// zeros of the hash give the integer part, and the bits after the leading one select an entry of the table. The
+// result is within 1 in 10,000 of the exact value, which is more precise than weights are known.
+func (m *Map) negLog2(h uint64) float32 {
 	zeros := bits.LeadingZeros64(h | 1)
 	fraction := (h << zeros) >> (64 - 1 - tableBits) & (1<<tableBits - 1) // after the leading one
 	// h = 2^(63-zeros) x (1 + fraction), and -log2((1+f)/2) = 1 - log2(1+f)
-	return float32(zeros) + m.half(fraction)
+	return float32(zeros) + m.oneMinusLog2(fraction)
 }
 
-// half is 1 - log2(1 + f) for a fraction f of tableBits bits.
-func (m *Map) half(f uint64) float32 {
+// oneMinusLog2 returns 1 - log2(1 + f) for a fraction f of tableBits bits.
+func (m *Map) oneMinusLog2(f uint64) float32 {
 	// the upper half of the table holds -log2 of 0.5 to 1
 	return m.table[1<<(tableBits-1)|f>>1]
 }
 
-// Key is what candidates are chosen by: the extents of a file that are to lie together have
-// the same.
+// Key returns the key by which the candidates of an extent are chosen. Extents that should be stored together
+// have the same key: all extents of a file up to WholeUpTo bytes, or every Width-th extent of a larger file.
 func (s *Settings) Key(volume, file string, index int, size int64) uint64 {
 	h := xxhash.Sum64String(volume) ^ bits.RotateLeft64(xxhash.Sum64String(file), 17)
 	if size > s.WholeUpTo || size < 0 {
@@ -190,98 +191,98 @@
 	return mix(h)
 }
 
-// Choices is room for the candidates of one extent.
+// Choices holds the buffers of one call to Candidates, so that calls need not allocate.
 type Choices struct {
-	first  [MostChoice]int
-	second [MostChoice]int
-	tiers  [2][]int
+	placedBuffer [MaxChoice]int
+	allBuffer    [MaxChoice]int
+	tiers        [2][]int
 }
 
-// Candidates are the shards for a key, in tiers: those of the volume's placement where there
-// is one, then those among all. They stand in c until it is used again.
-func (m *Map) Candidates(volume string, key uint64, c *Choices) [][]int {
-	tiers := c.tiers[:0]
-	if p := m.placed[volume]; p != nil {
-		tiers = append(tiers, m.best(p, key, c.first[:0]))
+// Candidates returns the shards for a key in tiers: first those chosen from the volume's placement, if it has one,
+// then those chosen from all shards. The result is valid until choices is used again.
+func (m *Map) Candidates(volume string, key uint64, choices *Choices) [][]int {
+	tiers := choices.tiers[:0]
+	if placed := m.placed[volume]; placed != nil {
+		tiers = append(tiers, m.choose(placed, key, choices.placedBuffer[:0]))
 	}
 	if m.Len() > 0 {
-		tiers = append(tiers, m.best(&m.shards, key, c.second[:0]))
+		tiers = append(tiers, m.choose(&m.all, key, choices.allBuffer[:0]))
 	}
 	return tiers
 }
 
-// hash64 is a key's with a shard: a multiplication by the shard's own number, folded, as in wyhash
-// (Wang Yi and others, 2019) and xxh3.
-func (e *entry) hash64(key uint64) uint64 {
-	hi, lo := bits.Mul64(key^e.hash, e.mul)
+// hashKey returns the hash of a key for a shard: a 128-bit product with the shard's multiplier, folded to 64 bits,
+// as in wyhash (Wang Yi and others, 2019) and xxh3.
+func (e *shardEntry) hashKey(key uint64) uint64 {
+	hi, lo := bits.Mul64(key^e.hash, e.multiplier)
 	return hi ^ lo
 }
 
-// draw is the shard's for a key, as a number that sorts as draws do, then by the place in the list.
-func (m *Map) draw(e *entry, key uint64, place int) uint64 {
-	d := m.neglog(e.hash64(key)) * e.inv
-	return uint64(math.Float32bits(d))<<32 | uint64(place) // floats above 0 sort as their bits
+// draw returns the shard's draw for a key as an integer that sorts by draw, then by index in the list.
+func (m *Map) draw(e *shardEntry, key uint64, index int) uint64 {
+	draw := m.negLog2(e.hashKey(key)) * e.inverseWeight
+	return uint64(math.Float32bits(draw))<<32 | uint64(index) // positive floats sort like their bit patterns
 }
 
-// mostFew is room for the draws that are looked at closely.
-const mostFew = 64
+// maxShortlist is the capacity of the list of preselected shards.
+const maxShortlist = 64
 
-// best are the shards with the smallest draws, in order. First those that may lie under the draw that
-// only few do are sifted out, without a branch to guess wrongly; if enough of them do, no other can be
-// among the best.
-func (m *Map) best(g *group, key uint64, list []int) []int {
-	k := min(m.set.Choice, len(g.list))
-	var few [mostFew]uint64
-	n := sift(g.list, key, &few)
-	if n < uint64(k) || n >= mostFew {
-		return m.bestOfAll(g, key, list)
+// choose appends the IDs of the shards with the smallest draws to list, in order. It first preselects shards whose
+// draw may lie below the cutoff, without a branch that the CPU could mispredict, and computes draws only for these.
+// If enough draws lie below the cutoff, no other shard can be among the smallest. Otherwise it scans all shards.
+func (m *Map) choose(g *shardSet, key uint64, list []int) []int {
+	k := min(m.settings.Choice, len(g.entries))
+	var shortlist [maxShortlist]uint64
+	n := preselect(g.entries, key, &shortlist)
+	if n < uint64(k) || n >= maxShortlist {
+		return m.chooseByFullScan(g, key, list)
 	}
-	for i, place := range few[:n] {
-		few[i] = m.draw(&g.list[place], key, int(place))
+	for i, index := range shortlist[:n] {
+		shortlist[i] = m.draw(&g.entries[index], key, int(index))
 	}
-	least := uint64(0)
+	previous := uint64(0)
 	for range k {
 		next := uint64(math.MaxUint64)
-		for _, d := range few[:n] {
-			if d <= least {
+		for _, d := range shortlist[:n] {
+			if d <= previous {
 				d = math.MaxUint64
 			}
 			next = min(next, d)
 		}
-		least = next
-		list = append(list, int(g.list[uint32(least)].id))
+		previous = next
+		list = append(list, int(g.entries[uint32(previous)].id))
 	}
-	if math.Float32frombits(uint32(least>>32)) >= g.few {
-		return m.bestOfAll(g, key, list[:0])
+	if math.Float32frombits(uint32(previous>>32)) >= g.cutoff {
+		return m.chooseByFullScan(g, key, list[:0])
 	}
 	return list
 }
 
-// sift puts the places of those that may draw less than few do into few, as far as there is room, and
-// counts them.
-func sift(list []entry, key uint64, few *[mostFew]uint64) (n uint64) {
-	for i := range list {
-		e := &list[i]
-		few[n%mostFew] = uint64(i)
-		hi, lo := bits.Mul64(key^e.hash, e.mul)
-		_, less := bits.Sub64(hi^lo, e.floor, 0)
-		n += 1 - less
+// preselect stores the indexes of the shards whose draw may lie below the cutoff in shortlist and returns their
+// number. The list is incomplete if that number is maxShortlist or more.
+func preselect(entries []shardEntry, key uint64, shortlist *[maxShortlist]uint64) (n uint64) {
+	for i := range entries {
+		e := &entries[i]
+		shortlist[n%maxShortlist] = uint64(i)
+		hi, lo := bits.Mul64(key^e.hash, e.multiplier)
+		_, borrow := bits.Sub64(hi^lo, e.minHash, 0)
+		n += 1 - borrow
 	}
 	return n
 }
 
-// bestOfAll is best by looking at all draws closely, once for each candidate.
-func (m *Map) bestOfAll(g *group, key uint64, list []int) []int {
-	least := uint64(0)
-	for range min(m.set.Choice, len(g.list)) {
+// chooseByFullScan returns what choose does, from the draws of all shards. It scans all draws once per candidate.
+func (m *Map) chooseByFullScan(g *shardSet, key uint64, list []int) []int {
+	previous := uint64(0)
+	for range min(m.settings.Choice, len(g.entries)) {
 		next := uint64(math.MaxUint64)
-		for i := range g.list {
-			if d := m.draw(&g.list[i], key, i); d > least {
+		for i := range g.entries {
+			if d := m.draw(&g.entries[i], key, i); d > previous {
 				next = min(next, d)
 			}
 		}
-		least = next
-		list = append(list, int(g.list[uint32(least)].id))
+		previous = next
+		list = append(list, int(g.entries[uint32(previous)].id))
 	}
 	return list
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -12,6 +12,7 @@
 	"pgregory.net/rapid"
 )
 
+// shards returns ready, warm and empty shards with the given weights.
 func shards(weights ...float64) []Shard {
 	var list []Shard
 	for i, w := range weights {
@@ -20,7 +21,7 @@
 	return list
 }
 
-func mustNew(t testing.TB, set Settings, list []Shard, placed map[string][]int) *Map {
+func newMap(t testing.TB, set Settings, list []Shard, placed map[string][]int) *Map {
 	t.Helper()
 	m, err := New(set, list, placed)
 	if err != nil {
@@ -29,29 +30,30 @@
 	return m
 }
 
-func key(i int) uint64 { return mix(uint64(i) + 1) }
+// testKey returns the i-th of a series of hashed keys.
+func testKey(i int) uint64 { return mix(uint64(i) + 1) }
 
-// first is the first candidate among all.
-func first(m *Map, k uint64) int {
+// firstChoice returns the best candidate among all shards.
+func firstChoice(m *Map, k uint64) int {
 	var c Choices
 	tiers := m.Candidates("v", k, &c)
 	return tiers[len(tiers)-1][0]
 }
 
-// TestWeightsAreMet: at 3 to 1,000 nodes of unequal weight, each gets its part of first
-// choices within the sampling error.
-func TestWeightsAreMet(t *testing.T) {
+// TestChoicesFollowWeights checks that with 3 to 1,000 nodes of unequal weight, each node's part of first choices
+// matches its weight within the sampling error.
+func TestChoicesFollowWeights(t *testing.T) {
 	for _, n := range []int{3, 24, 300, 1000} {
 		weights, sum := make([]float64, n), 0.0
 		for i := range weights {
 			weights[i] = float64(1 + i%5)
 			sum += weights[i]
 		}
-		m := mustNew(t, Default, shards(weights...), nil)
+		m := newMap(t, Default, shards(weights...), nil)
 		const draws = 60_000
 		got := make([]float64, n)
 		for i := range draws {
-			got[first(m, key(i))]++
+			got[firstChoice(m, testKey(i))]++
 		}
 		for i := range got {
 			want := draws * weights[i] / sum
@@ -62,10 +64,10 @@
 	}
 }
 
-// TestProperties: never a shard that takes nothing; as many as there are, each once; the
-// same inputs, in whatever order, the same list; a change of one weight moves choices only to
-// that node (if it grows) or away from it.
-func TestProperties(t *testing.T) {
+// TestCandidateProperties checks that candidates accept extents, are distinct and as many as there can be, that they
+// do not depend on the order of the inputs, and that a change of one shard's weight moves choices only to that shard
+// (if the weight grows) or away from it.
+func TestCandidateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(t, "nodes")
 		var list []Shard
@@ -73,34 +75,34 @@
 			list = append(list, Shard{ID: i * 7, Ready: rapid.Bool().Draw(t, "ready"), Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight")),
 				Warmth: rapid.SampledFrom([]float64{0.2, 1}).Draw(t, "warmth"), Headroom: rapid.SampledFrom([]float64{0, 0.1, 1}).Draw(t, "headroom")})
 		}
-		set := Settings{Choice: rapid.IntRange(1, MostChoice).Draw(t, "choice"), Width: 4, WholeUpTo: 1000}
+		set := Settings{Choice: rapid.IntRange(1, MaxChoice).Draw(t, "choice"), Width: 4, WholeUpTo: 1000}
 		placed := map[string][]int{"v": {0, 7, 7, 21}}
 		m, err := New(set, list, placed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		takes := map[int]bool{}
+		eligible := map[int]bool{}
 		for _, s := range list {
-			takes[s.ID] = s.Ready && s.weight() > 0
+			eligible[s.ID] = s.Ready && s.weight() > 0
 		}
 		shuffled := rapid.Permutation(list).Draw(t, "order")
-		again, err := New(set, shuffled, placed)
+		reordered, err := New(set, shuffled, placed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		which := rapid.IntRange(0, n-1).Draw(t, "which")
 		changed := slices.Clone(list)
 		changed[which].Weight *= rapid.SampledFrom([]float64{0.5, 2}).Draw(t, "factor")
-		other, err := New(set, changed, placed)
+		reweighted, err := New(set, changed, placed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i := range 50 {
 			var a, b, c Choices
-			tiers := m.Candidates("v", key(i), &a)
+			tiers := m.Candidates("v", testKey(i), &a)
 			for _, tier := range tiers {
 				for k, id := range tier {
-					if !takes[id] || slices.Contains(tier[:k], id) {
+					if !eligible[id] || slices.Contains(tier[:k], id) {
 						t.Fatalf("shard %d among %v", id, tier)
 					}
 				}
@@ -111,13 +113,13 @@
 			if len(tiers) == 2 && slices.ContainsFunc(tiers[0], func(id int) bool { return !slices.Contains(placed["v"], id) }) {
 				t.Fatalf("first tier %v", tiers[0])
 			}
-			if !reflect.DeepEqual(tiers, again.Candidates("v", key(i), &b)) {
-				t.Fatal("the order of shards makes another list")
+			if !reflect.DeepEqual(tiers, reordered.Candidates("v", testKey(i), &b)) {
+				t.Fatal("candidates depend on the order of the shards")
 			}
-			if m.Len() == 0 || other.Len() != m.Len() {
+			if m.Len() == 0 || reweighted.Len() != m.Len() {
 				continue
 			}
-			before, after := tiers[len(tiers)-1], other.Candidates("w", key(i), &c)[0]
+			before, after := tiers[len(tiers)-1], reweighted.Candidates("w", testKey(i), &c)[0]
 			rest := func(list []int) []int {
 				return slices.DeleteFunc(slices.Clone(list), func(id int) bool { return id == which*7 })
 			}
@@ -129,9 +131,9 @@
 	})
 }
 
-// TestKeys: the extents of a small file have one key, those of a large one as many as its
-// width; files have keys of their own.
-func TestKeys(t *testing.T) {
+// TestKeysStripeLargeFiles checks that all extents of a small file have one key, that those of a large file have as
+// many keys as its width, and that files have different keys.
+func TestKeysStripeLargeFiles(t *testing.T) {
 	set := Settings{Choice: 2, Width: 4, WholeUpTo: 1000}
 	count := func(size int64) int {
 		keys := map[uint64]bool{}
@@ -144,49 +146,49 @@
 		t.Errorf("keys: %d, %d, %d", count(1000), count(1001), count(-1))
 	}
 	if set.Key("v", "f", 0, 1) == set.Key("v", "g", 0, 1) || set.Key("v", "f", 0, 1) == set.Key("w", "f", 0, 1) {
-		t.Error("two files have one key")
+		t.Error("two files have the same key")
 	}
 }
 
-func TestMapsThatCannotBe(t *testing.T) {
+func TestNewRejectsInvalidInput(t *testing.T) {
 	for _, set := range []Settings{{}, {Choice: 9, Width: 1}, {Choice: 1}, {Choice: 1, Width: 1, WholeUpTo: -1}} {
 		if _, err := New(set, nil, nil); err == nil {
-			t.Errorf("%+v is taken", set)
+			t.Errorf("%+v is accepted", set)
 		}
 	}
 	if _, err := New(Default, append(shards(1, 1), Shard{ID: 1}), nil); err == nil {
-		t.Error("one shard twice")
+		t.Error("a duplicate shard is accepted")
 	}
-	m := mustNew(t, Default, nil, map[string][]int{"v": {1}})
+	m := newMap(t, Default, nil, map[string][]int{"v": {1}})
 	var c Choices
 	if tiers := m.Candidates("v", 1, &c); len(tiers) != 0 {
-		t.Errorf("of none: %v", tiers)
+		t.Errorf("candidates without shards: %v", tiers)
 	}
 }
 
-// TestNothingIsPassedOver: the shortcut that spares looks at the table drops no candidate: lists are those
-// of sorting all draws.
-func TestNothingIsPassedOver(t *testing.T) {
+// TestPreselectionDropsNoCandidate checks that the preselection, which avoids computing most draws, finds the same
+// candidates as sorting all draws.
+func TestPreselectionDropsNoCandidate(t *testing.T) {
 	w := make([]float64, 500)
 	for i := range w {
 		w[i] = 1 + float64(i%7)
 	}
-	m := mustNew(t, Settings{Choice: 8, Width: 1}, shards(w...), nil)
+	m := newMap(t, Settings{Choice: 8, Width: 1}, shards(w...), nil)
 	var c Choices
 	for k := range 3000 {
-		h := key(k)
-		all := slices.Clone(m.shards.list)
-		draw := func(e entry) float32 { return m.neglog(e.hash64(h)) * e.inv }
-		slices.SortStableFunc(all, func(a, b entry) int { return cmp.Compare(draw(a), draw(b)) })
+		h := testKey(k)
+		all := slices.Clone(m.all.entries)
+		draw := func(e shardEntry) float32 { return m.negLog2(e.hashKey(h)) * e.inverseWeight }
+		slices.SortStableFunc(all, func(a, b shardEntry) int { return cmp.Compare(draw(a), draw(b)) })
 		for i, id := range m.Candidates("v", h, &c)[0] {
-			if draw(all[i]) != draw(m.shards.list[slices.IndexFunc(m.shards.list, func(e entry) bool { return int(e.id) == id })]) {
+			if draw(all[i]) != draw(m.all.entries[slices.IndexFunc(m.all.entries, func(e shardEntry) bool { return int(e.id) == id })]) {
 				t.Fatalf("key %d: candidate %d is shard %d, by all draws it is %d", k, i, id, all[i].id)
 			}
 		}
 	}
 }
 
-// BenchmarkCandidates is the cost of a choice.
+// BenchmarkCandidates measures the cost of one call to Candidates.
 func BenchmarkCandidates(b *testing.B) {
 	for _, n := range []int{42, 300, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -194,19 +196,19 @@
 			for i := range w {
 				w[i] = 1
 			}
-			m := mustNew(b, Default, shards(w...), nil)
+			m := newMap(b, Default, shards(w...), nil)
 			var c Choices
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m.Candidates("v", key(i), &c)
+				m.Candidates("v", testKey(i), &c)
 			}
 		})
 	}
 }
 
-// BenchmarkLosses is the part of large files (16 extents each) that the loss of one, two or three of so
-// many nodes touches, in percent, by the width that they are striped over.
-func BenchmarkLosses(b *testing.B) {
+// BenchmarkFilesTouchedByLosses reports the percentage of large files (16 extents each) that have an extent on one
+// of one, two or three lost nodes, for several numbers of nodes and stripe widths.
+func BenchmarkFilesTouchedByLosses(b *testing.B) {
 	const files, extents, draws = 5000, 16, 50
 	for _, n := range []int{24, 100} {
 		w := make([]float64, n)
@@ -216,14 +218,14 @@
 		for _, width := range []int{1, 2, 4, 8, 16} {
 			b.Run(fmt.Sprintf("nodes=%d/width=%d", n, width), func(b *testing.B) {
 				set := Settings{Choice: 1, Width: width}
-				m := mustNew(b, set, shards(w...), nil)
+				m := newMap(b, set, shards(w...), nil)
 				var touched [4]float64
 				for b.Loop() {
 					on := make([]map[int]bool, files)
 					for f := range on {
 						on[f] = map[int]bool{}
 						for x := range extents {
-							on[f][first(m, set.Key("v", fmt.Sprint(f), x, 1<<30))] = true
+							on[f][firstChoice(m, set.Key("v", fmt.Sprint(f), x, 1<<30))] = true
 						}
 					}
 					rng := rand.New(rand.NewPCG(1, 1))
