--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -1,12 +1,13 @@
-// Package rebalance plans which extents are to move between shards so that these fill evenly: from
-// where to where, in what order, and how fast. It is a decision package: no I/O, no clock, no goroutine,
-// no map order. It carries nothing out. Caller: the gateway (Plan, for eiderhold space plan).
+// Package rebalance plans which extents to move between shards so that the shards fill evenly: the source and the
+// target of each move, the order of the moves, and the time they take at a given rate. It does not execute the
+// moves. The package is pure decision code: it does no I/O, reads no clock, starts no goroutine and does not depend
+// on map iteration order. The gateway calls it for the command eiderhold space plan.
 //
-// The measure is the part of its bytes that a shard has used. A byte moved from a shard at part x to one at
-// part y gains x - y; what it costs is stated as the least difference for which it is worth moving. So
-// a plan ends by itself, and since no move brings its target above its source, one that was
-// carried out is followed by none: it does not swing. (Water-filling; the bound on what each node takes
-// part in at a time is that of shares.Waves.)
+// A shard's fill level is the fraction of its bytes that is used. Moving a byte from a shard at fraction x to one at
+// fraction y gains x - y; the cost of a move is expressed as the smallest difference for which it is worthwhile, so
+// planning ends by itself. No move raises its target above its source. A plan computed after an earlier one was
+// executed is therefore empty, and plans do not oscillate. (This is water-filling; the limit on concurrent moves
+// per shard is that of shares.Waves.)
 package rebalance
 
 import (
@@ -18,38 +19,38 @@
 	"time"
 )
 
-// Shard is one as its load report and the register tell it.
+// Shard describes a shard, as known from its load report and the register.
 type Shard struct {
 	ID       int
 	Used     int64 // bytes
-	Capacity int64 // bytes; 0: not told, and it takes no part
-	Leaves   bool  // it drains: all that lies there goes
-	Gives    bool  // it can be read from now: it is neither lost nor falling over
-	Takes    bool  // it can be written to now: ready, warm, below its mark, not lost
+	Capacity int64 // bytes; 0: unknown, and the shard is left out of the plan
+	Leaves   bool  // it drains: all its units are moved away
+	Gives    bool  // it can be read from now: neither lost nor overloaded
+	Takes    bool  // it can be written to now: ready, warm, below its high mark, not lost
 }
 
-// Unit is what moves as a whole: the extents of one file version on one shard.
+// Unit is the smallest movable amount of data: the extents of one file version on one shard.
 type Unit struct {
 	Volume string `json:"volume"`
-	Base   string `json:"base"` // what the names of its items begin with
+	Base   string `json:"base"` // common prefix of the names of its items
 	Shard  int    `json:"from"`
 	Parts  int    `json:"extents"`
 	Bytes  int64  `json:"bytes"`
 }
 
-// Settings bound a plan.
+// Settings limit a plan.
 type Settings struct {
-	Least   float64 // difference in the part used for which a byte is worth moving
-	Moves   int     // most of a plan; another may follow it
-	PerNode int     // moves that a shard takes part in at a time
-	Rate    int64   // bytes a second that a shard gives or takes, over all its moves
-	High    float64 // part that no target passes
+	Least   float64 // smallest difference in used fraction for which a move is worthwhile
+	Moves   int     // maximum per plan; another plan may follow
+	PerNode int     // maximum of concurrent moves that a shard takes part in
+	Rate    int64   // bytes per second that a shard reads and writes, over all its moves
+	High    float64 // used fraction that no target exceeds
 }
 
-// Default settings.
+// Default holds the default settings.
 var Default = Settings{Least: 0.05, Moves: 10_000, PerNode: 2, Rate: 16 << 20, High: 0.9}
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
 	case !(s.Least > 0 && s.Least <= 1):
@@ -62,192 +63,194 @@
 	return nil
 }
 
-// Move brings a unit to another shard.
+// Move is the transfer of a unit to another shard.
 type Move struct {
 	Unit
 	To int `json:"to"`
 }
 
-// Spread is how full shards are.
+// Spread describes the distribution of used fractions over shards.
 type Spread struct {
-	Mean   float64 `json:"mean"` // part used, over all bytes
+	Mean   float64 `json:"mean"` // used fraction of the bytes of all shards
 	Most   float64 `json:"most"`
 	Least  float64 `json:"least"`
-	Varies float64 `json:"varies"` // standard deviation of the parts, over their mean
+	Varies float64 `json:"varies"` // coefficient of variation of the used fractions
 }
 
-// Plan is what is to be done. Waves hold places in Moves: those of one may be made at the same time.
+// Plan lists moves. Waves holds indexes into Moves: the moves of one wave may run at the same time.
 type Plan struct {
 	Moves  []Move        `json:"moves"`
 	Waves  [][]int       `json:"waves"`
 	Bytes  int64         `json:"bytes"`
-	Takes  time.Duration `json:"takes"` // at the rate, ns
+	Takes  time.Duration `json:"takes"` // estimated duration at Settings.Rate, ns
 	Before Spread        `json:"before"`
 	After  Spread        `json:"after"`
-	// Why says why nothing more is moved.
+	// Why is the reason for which planning ended.
 	Why   string        `json:"why"`
-	Parts map[int]Parts `json:"parts"` // by shard
+	Parts map[int]Usage `json:"parts"` // used fractions by shard
 }
 
-// Parts are the parts of its bytes that a shard has used.
-type Parts struct {
+// Usage holds the used fraction of a shard before and after a plan.
+type Usage struct {
 	Before float64 `json:"before"`
 	After  float64 `json:"after"`
 }
 
-// The reasons for which a plan ends.
+// Reasons for which planning ends.
 const (
-	Even    = "what is left to gain on shards that take data now is less than what it costs"
-	AtMost  = "the most moves of a plan: another one may follow"
-	NoUnits = "of what may move nothing fits anywhere better"
-	NoMates = "no shard takes data now, or there is only one"
+	WhyBalanced   = "what is left to gain on shards that take data now is less than what it costs"
+	WhyMaxMoves   = "the most moves of a plan: another one may follow"
+	WhyNoUnitFits = "of what may move nothing fits anywhere better"
+	WhyNoTarget   = "no shard takes data now, or there is only one"
 )
 
-// state is one shard while a plan is made.
-type state struct {
+// shardState is the state of a shard during planning.
+type shardState struct {
 	Shard
-	units []Unit // by bytes, the largest first
+	units []Unit // ordered by size, largest first
 }
 
-func (s *state) part() float64 { return float64(s.Used) / float64(s.Capacity) }
+func (s *shardState) usedFraction() float64 { return float64(s.Used) / float64(s.Capacity) }
 
-// givers is a heap: those that leave first, then the fullest.
-type givers []*state
+// sourceHeap is a heap of shards to move units away from: draining shards first, then the fullest ones.
+type sourceHeap []*shardState
 
-func (g givers) Len() int { return len(g) }
-func (g givers) Less(i, j int) bool {
+func (g sourceHeap) Len() int { return len(g) }
+func (g sourceHeap) Less(i, j int) bool {
 	if g[i].Leaves != g[j].Leaves {
 		return g[i].Leaves
 	}
-	return cmp.Or(cmp.Compare(g[j].part(), g[i].part()), cmp.Compare(g[i].ID, g[j].ID)) < 0
+	return cmp.Or(cmp.Compare(g[j].usedFraction(), g[i].usedFraction()), cmp.Compare(g[i].ID, g[j].ID)) < 0
 }
-func (g givers) Swap(i, j int) { g[i], g[j] = g[j], g[i] }
-func (g *givers) Push(x any)   { *g = append(*g, x.(*state)) }
-func (g *givers) Pop() any {
+func (g sourceHeap) Swap(i, j int) { g[i], g[j] = g[j], g[i] }
+func (g *sourceHeap) Push(x any)   { *g = append(*g, x.(*shardState)) }
+func (g *sourceHeap) Pop() any {
 	old := *g
 	x := old[len(old)-1]
 	*g = old[:len(old)-1]
 	return x
 }
 
-// Make makes a plan. allowed says whether a volume may lie on a shard; nil: anywhere.
-func Make(set Settings, shards []Shard, units []Unit, allowed func(volume string, shard int) bool) (*Plan, error) {
-	if err := set.Check(); err != nil {
+// Make computes a plan. allowed reports whether a volume may be stored on a shard; nil allows every shard.
+func Make(settings Settings, shards []Shard, units []Unit, allowed func(volume string, shard int) bool) (*Plan, error) {
+	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("rebalance: %w", err)
 	}
-	byID := map[int]*state{}
-	var all []*state
+	byID := map[int]*shardState{}
+	var states []*shardState
 	for _, s := range shards {
 		if byID[s.ID] != nil {
 			return nil, fmt.Errorf("rebalance: shard %d is there twice", s.ID)
 		}
 		if s.Capacity > 0 {
-			byID[s.ID] = &state{Shard: s}
-			all = append(all, byID[s.ID])
+			byID[s.ID] = &shardState{Shard: s}
+			states = append(states, byID[s.ID])
 		}
 	}
-	slices.SortFunc(all, func(a, b *state) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(states, func(a, b *shardState) int { return cmp.Compare(a.ID, b.ID) })
 	for _, u := range units {
 		if s := byID[u.Shard]; s != nil && s.Gives && u.Bytes > 0 {
 			s.units = append(s.units, u)
 		}
 	}
-	p := &Plan{Before: spreadOf(all), Parts: map[int]Parts{}}
-	for _, s := range all {
+	p := &Plan{Before: computeSpread(states), Parts: map[int]Usage{}}
+	for _, s := range states {
 		slices.SortFunc(s.units, func(a, b Unit) int {
 			return cmp.Or(cmp.Compare(b.Bytes, a.Bytes), cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Base, b.Base))
 		})
-		p.Parts[s.ID] = Parts{Before: s.part()}
+		p.Parts[s.ID] = Usage{Before: s.usedFraction()}
 	}
-	p.pick(set, all, allowed)
-	for _, s := range all {
-		p.Parts[s.ID] = Parts{p.Parts[s.ID].Before, s.part()}
+	p.selectMoves(settings, states, allowed)
+	for _, s := range states {
+		p.Parts[s.ID] = Usage{p.Parts[s.ID].Before, s.usedFraction()}
 	}
-	p.After = spreadOf(all)
-	p.schedule(set)
+	p.After = computeSpread(states)
+	p.scheduleWaves(settings)
 	return p, nil
 }
 
-// pick chooses moves until nothing is worth it.
-func (p *Plan) pick(set Settings, all []*state, allowed func(string, int) bool) {
-	var from givers
-	var to []*state // that take, the emptiest first
-	for _, s := range all {
+// selectMoves adds moves until none is worthwhile or the limit is reached.
+func (p *Plan) selectMoves(settings Settings, states []*shardState, allowed func(string, int) bool) {
+	var sources sourceHeap
+	var targets []*shardState // shards that accept data, emptiest first
+	for _, s := range states {
 		if len(s.units) > 0 {
-			from = append(from, s)
+			sources = append(sources, s)
 		}
 		if s.Takes && !s.Leaves {
-			to = append(to, s)
+			targets = append(targets, s)
 		}
 	}
-	heap.Init(&from)
-	less := func(a, b *state) int { return cmp.Or(cmp.Compare(a.part(), b.part()), cmp.Compare(a.ID, b.ID)) }
-	slices.SortFunc(to, less)
-	p.Why = Even
-	if len(to) == 0 || len(all) < 2 {
-		p.Why = NoMates
+	heap.Init(&sources)
+	compare := func(a, b *shardState) int {
+		return cmp.Or(cmp.Compare(a.usedFraction(), b.usedFraction()), cmp.Compare(a.ID, b.ID))
+	}
+	slices.SortFunc(targets, compare)
+	p.Why = WhyBalanced
+	if len(targets) == 0 || len(states) < 2 {
+		p.Why = WhyNoTarget
 		return
 	}
-	for len(from) > 0 {
-		if len(p.Moves) == set.Moves {
-			p.Why = AtMost
+	for len(sources) > 0 {
+		if len(p.Moves) == settings.Moves {
+			p.Why = WhyMaxMoves
 			return
 		}
-		s := from[0]
-		if !s.Leaves && s.part()-to[0].part() < set.Least {
-			return // the fullest of those left has nothing to gain
+		s := sources[0]
+		if !s.Leaves && s.usedFraction()-targets[0].usedFraction() < settings.Least {
+			return // a move away from the fullest remaining source gains too little
 		}
-		u, t := s.best(set, to, allowed)
-		if t < 0 {
-			heap.Pop(&from)
+		unitIndex, targetIndex := s.bestMove(settings, targets, allowed)
+		if targetIndex < 0 {
+			heap.Pop(&sources)
 			if !s.Leaves || len(s.units) > 0 {
-				p.Why = NoUnits
+				p.Why = WhyNoUnitFits
 			}
 			continue
 		}
-		unit, target := s.units[u], to[t]
-		s.units = slices.Delete(s.units, u, u+1)
+		unit, target := s.units[unitIndex], targets[targetIndex]
+		s.units = slices.Delete(s.units, unitIndex, unitIndex+1)
 		s.Used -= unit.Bytes
 		target.Used += unit.Bytes
 		p.Moves = append(p.Moves, Move{unit, target.ID})
 		p.Bytes += unit.Bytes
 		if len(s.units) == 0 {
-			heap.Pop(&from)
+			heap.Pop(&sources)
 		} else {
-			heap.Fix(&from, 0)
+			heap.Fix(&sources, 0)
 		}
-		// the target is fuller now: it goes back in its line, and up as a giver. So may the source.
-		for _, x := range []*state{target, s} {
-			if i := slices.Index(to, x); i >= 0 {
-				to = slices.Delete(to, i, i+1)
-				at, _ := slices.BinarySearchFunc(to, x, less)
-				to = slices.Insert(to, at, x)
+		// The used fractions of target and source have changed: restore the order of targets and of the heap.
+		for _, x := range []*shardState{target, s} {
+			if i := slices.Index(targets, x); i >= 0 {
+				targets = slices.Delete(targets, i, i+1)
+				position, _ := slices.BinarySearchFunc(targets, x, compare)
+				targets = slices.Insert(targets, position, x)
 			}
 		}
-		heap.Init(&from)
+		heap.Init(&sources)
 	}
 }
 
-// best is the largest unit that a shard can give to the emptiest shard that may have it, without
-// bringing that above the source; -1: none.
-func (s *state) best(set Settings, to []*state, allowed func(string, int) bool) (unit, target int) {
-	const looks = 64 // targets looked at for one unit, and units for one target
-	for i, t := range to[:min(len(to), looks)] {
+// bestMove returns the index of the largest unit of s that fits on the emptiest allowed target without raising that
+// target above s, and the index of the target, or -1 if there is none.
+func (s *shardState) bestMove(settings Settings, targets []*shardState, allowed func(string, int) bool) (unit, target int) {
+	const searchLimit = 64 // targets examined, and units examined per target
+	for i, t := range targets[:min(len(targets), searchLimit)] {
 		if t == s {
 			continue
 		}
-		if !s.Leaves && s.part()-t.part() < set.Least {
-			break // those after it are fuller
+		if !s.Leaves && s.usedFraction()-t.usedFraction() < settings.Least {
+			break // later targets are fuller
 		}
-		room := float64(t.Capacity)*set.High - float64(t.Used)
-		if !s.Leaves { // after it the target is no fuller than the source
-			cs, ct := float64(s.Capacity), float64(t.Capacity)
-			room = min(room, (float64(s.Used)*ct-float64(t.Used)*cs)/(cs+ct))
+		room := float64(t.Capacity)*settings.High - float64(t.Used)
+		if !s.Leaves { // the move must not leave the target fuller than the source
+			sourceCapacity, targetCapacity := float64(s.Capacity), float64(t.Capacity)
+			room = min(room, (float64(s.Used)*targetCapacity-float64(t.Used)*sourceCapacity)/(sourceCapacity+targetCapacity))
 		}
 		first, _ := slices.BinarySearchFunc(s.units, room, func(u Unit, room float64) int {
-			return cmp.Compare(room, float64(u.Bytes)) // units fall in size
+			return cmp.Compare(room, float64(u.Bytes)) // units are ordered by decreasing size
 		})
-		for u := first; u < len(s.units) && u < first+looks; u++ {
+		for u := first; u < len(s.units) && u < first+searchLimit; u++ {
 			if float64(s.units[u].Bytes) <= room && (allowed == nil || allowed(s.units[u].Volume, t.ID)) {
 				return u, i
 			}
@@ -256,19 +259,19 @@
 	return -1, -1
 }
 
-// schedule puts moves into waves, in their order: a shard takes part in so many at a time.
-func (p *Plan) schedule(set Settings) {
-	left := make([]int, len(p.Moves))
-	for i := range left {
-		left[i] = i
+// scheduleWaves assigns moves to waves in order, so that a shard takes part in at most PerNode moves of a wave.
+func (p *Plan) scheduleWaves(settings Settings) {
+	remaining := make([]int, len(p.Moves))
+	for i := range remaining {
+		remaining[i] = i
 	}
-	for len(left) > 0 {
+	for len(remaining) > 0 {
 		busy, bytes := map[int]int{}, map[int]int64{}
-		var wave, rest []int
-		for _, i := range left {
+		var wave, postponed []int
+		for _, i := range remaining {
 			m := &p.Moves[i]
-			if busy[m.Shard] >= set.PerNode || busy[m.To] >= set.PerNode {
-				rest = append(rest, i)
+			if busy[m.Shard] >= settings.PerNode || busy[m.To] >= settings.PerNode {
+				postponed = append(postponed, i)
 				continue
 			}
 			busy[m.Shard]++
@@ -277,36 +280,36 @@
 			bytes[m.To] += m.Bytes
 			wave = append(wave, i)
 		}
-		most := int64(0)
+		maxBytes := int64(0)
 		for _, b := range bytes {
-			most = max(most, b)
+			maxBytes = max(maxBytes, b)
 		}
 		p.Waves = append(p.Waves, wave)
-		p.Takes += time.Duration(float64(most) / float64(set.Rate) * float64(time.Second))
-		left = rest
+		p.Takes += time.Duration(float64(maxBytes) / float64(settings.Rate) * float64(time.Second))
+		remaining = postponed
 	}
 }
 
-// spreadOf is over the shards that stay.
-func spreadOf(all []*state) (s Spread) {
-	used, capacity, n := int64(0), int64(0), 0.0
+// computeSpread returns the distribution over the shards that do not drain.
+func computeSpread(states []*shardState) (s Spread) {
+	used, capacity, count := int64(0), int64(0), 0.0
 	sum, squares := 0.0, 0.0
 	s.Least = math.Inf(1)
-	for _, x := range all {
+	for _, x := range states {
 		if x.Leaves {
 			continue
 		}
-		part := x.part()
-		used, capacity, n = used+x.Used, capacity+x.Capacity, n+1
-		sum, squares = sum+part, squares+part*part
-		s.Most, s.Least = max(s.Most, part), min(s.Least, part)
+		fraction := x.usedFraction()
+		used, capacity, count = used+x.Used, capacity+x.Capacity, count+1
+		sum, squares = sum+fraction, squares+fraction*fraction
+		s.Most, s.Least = max(s.Most, fraction), min(s.Least, fraction)
 	}
-	if n == 0 {
+	if count == 0 {
 		return Spread{}
 	}
 	s.Mean = float64(used) / float64(capacity)
-	if mean := sum / n; mean > 0 {
-		s.Varies = math.Sqrt(max(0, squares/n-mean*mean)) / mean
+	if mean := sum / count; mean > 0 {
+		s.Varies = math.Sqrt(max(0, squares/count-mean*mean)) / mean
 	}
 	return s
 }
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawn is a site with units.
-func drawn(t *rapid.T) (shards []Shard, units []Unit) {
+// drawSite draws shards and the units on them.
+func drawSite(t *rapid.T) (shards []Shard, units []Unit) {
 	for id := range rapid.IntRange(1, 12).Draw(t, "shards") {
 		s := Shard{ID: id, Capacity: rapid.SampledFrom([]int64{0, 1000, 1000, 5000, 100_000}).Draw(t, "capacity"),
 			Gives: rapid.IntRange(0, 9).Draw(t, "gives") > 0, Takes: rapid.IntRange(0, 9).Draw(t, "takes") > 0,
@@ -27,8 +27,8 @@
 	return shards, units
 }
 
-// carry carries a plan out.
-func carry(p *Plan, shards []Shard, units []Unit) {
+// applyPlan executes a plan on the given shards and units.
+func applyPlan(p *Plan, shards []Shard, units []Unit) {
 	for _, m := range p.Moves {
 		for i := range units {
 			if units[i].Base == m.Base {
@@ -46,17 +46,17 @@
 	}
 }
 
-// TestPlans: whatever the site, a plan moves each unit once, from a shard that gives to one that takes
-// and may have it, never past the high mark; it makes no shard that stays fuller than the fullest was,
-// its waves hold each move once and no shard too often; the same inputs give the same plan; and plans that
-// are carried out one after another come to an end in which no unit has come back to where it was.
-func TestPlans(t *testing.T) {
+// TestPlanProperties checks plans for arbitrary sites. A plan moves each unit at most once, from a shard that can be
+// read to one that can be written and may store the volume, and never past the high mark. No move leaves its target
+// fuller than its source unless the source drains. The waves contain each move once and keep the limit per shard.
+// Equal inputs give equal plans. Repeated planning and execution ends, and no unit returns to an earlier shard.
+func TestPlanProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		shards, units := drawn(t)
+		shards, units := drawSite(t)
 		set := Default
 		set.Moves = rapid.IntRange(1, 40).Draw(t, "moves")
 		allowed := func(v string, shard int) bool { return v != "v1" || shard%2 == 0 }
-		been := map[string]map[int]bool{}
+		visited := map[string]map[int]bool{}
 		for round := 0; ; round++ {
 			p, err := Make(set, shards, units, allowed)
 			if err != nil {
@@ -64,13 +64,13 @@
 			}
 			again, _ := Make(set, shards, units, allowed)
 			if !reflect.DeepEqual(p, again) {
-				t.Fatal("the same inputs, another plan")
+				t.Fatal("equal inputs give different plans")
 			}
 			if len(p.Moves) == 0 {
 				return
 			}
 			if round > 200 {
-				t.Fatal("it never ends")
+				t.Fatal("planning does not end after 200 rounds")
 			}
 			seen, before := map[string]bool{}, append([]Shard(nil), shards...)
 			for _, m := range p.Moves {
@@ -89,11 +89,11 @@
 				if !from.Leaves && float64(to.Used)/float64(to.Capacity) > float64(from.Used)/float64(from.Capacity)+1e-9 {
 					t.Fatalf("%+v: the target is fuller than the source after it", m)
 				}
-				if been[m.Base] == nil {
-					been[m.Base] = map[int]bool{}
+				if visited[m.Base] == nil {
+					visited[m.Base] = map[int]bool{}
 				}
-				been[m.Base][m.Shard] = true
-				if been[m.Base][m.To] {
+				visited[m.Base][m.Shard] = true
+				if visited[m.Base][m.To] {
 					t.Fatalf("%s comes back to %d", m.Base, m.To)
 				}
 			}
@@ -117,14 +117,14 @@
 			if len(inWaves) != len(p.Moves) {
 				t.Fatal("moves without a wave")
 			}
-			carry(p, shards, units)
+			applyPlan(p, shards, units)
 		}
 	})
 }
 
-// TestEvensOut: a new empty shard beside full ones gets its part, and nothing is moved for less than
-// it costs; a shard that drains is left empty.
-func TestEvensOut(t *testing.T) {
+// TestMakeBalancesShards checks that a new empty shard receives its part of the data of full ones, that nothing moves
+// for a gain below the cost, and that a draining shard is emptied.
+func TestMakeBalancesShards(t *testing.T) {
 	site := func(used ...int64) (shards []Shard, units []Unit) {
 		for id, u := range used {
 			shards = append(shards, Shard{ID: id, Used: u * 10, Capacity: 1000, Gives: true, Takes: true})
@@ -136,15 +136,15 @@
 	}
 	shards, units := site(60, 60, 60, 0)
 	p, err := Make(Default, shards, units, nil)
-	if err != nil || p.Why != Even || p.After.Most-p.After.Least >= Default.Least || p.After.Mean != 0.45 {
+	if err != nil || p.Why != WhyBalanced || p.After.Most-p.After.Least >= Default.Least || p.After.Mean != 0.45 {
 		t.Fatalf("%+v, %v", p, err)
 	}
-	if p.Bytes < 380 || p.Bytes > 450 { // 450 would be even to the byte
+	if p.Bytes < 380 || p.Bytes > 450 { // 450 would balance the shards exactly
 		t.Errorf("%d bytes move", p.Bytes)
 	}
 	shards, units = site(50, 48, 46)
-	if p, _ = Make(Default, shards, units, nil); len(p.Moves) != 0 || p.Why != Even {
-		t.Errorf("%d moves for nothing: %s", len(p.Moves), p.Why)
+	if p, _ = Make(Default, shards, units, nil); len(p.Moves) != 0 || p.Why != WhyBalanced {
+		t.Errorf("%d moves for too small a gain: %s", len(p.Moves), p.Why)
 	}
 	shards, units = site(50, 40, 40)
 	shards[0].Leaves, shards[0].Takes = true, false
@@ -153,13 +153,13 @@
 	}
 	shards, units = site(90, 10)
 	shards[0].Takes, shards[1].Takes = false, false
-	if p, _ = Make(Default, shards, units, nil); p.Why != NoMates || len(p.Moves) != 0 {
+	if p, _ = Make(Default, shards, units, nil); p.Why != WhyNoTarget || len(p.Moves) != 0 {
 		t.Errorf("%+v", p)
 	}
 	if _, err := Make(Settings{}, shards, units, nil); err == nil {
-		t.Error("settings of nothing are taken")
+		t.Error("zero settings are accepted")
 	}
 	if _, err := Make(Default, append(shards, shards[0]), units, nil); err == nil {
-		t.Error("a shard twice is taken")
+		t.Error("a duplicate shard is accepted")
 	}
 }
