--- a/outage/outage.go
+++ b/outage/outage.go
@@ -1,12 +1,12 @@
-// Package outage decides what is asked of shards whose nodes give no answers, and when those who
-// want something of them are to come back. It is a decision package: no I/O, no clock, no goroutine;
-// times are handed in. Callers: the gateway (Heard, for each outcome; Due, to probe) and its fronts
-// (Lost, before a request for what lies on one shard).
+// Package outage detects shards whose nodes do not answer, and decides when to probe them and when clients that need
+// them should retry. The package is pure decision code: it does no I/O, reads no clock and starts no goroutine; times
+// are passed in. The gateway calls Heard for each outcome and Due for probes, and its fronts call Lost before a
+// request for data on one shard.
 //
-// Package control finds by itself that a node is suspect, and lets one request through now and
-// then; but each extent of each file that lies there is a request that it has to refuse, up to four
-// times. Here a shard is lost for all of them at once: one probe now and then is sent on behalf of
-// all, none of their tries is used up, and the others of a transfer go on.
+// Package control detects suspect nodes by itself and lets a request through now and then. But every extent of every
+// file on such a node is a request that control has to refuse, up to four times each. This package treats the shard
+// as lost for all of these requests: a probe is sent from time to time on behalf of all, no request uses up its
+// tries, and the other requests of a transfer proceed.
 package outage
 
 import (
@@ -15,115 +15,117 @@
 	"time"
 )
 
-// Settings of a book.
+// Settings configure a Book.
 type Settings struct {
-	After   int           // silences on end, with no answer in between, that make a shard lost
-	Apart   time.Duration // silences closer than this are one: a dropped connection ends many requests
-	First   time.Duration // between the first probes of a lost shard
-	Part    float64       // later probes are this part of the time that it has been silent apart ...
-	Most    time.Duration // ... and no more than this
-	Least   time.Duration // that clients are told to wait ...
-	Longest time.Duration // ... and the most
-	Sure    float64       // part of those who come back when told that are to be served then, by past outages
+	LossThreshold    int           // consecutive silences, without an answer in between, after which a shard is lost
+	SilenceInterval  time.Duration // silences closer together count as one: a dropped connection ends many requests
+	MinProbeInterval time.Duration // smallest interval between probes of a lost shard
+	ProbeFraction    float64       // interval between later probes as a fraction of the silent time so far ...
+	MaxProbeInterval time.Duration // ... up to this limit
+	MinRetryAfter    time.Duration // bounds of the retry-after given to clients
+	MaxRetryAfter    time.Duration
+	RetryQuantile    float64 // fraction of clients that should be served when they retry as told, judging by past outages
 }
 
-// Default settings. A part of a fifth finds a shard that came back within a fifth of the time that
-// it was gone.
-var Default = Settings{After: 3, Apart: 50 * time.Millisecond, First: 250 * time.Millisecond, Part: 0.2,
-	Most: 5 * time.Second, Least: time.Second, Longest: 30 * time.Second, Sure: 0.8}
+// Default holds the default settings. With a probe fraction of 0.2, a recovered shard is found within a fifth of the
+// time for which it was lost.
+var Default = Settings{LossThreshold: 3, SilenceInterval: 50 * time.Millisecond, MinProbeInterval: 250 * time.Millisecond,
+	ProbeFraction: 0.2, MaxProbeInterval: 5 * time.Second, MinRetryAfter: time.Second, MaxRetryAfter: 30 * time.Second,
+	RetryQuantile: 0.8}
 
-const remembered = 64 // past outages, of all shards
+const maxPastOutages = 64 // number of past outages kept, over all shards
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
-	case s.After < 1:
-		return fmt.Errorf("after = %d: at least 1", s.After)
-	case s.First <= 0 || s.Most < s.First:
-		return fmt.Errorf("first = %v, most = %v: more than 0s, most at least first", s.First, s.Most)
-	case !(s.Part >= 0 && s.Part <= 1):
-		return fmt.Errorf("part = %v: 0 to 1", s.Part)
-	case s.Apart < 0 || s.Least < 0 || s.Longest < s.Least:
-		return fmt.Errorf("apart = %v, least = %v, longest = %v: not negative, longest at least least", s.Apart, s.Least, s.Longest)
-	case !(s.Sure > 0 && s.Sure <= 1):
-		return fmt.Errorf("sure = %v: more than 0, at most 1", s.Sure)
+	case s.LossThreshold < 1:
+		return fmt.Errorf("loss threshold = %d: expected at least 1", s.LossThreshold)
+	case s.MinProbeInterval <= 0 || s.MaxProbeInterval < s.MinProbeInterval:
+		return fmt.Errorf("min probe interval = %v, max probe interval = %v: expected 0 < min <= max",
+			s.MinProbeInterval, s.MaxProbeInterval)
+	case !(s.ProbeFraction >= 0 && s.ProbeFraction <= 1):
+		return fmt.Errorf("probe fraction = %v: expected 0 to 1", s.ProbeFraction)
+	case s.SilenceInterval < 0 || s.MinRetryAfter < 0 || s.MaxRetryAfter < s.MinRetryAfter:
+		return fmt.Errorf("silence interval = %v, min retry-after = %v, max retry-after = %v: expected 0 <= min <= max",
+			s.SilenceInterval, s.MinRetryAfter, s.MaxRetryAfter)
+	case !(s.RetryQuantile > 0 && s.RetryQuantile <= 1):
+		return fmt.Errorf("retry quantile = %v: expected more than 0, at most 1", s.RetryQuantile)
 	}
 	return nil
 }
 
-// Book is what is known of silent shards. It is not safe for concurrent use. What it holds is
-// bounded by the shards that were silent since their last answer, and those that are listed.
+// Book tracks shards that do not answer. It is not safe for concurrent use. It holds an entry only for listed shards
+// that have been silent since their last answer.
 type Book struct {
-	set    Settings
-	silent map[int]*shard
-	past   []time.Duration // how long outages took, the last ones
+	settings    Settings
+	silent      map[int]*silentShard
+	pastOutages []time.Duration // durations of the latest outages
 }
 
-// shard is one that was silent since its last answer.
-type shard struct {
-	since time.Duration // of the first silence
-	last  time.Duration // of the last that counted
-	count int
-	lost  bool
-	next  time.Duration // when it is probed next
+// silentShard is the state of a shard that has been silent since its last answer.
+type silentShard struct {
+	since       time.Duration // time of the first silence
+	lastCounted time.Duration // time of the last silence that was counted
+	silences    int
+	lost        bool
+	nextProbe   time.Duration // time of the next probe
 }
 
-// New makes an empty book.
-func New(set Settings) (*Book, error) {
-	if err := set.Check(); err != nil {
+// New returns an empty Book.
+func New(settings Settings) (*Book, error) {
+	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("outage: %w", err)
 	}
-	return &Book{set: set, silent: map[int]*shard{}}, nil
+	return &Book{settings: settings, silent: map[int]*silentShard{}}, nil
 }
 
-// Change is what Heard brought about.
+// Change is the effect of a call to Heard.
 type Change int
 
-// The changes.
+// Changes of a shard's state.
 const (
-	None Change = iota
-	Gone        // the shard is lost from now on
-	Back        // it answers again
+	NoChange Change = iota
+	Gone            // the shard is lost as of now
+	Back            // a lost shard answers again
 )
 
-// Heard takes that a shard answered, whatever it said, or gave no answer: no connection, a dropped
-// one, none in time. For a shard that is back it tells for how long it was silent.
+// Heard records that a shard answered, with whatever result, or gave no answer: the connection failed or was dropped,
+// or the answer did not come in time. The duration returned with Gone and Back is how long the shard was silent.
 func (b *Book) Heard(id int, answered bool, now time.Duration) (Change, time.Duration) {
 	s := b.silent[id]
 	if answered {
 		delete(b.silent, id)
 		if s != nil && s.lost {
-			if b.past = append(b.past, now-s.since); len(b.past) > remembered {
-				b.past = b.past[1:]
+			if b.pastOutages = append(b.pastOutages, now-s.since); len(b.pastOutages) > maxPastOutages {
+				b.pastOutages = b.pastOutages[1:]
 			}
 			return Back, now - s.since
 		}
-		return None, 0
+		return NoChange, 0
 	}
 	if s == nil {
-		s = &shard{since: now, last: now - b.set.Apart}
+		s = &silentShard{since: now, lastCounted: now - b.settings.SilenceInterval}
 		b.silent[id] = s
 	}
-	if now < s.last+b.set.Apart {
-		return None, 0
+	if now < s.lastCounted+b.settings.SilenceInterval {
+		return NoChange, 0
 	}
-	s.last = now
-	if s.count++; s.lost || s.count < b.set.After {
-		return None, 0
+	s.lastCounted = now
+	if s.silences++; s.lost || s.silences < b.settings.LossThreshold {
+		return NoChange, 0
 	}
-	s.lost, s.next = true, now // it may have been no more than a dropped connection
+	s.lost, s.nextProbe = true, now // probe at once: the cause may only be dropped connections
 	return Gone, now - s.since
 }
 
-// Word takes news of the register on a shard: a node of it is new, or has moved. A lost one is probed
-// at once.
+// Word records a change in the register: a node of the shard is new or has moved. A lost shard is then probed at once.
 func (b *Book) Word(id int, now time.Duration) {
 	if s := b.silent[id]; s != nil && s.lost {
-		s.next = min(s.next, now)
+		s.nextProbe = min(s.nextProbe, now)
 	}
 }
 
-// Keep forgets shards that are not listed any more.
+// Keep removes shards that are no longer listed.
 func (b *Book) Keep(listed func(id int) bool) {
 	for id := range b.silent {
 		if !listed(id) {
@@ -132,50 +134,52 @@
 	}
 }
 
-// Lost says whether a shard is lost, for how long it has been silent, and when it is worth to come
-// back: when so many of past outages as long as this one were over (Settings.Sure), else after as long again
-// as it has been silent; when it will have been probed, and within the stated bounds.
+// Lost returns whether a shard is lost, for how long it has been silent, and after what time a client should retry.
+// By that time a fraction of RetryQuantile of the past outages that lasted longer than this one so far had ended;
+// without such outages it is as long as the silence so far. It lies within the bounds of the settings, and not before
+// the next probe.
 func (b *Book) Lost(id int, now time.Duration) (silent, back time.Duration, lost bool) {
 	s := b.silent[id]
 	if s == nil || !s.lost {
 		return 0, 0, false
 	}
 	silent = now - s.since
-	back = max(b.set.Least, min(b.set.Longest, b.left(silent)), s.next-now)
-	return silent, back + b.set.Apart, true
+	back = max(b.settings.MinRetryAfter, min(b.settings.MaxRetryAfter, b.remaining(silent)), s.nextProbe-now)
+	return silent, back + b.settings.SilenceInterval, true
 }
 
-// left is how long an outage goes on that has lasted so long. Where outages are alike (a process that
-// is started again, a node that is rolled) those that are over tell; where none took as long, nothing is known but
-// that it goes on.
-func (b *Book) left(silent time.Duration) time.Duration {
+// remaining estimates how much longer an outage lasts. Where outages are alike, as for a process that is restarted or
+// a node that is upgraded, past ones give the estimate. If none lasted as long, the estimate is as long again as the
+// shard has been silent.
+func (b *Book) remaining(silent time.Duration) time.Duration {
 	var longer []time.Duration
-	for _, p := range b.past {
-		if p > silent {
-			longer = append(longer, p-silent)
+	for _, duration := range b.pastOutages {
+		if duration > silent {
+			longer = append(longer, duration-silent)
 		}
 	}
 	if len(longer) == 0 {
 		return silent
 	}
 	slices.Sort(longer)
-	return longer[min(len(longer)-1, int(b.set.Sure*float64(len(longer))))]
+	return longer[min(len(longer)-1, int(b.settings.RetryQuantile*float64(len(longer))))]
 }
 
-// Due are the lost shards that are to be probed now, in order; it notes that they are.
+// Due returns the lost shards that are to be probed now, ordered by ID, and schedules their next probes.
 func (b *Book) Due(now time.Duration) (due []int) {
 	for id, s := range b.silent {
-		if s.lost && now >= s.next {
+		if s.lost && now >= s.nextProbe {
 			due = append(due, id)
-			s.next = now + min(b.set.Most, max(b.set.First, time.Duration(b.set.Part*float64(now-s.since))))
+			s.nextProbe = now + min(b.settings.MaxProbeInterval, max(b.settings.MinProbeInterval,
+				time.Duration(b.settings.ProbeFraction*float64(now-s.since))))
 		}
 	}
 	slices.Sort(due)
 	return due
 }
 
-// Shards are those that are lost, in order.
-func (b *Book) Shards() (lost []int) {
+// LostShards returns the lost shards, ordered by ID.
+func (b *Book) LostShards() (lost []int) {
 	for id, s := range b.silent {
 		if s.lost {
 			lost = append(lost, id)
--- a/outage/outage_test.go
+++ b/outage/outage_test.go
@@ -12,15 +12,15 @@
 
 const ms = time.Millisecond
 
-// TestDroppedConnectionIsOneSilence: many requests that end at once are one silence, so a
-// connection that drops makes no shard lost; three apart do, and it is probed at once.
-func TestDroppedConnectionIsOneSilence(t *testing.T) {
+// TestDroppedConnectionCountsOnce checks that many requests that end at once count as one silence, so that a dropped
+// connection does not make a shard lost, and that three separate silences do, with a probe at once.
+func TestDroppedConnectionCountsOnce(t *testing.T) {
 	b, err := New(Default)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range 40 {
-		if c, _ := b.Heard(1, false, time.Second+time.Duration(i)*ms); c != None {
+		if c, _ := b.Heard(1, false, time.Second+time.Duration(i)*ms); c != NoChange {
 			t.Fatalf("lost after %d ms", i)
 		}
 	}
@@ -31,23 +31,23 @@
 	if due := b.Due(1200 * ms); len(due) != 1 || due[0] != 1 {
 		t.Errorf("due %v", due)
 	}
-	if silent, back, lost := b.Lost(1, 1300*ms); !lost || silent != 300*ms || back != time.Second+Default.Apart {
+	if silent, back, lost := b.Lost(1, 1300*ms); !lost || silent != 300*ms || back != time.Second+Default.SilenceInterval {
 		t.Errorf("%v %v %v", silent, back, lost)
 	}
 	if _, _, lost := b.Lost(2, 1300*ms); lost {
-		t.Error("another one is lost")
+		t.Error("another shard is lost")
 	}
 	if c, gone := b.Heard(1, true, 5*time.Second); c != Back || gone != 4*time.Second {
 		t.Errorf("%v %v", c, gone)
 	}
-	if _, _, lost := b.Lost(1, 5*time.Second); lost || len(b.Shards()) != 0 {
+	if _, _, lost := b.Lost(1, 5*time.Second); lost || len(b.LostShards()) != 0 {
 		t.Error("lost although it answers")
 	}
 }
 
-// TestProbes: whatever the length of an outage, the answer to a probe comes within a fifth of it
-// (or the first pause), the probes are few, what clients are told is never below the least, and
-// at the time that one is told the shard has been probed.
+// TestProbes checks, for outages of any length, that a probe finds a recovered shard within about a fifth of the
+// outage (or MinProbeInterval), that there are few probes, that the retry-after is never below its minimum, and that
+// the shard has been probed by the time at which a client is told to retry.
 func TestProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, _ := New(Default)
@@ -56,7 +56,7 @@
 			b.Heard(7, false, start+time.Duration(i)*50*ms)
 		}
 		probes, found := 0, time.Duration(0)
-		told := map[time.Duration]bool{} // when clients are to come back
+		told := map[time.Duration]bool{} // times at which clients were told to retry
 		for now := start + 100*ms; found == 0; now += 10 * ms {
 			for range b.Due(now) {
 				probes++
@@ -67,28 +67,28 @@
 			}
 			for at := range told {
 				if now > at+20*ms {
-					t.Fatalf("told to come back at %v, and not probed by %v", at, now)
+					t.Fatalf("told to retry at %v, but no probe by %v", at, now)
 				}
 			}
-			if _, back, lost := b.Lost(7, now); !lost || back < Default.Least {
-				t.Fatalf("lost %v, told %v", lost, back)
+			if _, back, lost := b.Lost(7, now); !lost || back < Default.MinRetryAfter {
+				t.Fatalf("lost %v, retry-after %v", lost, back)
 			} else {
 				told[now+back] = true
 			}
 		}
-		if late := found - start - lasts; late > max(Default.First, time.Duration(0.25*float64(lasts)))+10*ms {
-			t.Fatalf("gone for %v, found %v later", lasts, late)
+		if late := found - start - lasts; late > max(Default.MinProbeInterval, time.Duration(0.25*float64(lasts)))+10*ms {
+			t.Fatalf("lost for %v, found %v after recovery", lasts, late)
 		}
-		most := 5 + 5*math.Log(float64(lasts)/float64(time.Second)+1)*1.2 + float64(lasts)/float64(Default.Most)
+		most := 5 + 5*math.Log(float64(lasts)/float64(time.Second)+1)*1.2 + float64(lasts)/float64(Default.MaxProbeInterval)
 		if float64(probes) > most+6 {
 			t.Fatalf("%d probes in %v", probes, lasts)
 		}
 	})
 }
 
-// TestRegistersWord: news of a lost shard has it probed at once; of one that is not it does nothing,
-// and one that is no longer listed is forgotten.
-func TestRegistersWord(t *testing.T) {
+// TestNodeChangeTriggersProbe checks that a node change of a lost shard triggers a probe at once, that one of another
+// shard has no effect, and that a shard that is no longer listed is removed.
+func TestNodeChangeTriggersProbe(t *testing.T) {
 	b, _ := New(Default)
 	for i := range 3 {
 		b.Heard(1, false, time.Duration(i)*time.Second)
@@ -100,23 +100,26 @@
 		t.Errorf("due %v", due)
 	}
 	b.Keep(func(id int) bool { return id != 1 })
-	if len(b.Shards()) != 0 {
-		t.Error("one that is not listed is still lost")
+	if len(b.LostShards()) != 0 {
+		t.Error("a shard that is no longer listed is still lost")
 	}
-	for _, s := range []Settings{{}, {After: 1, First: 2, Most: 1}, {After: 1, First: 1, Most: 1, Part: 2}, {After: 1, First: 1, Most: 1, Least: -1}, {After: 1, First: 1, Most: 1}} {
+	for _, s := range []Settings{{}, {LossThreshold: 1, MinProbeInterval: 2, MaxProbeInterval: 1},
+		{LossThreshold: 1, MinProbeInterval: 1, MaxProbeInterval: 1, ProbeFraction: 2},
+		{LossThreshold: 1, MinProbeInterval: 1, MaxProbeInterval: 1, MinRetryAfter: -1},
+		{LossThreshold: 1, MinProbeInterval: 1, MaxProbeInterval: 1}} {
 		if _, err := New(s); err == nil {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("%+v is accepted", s)
 		}
 	}
 }
 
-// outages plays lengths of outages one after another. Each 100 ms a client comes, and again whenever it
-// is told to until it is served. True are those served within a fifth of the time first told; late is the mean
-// time for which what they want had been there by then.
-func outages(set Settings, lengths []time.Duration) (truly float64, late time.Duration) {
-	b, _ := New(set)
-	clients, good, waited := 0, 0, time.Duration(0)
-	for i, lasts := range lengths {
+// simulateOutages simulates outages of the given lengths one after another. A client arrives every 100 ms and retries
+// whenever it is told to until it is served. servedWhenTold is the fraction of clients served within 1.2 times the
+// first retry-after; meanDelay is the average time between the shard's recovery and the client's service.
+func simulateOutages(settings Settings, lengths []time.Duration) (servedWhenTold float64, meanDelay time.Duration) {
+	b, _ := New(settings)
+	clients, servedInTime, totalDelay := 0, 0, time.Duration(0)
+	for i, duration := range lengths {
 		start := time.Hour * time.Duration(i+1)
 		for j := range 3 {
 			b.Heard(1, false, start+time.Duration(j)*50*ms)
@@ -126,7 +129,7 @@
 		back := time.Duration(0)
 		for now := start + 100*ms; back == 0 || len(waiting) > 0; now += 10 * ms {
 			for range b.Due(now) {
-				if now >= start+lasts && back == 0 {
+				if now >= start+duration && back == 0 {
 					back = now
 					b.Heard(1, true, now)
 				}
@@ -142,25 +145,26 @@
 				}
 				continue
 			}
-			left := waiting[:0]
+			stillWaiting := waiting[:0]
 			for _, c := range waiting {
 				if c.next > now {
-					left = append(left, c)
+					stillWaiting = append(stillWaiting, c)
 					continue
 				}
 				clients++
 				if float64(now-c.came) <= 1.2*float64(c.told) {
-					good++
+					servedInTime++
 				}
-				waited += now - max(c.came, start+lasts)
+				totalDelay += now - max(c.came, start+duration)
 			}
-			waiting = left
+			waiting = stillWaiting
 		}
 	}
-	return float64(good) / float64(clients), waited / time.Duration(clients)
+	return float64(servedInTime) / float64(clients), totalDelay / time.Duration(clients)
 }
 
-func drawnOutages(sigma float64, n int) (lengths []time.Duration) {
+// drawOutages draws outage lengths with a lognormal distribution and a median of 6 s.
+func drawOutages(sigma float64, n int) (lengths []time.Duration) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range n {
 		lengths = append(lengths, time.Duration(6*math.Exp(sigma*rng.NormFloat64())*float64(time.Second)))
@@ -168,27 +172,26 @@
 	return lengths
 }
 
-// TestToldIsTrue: where outages are alike, four of five clients that come back when told are served
+// TestRetryAfterIsAccurate checks that where outages are alike, four of five clients that retry as told are served
 // then.
-func TestToldIsTrue(t *testing.T) {
-	if truly, late := outages(Default, drawnOutages(0.2, 40)); truly < 0.8 || late > 3*time.Second {
-		t.Errorf("%.2f are served when told, %v after it was there", truly, late)
+func TestRetryAfterIsAccurate(t *testing.T) {
+	if truly, late := simulateOutages(Default, drawOutages(0.2, 40)); truly < 0.8 || late > 3*time.Second {
+		t.Errorf("%.2f are served when told, on average %v after recovery", truly, late)
 	}
 }
 
-// BenchmarkTold is how many clients are served when they were told, and how long after their shard was
-// there again, by how alike outages are: the standard deviation of the logarithm of their length about 6 s.
-// The plain way tells when the next probe is.
-func BenchmarkTold(b *testing.B) {
+// BenchmarkRetryAfter reports the fraction of clients that are served when told, and the delay after recovery, by the
+// standard deviation of the logarithm of outage lengths. The variant "plain" tells clients the time of the next probe.
+func BenchmarkRetryAfter(b *testing.B) {
 	for _, sigma := range []float64{0, 0.1, 0.3, 1} {
 		plain, half := Default, Default
-		plain.Longest, half.Sure = plain.Least, 0.5
+		plain.MaxRetryAfter, half.RetryQuantile = plain.MinRetryAfter, 0.5
 		for name, set := range map[string]Settings{"plain": plain, "sure=0.5": half, "sure=0.8": Default} {
 			b.Run(fmt.Sprintf("sigma=%v/%s", sigma, name), func(b *testing.B) {
 				var truly float64
 				var late time.Duration
 				for b.Loop() {
-					truly, late = outages(set, drawnOutages(sigma, 100))
+					truly, late = simulateOutages(set, drawOutages(sigma, 100))
 				}
 				b.ReportMetric(truly, "true")
 				b.ReportMetric(late.Seconds(), "s-late")
