--- a/pacing/budget.go
+++ b/pacing/budget.go
@@ -1,36 +1,34 @@
 package pacing
 
-// Budget parts a stated number of bytes among transfers: what all of them together
-// hold in memory. It is not safe for concurrent use; its owner has a lock.
+// Budget limits the bytes that all transfers together hold in memory. It is not safe for concurrent use; its owner
+// must lock it.
 //
-// A transfer that holds nothing may always take one extent as long as the reserve
-// lasts, so that those which hold much cannot starve the others: the last part of
-// the budget is for first extents only.
+// A part of the limit is reserved for transfers that hold nothing yet, so that each can get its first extent and
+// those that hold much cannot starve the others.
 type Budget struct {
-	Limit   int64   // bytes over all
-	Reserve float64 // part of it that only first extents may take
-	used    int64
+	Limit     int64   // bytes, over all transfers
+	Reserve   float64 // fraction of the limit that is kept for first extents
+	usedBytes int64
 }
 
-// Take books bytes for a transfer that already holds so many. It reports false if
-// there is no room now.
-func (b *Budget) Take(bytes, holds int64) bool {
+// Take allocates bytes for a transfer that already holds held bytes. It returns false if there is no room now.
+func (b *Budget) Take(bytes, held int64) bool {
 	limit := b.Limit
-	if holds > 0 {
+	if held > 0 {
 		limit = int64(float64(b.Limit) * (1 - b.Reserve))
 	}
-	if b.used+bytes > limit {
+	if b.usedBytes+bytes > limit {
 		return false
 	}
-	b.used += bytes
+	b.usedBytes += bytes
 	return true
 }
 
-// Give books bytes back.
-func (b *Budget) Give(bytes int64) { b.used -= bytes }
+// Give releases allocated bytes.
+func (b *Budget) Give(bytes int64) { b.usedBytes -= bytes }
 
-// Used is what is taken.
-func (b *Budget) Used() int64 { return b.used }
+// Used returns the number of allocated bytes.
+func (b *Budget) Used() int64 { return b.usedBytes }
 
-// Force books bytes that are there already, beyond the limit if need be.
-func (b *Budget) Force(bytes int64) { b.used += bytes }
+// Force allocates bytes that are in memory already, even beyond the limit.
+func (b *Budget) Force(bytes int64) { b.usedBytes += bytes }
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -1,12 +1,10 @@
-// Package pacing decides how one transfer asks for its extents: how many at a time,
-// how long each may take, and what follows a refusal or a failure of one. A transfer
-// is many requests to the module (control), which decides each of them; here is what
-// the module's client does. The package does no I/O, reads no clock and starts no
-// goroutine. Its caller is a front.
+// Package pacing decides how a transfer requests its extents: how many at a time, how long each may take, and what
+// follows when a request is refused or fails. A transfer makes many requests to the module (package control), which
+// decides about each of them; this package implements the behaviour of the module's client. It does no I/O, reads no
+// clock and starts no goroutine. The rsync front uses it.
 //
-// It keeps the rules of a client that behaves: an extent is asked for at most Tries
-// times, a repeat is marked as one, a refusal's retry-after is waited for, and nothing
-// is asked that cannot end in the client's time.
+// It follows the rules for well-behaved clients: an extent is requested at most Tries times, a retry is marked as one,
+// the retry-after of a refusal is honoured, and no request is made that cannot finish within the client's timeout.
 package pacing
 
 import (
@@ -16,23 +14,23 @@
 	"time"
 )
 
-// Settings bound a transfer.
+// Settings limit a transfer.
 type Settings struct {
-	Tries       int           // times an extent is asked for in all
-	Patience    time.Duration // an extent's time, from the first try on, if the client names no timeout
-	TimeoutPart float64       // part of the client's own timeout that an extent may take
-	Least       time.Duration // a try that has less time than this is not made
-	WindowStart int           // extents asked for at a time, at first
-	WindowTop   int           // and at most
-	ShardPause  time.Duration // after an extent of a shard was given up, others there get one try for so long
-	LeaveOut    int           // files left out in a row, after which the transfer ends
+	Tries       int           // maximum number of requests for an extent, retries included
+	Patience    time.Duration // time limit of an extent over all tries; less with a short client timeout
+	TimeoutPart float64       // fraction of the client's own timeout that an extent may take
+	Least       time.Duration // a try with less time left than this is not made
+	WindowStart int           // initial number of extents requested at a time
+	WindowTop   int           // maximum number of extents requested at a time
+	ShardPause  time.Duration // time for which extents of a shard get a single try after one was given up
+	LeaveOut    int           // number of consecutive files left out after which the transfer ends
 }
 
-// Default is what the settings begin with.
+// Default holds the default settings.
 var Default = Settings{Tries: 4, Patience: 8 * time.Second, TimeoutPart: 0.6, Least: 20 * time.Millisecond,
 	WindowStart: 2, WindowTop: 8, ShardPause: 5 * time.Second, LeaveOut: 16}
 
-// Check names the first setting that cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s Settings) Check() error {
 	switch {
 	case s.Tries < 1 || s.Tries > 4:
@@ -49,178 +47,175 @@
 	return nil
 }
 
-// Transfer is the state of one transfer.
+// Transfer is the state of one transfer. It is not safe for concurrent use.
 type Transfer struct {
-	set      Settings
-	patience time.Duration
-	window   float64
-	out      int // extents asked for and not answered
-	halvedAt time.Duration
-	shards   map[int]time.Duration // shards with an extent given up, until when
-	inRow    int                   // files left out without one served between
-
-	rng   *rand.Rand
-	rate  float64 // bytes a second; 0: no limit
-	owed  float64 // bytes beyond the rate
-	count time.Duration
+	settings       Settings
+	extentTimeout  time.Duration
+	window         float64
+	inFlight       int // extents requested and not answered yet
+	windowHalvedAt time.Duration
+	failedShards   map[int]time.Duration // shards with an abandoned extent, until the end of their pause
+	leftOutInRow   int                   // consecutive files left out
+
+	rng           *rand.Rand
+	rate          float64 // bytes per second; 0: no limit
+	debtBytes     float64 // bytes requested in excess of the rate, as of debtUpdatedAt
+	debtUpdatedAt time.Duration
 }
 
-// New begins a transfer. timeout is the client's own (0: none), rate its limit in
-// bytes a second (0: none). The seed keeps transfers that were refused together from
-// coming back together.
-func New(set Settings, timeout time.Duration, rate float64, seed uint64) *Transfer {
-	t := &Transfer{set: set, patience: set.Patience, window: float64(set.WindowStart),
-		shards: map[int]time.Duration{}, rate: rate, rng: rand.New(rand.NewPCG(seed, 0))}
+// New returns the state of a new transfer. timeout is the client's own timeout (0: none), and rate its limit in bytes
+// per second (0: none). The seed randomizes pauses, so that transfers refused together do not retry together.
+func New(settings Settings, timeout time.Duration, rate float64, seed uint64) *Transfer {
+	t := &Transfer{settings: settings, extentTimeout: settings.Patience, window: float64(settings.WindowStart),
+		failedShards: map[int]time.Duration{}, rate: rate, rng: rand.New(rand.NewPCG(seed, 0))}
 	if timeout > 0 {
-		t.patience = min(t.patience, time.Duration(set.TimeoutPart*float64(timeout)))
+		t.extentTimeout = min(t.extentTimeout, time.Duration(settings.TimeoutPart*float64(timeout)))
 	}
 	return t
 }
 
 // Extent is the state of one extent of a transfer.
 type Extent struct {
-	Shard    int
-	deadline time.Duration // of its class
-	until    time.Duration // the last moment at which an answer is of use
-	sentAt   time.Duration
-	tries    int
+	Shard     int
+	deadline  time.Duration // deadline of its class
+	expiresAt time.Duration // time after which an answer is of no use
+	sentAt    time.Duration
+	tries     int
 }
 
-// Tries is how often the extent has been asked for.
+// Tries returns how often the extent has been requested.
 func (x *Extent) Tries() int { return x.tries }
 
-// Room says whether another extent may be asked for now; if not because of the
-// transfer's rate, when.
+// Room reports whether another extent may be requested now. If only the transfer's rate prevents it, at is the time at
+// which one may be requested.
 func (t *Transfer) Room(now time.Duration) (ok bool, at time.Duration) {
-	if t.out >= int(t.window) {
+	if t.inFlight >= int(t.window) {
 		return false, 0
 	}
 	if t.rate > 0 {
-		t.owed = math.Max(0, t.owed-t.rate*(now-t.count).Seconds())
-		t.count = now
-		if t.owed > 0 {
-			return false, now + time.Duration(t.owed/t.rate*float64(time.Second))
+		t.debtBytes = math.Max(0, t.debtBytes-t.rate*(now-t.debtUpdatedAt).Seconds())
+		t.debtUpdatedAt = now
+		if t.debtBytes > 0 {
+			return false, now + time.Duration(t.debtBytes/t.rate*float64(time.Second))
 		}
 	}
 	return true, 0
 }
 
-// Patience is how long an extent may take over all its tries, and how long one that a
-// client waits for may be kept from its first.
-func (t *Transfer) Patience() time.Duration { return t.patience }
+// Patience returns how long an extent may take over all its tries, which is also how long an extent that a client
+// waits for may be held back from its first try.
+func (t *Transfer) Patience() time.Duration { return t.extentTimeout }
 
-// Window is the number of extents that may be asked for at a time.
+// Window returns the maximum number of extents that may be requested at a time.
 func (t *Transfer) Window() int { return int(t.window) }
 
-// Begin books an extent of so many bytes that is wanted now. shard is where it lies,
-// or negative; deadline is its class's.
+// Begin registers an extent of the given size that is wanted now. shard is the shard that stores it, or negative if
+// unknown; deadline is the deadline of its class.
 func (t *Transfer) Begin(now time.Duration, shard, bytes int, deadline time.Duration) *Extent {
 	if t.rate > 0 {
-		t.owed += float64(bytes)
+		t.debtBytes += float64(bytes)
 	}
-	return &Extent{Shard: shard, deadline: deadline, until: now + t.patience}
+	return &Extent{Shard: shard, deadline: deadline, expiresAt: now + t.extentTimeout}
 }
 
-// Try is one request to be made.
+// Try describes a request to be made.
 type Try struct {
-	Expires time.Duration // from now
-	Retry   bool          // marks a repeat
+	Expires time.Duration // time from now
+	Retry   bool          // the request is a retry
 }
 
-// Ask books a try of the extent. ok is false if there is no time left for one.
+// Ask registers a try of the extent. ok is false if no time or no tries are left.
 func (t *Transfer) Ask(x *Extent, now time.Duration) (Try, bool) {
-	left := x.until - now
-	if left < t.set.Least || x.tries >= t.set.Tries {
+	remaining := x.expiresAt - now
+	if remaining < t.settings.Least || x.tries >= t.settings.Tries {
 		return Try{}, false
 	}
 	x.tries++
 	x.sentAt = now
-	t.out++
-	return Try{Expires: min(left, x.deadline), Retry: x.tries > 1}, true
+	t.inFlight++
+	return Try{Expires: min(remaining, x.deadline), Retry: x.tries > 1}, true
 }
 
-// Kind is how a try ended.
+// Kind is the result of a try.
 type Kind int
 
-// The kinds.
+// Results of a try.
 const (
 	Served  Kind = iota
-	Refused      // nothing ran, or a repeat is harmless
-	Failed       // a read; or a write that may have run, to be repeated under another name
+	Refused      // nothing was executed, or a retry is harmless
+	Failed       // a failed read, or a write that may have been executed and is retried under another name
 )
 
-// What is to be done next.
-type What int
+// Step is the kind of action that follows a try.
+type Step int
 
-// The kinds of next step.
+// Actions after a try.
 const (
-	Done  What = iota
-	Again      // ask again at Next.At
-	Leave      // give the extent up: its file is left out
+	Done   Step = iota
+	Again       // retry at NextStep.At
+	GiveUp      // abandon the extent: its file is left out
 )
 
-// Next says what follows the end of a try.
-type Next struct {
-	What What
-	At   time.Duration // Again
-	Back time.Duration // Leave: when it is worth to come back, from now; 0: unknown
+// NextStep is the action that follows a try.
+type NextStep struct {
+	What Step
+	At   time.Duration // Again: time of the retry
+	Back time.Duration // GiveUp: time from now after which the client should retry; 0: unknown
 }
 
-// firstPause is the part of the patience that passes at least before the second try;
-// each further pause is twice as long, and each is drawn out by up to as much again.
-// Guards against hints so short that all tries are used up while the trouble has not
-// moved, and against a thousand transfers that are refused at once, come back at once,
-// and are refused again. Harm: a refusal that only meant a few milliseconds costs more
-// of them.
-const firstPause = 32
-
-// Ended books the end of a try. retryAfter is what a refusal asked for.
-func (t *Transfer) Ended(x *Extent, now time.Duration, kind Kind, retryAfter time.Duration) Next {
-	t.out--
+// firstPauseDivisor gives the minimum pause before the second try as a fraction of the extent's time limit. Each
+// further pause is twice as long, and a random time of up to the same length is added. This prevents a short
+// retry-after from using up all tries while the cause persists, and a thousand transfers that are refused together
+// from retrying together and being refused again. The cost is a longer wait after refusals that would have passed
+// within milliseconds.
+const firstPauseDivisor = 32
+
+// Ended records the result of a try and returns what to do next. retryAfter is the retry-after of a refusal.
+func (t *Transfer) Ended(x *Extent, now time.Duration, kind Kind, retryAfter time.Duration) NextStep {
+	t.inFlight--
 	if kind == Served {
-		if t.out+1 >= int(t.window) { // it was of use
-			t.window = min(float64(t.set.WindowTop), t.window+1/t.window)
+		if t.inFlight+1 >= int(t.window) { // the window limited the transfer
+			t.window = min(float64(t.settings.WindowTop), t.window+1/t.window)
 		}
-		delete(t.shards, x.Shard)
-		return Next{What: Done}
+		delete(t.failedShards, x.Shard)
+		return NextStep{What: Done}
 	}
-	if x.sentAt >= t.halvedAt { // once for all that was out
+	if x.sentAt >= t.windowHalvedAt { // once for all tries in flight at that time
 		t.window = max(1, t.window/2)
-		t.halvedAt = now
+		t.windowHalvedAt = now
 	}
-	pause := t.patience / firstPause << (x.tries - 1)
+	pause := t.extentTimeout / firstPauseDivisor << (x.tries - 1)
 	if kind == Refused {
 		pause = max(pause, retryAfter)
 	}
-	at := now + pause + time.Duration(t.rng.Int64N(int64(pause)+1))
-	tries := t.set.Tries
-	if until, bad := t.shards[x.Shard]; bad && now < until {
-		tries = 1
+	retryAt := now + pause + time.Duration(t.rng.Int64N(int64(pause)+1))
+	maxTries := t.settings.Tries
+	if until, failed := t.failedShards[x.Shard]; failed && now < until {
+		maxTries = 1
 	}
-	if x.tries < tries && at+t.set.Least <= x.until {
-		return Next{What: Again, At: at}
+	if x.tries < maxTries && retryAt+t.settings.Least <= x.expiresAt {
+		return NextStep{What: Again, At: retryAt}
 	}
 	if x.Shard >= 0 {
-		t.shards[x.Shard] = now + t.set.ShardPause
+		t.failedShards[x.Shard] = now + t.settings.ShardPause
 	}
-	back := time.Duration(0)
+	clientRetryAfter := time.Duration(0)
 	if kind == Refused {
-		back = max(retryAfter, time.Millisecond)
+		clientRetryAfter = max(retryAfter, time.Millisecond)
 	}
-	return Next{What: Leave, Back: back}
+	return NextStep{What: GiveUp, Back: clientRetryAfter}
 }
 
-// Dropped books that a try's answer is no longer waited for.
-func (t *Transfer) Dropped(*Extent) { t.out-- }
+// Dropped records that the answer to a try is no longer awaited.
+func (t *Transfer) Dropped(*Extent) { t.inFlight-- }
 
-// File books that a file came to its end, or was left out, and says whether the
-// transfer ends now: after a number of files left out in a row the rest would only
-// take the client's time.
+// File records that a file was finished or left out, and reports whether the transfer ends now: after LeaveOut
+// consecutive files left out, continuing would only use up the client's time.
 func (t *Transfer) File(ok bool) (end bool) {
 	if ok {
-		t.inRow = 0
+		t.leftOutInRow = 0
 		return false
 	}
-	t.inRow++
-	return t.inRow >= t.set.LeaveOut
+	t.leftOutInRow++
+	return t.leftOutInRow >= t.settings.LeaveOut
 }
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -8,39 +8,39 @@
 )
 
 const (
-	ms = time.Millisecond
-	s  = time.Second
+	ms     = time.Millisecond
+	second = time.Second
 )
 
-func TestARefusalIsWaitedForAndMarked(t *testing.T) {
-	tr := New(Default, 10*s, 0, 1) // 6 s for an extent
-	x := tr.Begin(0, 3, 1000, s)
+func TestRefusalDelaysAndMarksRetry(t *testing.T) {
+	tr := New(Default, 10*second, 0, 1) // an extent may take 6 s
+	x := tr.Begin(0, 3, 1000, second)
 	try, ok := tr.Ask(x, 0)
-	if !ok || try.Retry || try.Expires != s {
+	if !ok || try.Retry || try.Expires != second {
 		t.Fatalf("first try: %+v %v", try, ok)
 	}
-	next := tr.Ended(x, 100*ms, Refused, 2*s)
+	next := tr.Ended(x, 100*ms, Refused, 2*second)
 	if next.What != Again || next.At < 2100*ms || next.At > 4100*ms {
 		t.Fatalf("after a refusal: %+v", next)
 	}
 	if try, ok = tr.Ask(x, next.At); !ok || !try.Retry {
 		t.Fatalf("second try: %+v %v", try, ok)
 	}
-	if next = tr.Ended(x, next.At+100*ms, Refused, 5*s); next.What != Leave || next.Back != 5*s {
-		t.Fatalf("a hint beyond the client's time: %+v", next)
+	if next = tr.Ended(x, next.At+100*ms, Refused, 5*second); next.What != GiveUp || next.Back != 5*second {
+		t.Fatalf("a retry-after beyond the client's timeout: %+v", next)
 	}
 }
 
-func TestShortHintsDoNotUseUpTheTries(t *testing.T) {
-	tr := New(Default, 0, 0, 1) // 8 s
-	x := tr.Begin(0, 0, 1, s)
+func TestShortRetryAfterIsExtended(t *testing.T) {
+	tr := New(Default, 0, 0, 1) // an extent may take 8 s
+	x := tr.Begin(0, 0, 1, second)
 	at, waits := time.Duration(0), []time.Duration(nil)
 	for {
 		if _, ok := tr.Ask(x, at); !ok {
-			t.Fatal("asked when it could not")
+			t.Fatal("no try is left, but the extent was not given up")
 		}
 		next := tr.Ended(x, at, Refused, ms)
-		if next.What == Leave {
+		if next.What == GiveUp {
 			break
 		}
 		waits = append(waits, next.At-at)
@@ -56,38 +56,38 @@
 	}
 }
 
-// TestRefusedTogetherComeBackApart: a thousand transfers refused in one moment spread
-// their second tries over a quarter of a second and more.
-func TestRefusedTogetherComeBackApart(t *testing.T) {
+// TestRetriesOfTransfersAreSpread checks that a thousand transfers that are refused at the same moment spread their
+// second tries over at least a quarter of a second.
+func TestRetriesOfTransfersAreSpread(t *testing.T) {
 	const bin = 25 * ms
 	bins := map[time.Duration]int{}
 	for i := range 1000 {
 		tr := New(Default, 0, 0, uint64(i))
-		x := tr.Begin(0, 0, 1, s)
+		x := tr.Begin(0, 0, 1, second)
 		tr.Ask(x, 0)
 		bins[tr.Ended(x, 0, Refused, ms).At/bin]++
 	}
 	for at, n := range bins {
 		if n > 200 {
-			t.Errorf("%d of 1000 come back within %v of %v", n, bin, at*bin)
+			t.Errorf("%d of 1000 retry within %v of %v", n, bin, at*bin)
 		}
 	}
 	a, b := New(Default, 0, 0, 7), New(Default, 0, 0, 7)
-	x, y := a.Begin(0, 0, 1, s), b.Begin(0, 0, 1, s)
+	x, y := a.Begin(0, 0, 1, second), b.Begin(0, 0, 1, second)
 	a.Ask(x, 0)
 	b.Ask(y, 0)
 	if a.Ended(x, 0, Refused, ms) != b.Ended(y, 0, Refused, ms) {
-		t.Error("the same seed gave another pause")
+		t.Error("equal seeds give different pauses")
 	}
 }
 
-func TestAShardThatFailedGetsOneTry(t *testing.T) {
+func TestFailedShardGetsOneTry(t *testing.T) {
 	tr := New(Default, 0, 0, 1)
 	giveUp := func(shard int, at time.Duration) int {
-		x := tr.Begin(at, shard, 1, s)
+		x := tr.Begin(at, shard, 1, second)
 		for {
 			tr.Ask(x, at)
-			if next := tr.Ended(x, at, Failed, 0); next.What == Leave {
+			if next := tr.Ended(x, at, Failed, 0); next.What == GiveUp {
 				return x.Tries()
 			} else {
 				at = next.At
@@ -97,53 +97,53 @@
 	if n := giveUp(1, 0); n != 4 {
 		t.Errorf("first extent: %d tries", n)
 	}
-	if n := giveUp(1, 4*s); n != 1 {
+	if n := giveUp(1, 4*second); n != 1 {
 		t.Errorf("second of the shard: %d tries", n)
 	}
-	if n := giveUp(2, 4*s); n != 4 {
+	if n := giveUp(2, 4*second); n != 4 {
 		t.Errorf("another shard: %d tries", n)
 	}
-	x := tr.Begin(4*s, 1, 1, s)
-	tr.Ask(x, 4*s)
-	tr.Ended(x, 4*s, Served, 0)
-	if n := giveUp(1, 5*s); n != 4 {
+	x := tr.Begin(4*second, 1, 1, second)
+	tr.Ask(x, 4*second)
+	tr.Ended(x, 4*second, Served, 0)
+	if n := giveUp(1, 5*second); n != 4 {
 		t.Errorf("after one was served: %d tries", n)
 	}
 }
 
 func TestWindowGrowsAndHalvesOnce(t *testing.T) {
 	tr := New(Default, 0, 0, 1)
-	xs := []*Extent{}
-	for now := time.Duration(0); tr.Window() < 8 && now < s; now += ms {
+	extents := []*Extent{}
+	for now := time.Duration(0); tr.Window() < 8 && now < second; now += ms {
 		for ok, _ := tr.Room(now); ok; ok, _ = tr.Room(now) {
-			x := tr.Begin(now, 0, 1, s)
+			x := tr.Begin(now, 0, 1, second)
 			tr.Ask(x, now)
-			xs = append(xs, x)
+			extents = append(extents, x)
 		}
-		tr.Ended(xs[0], now, Served, 0)
-		xs = xs[1:]
+		tr.Ended(extents[0], now, Served, 0)
+		extents = extents[1:]
 	}
 	if tr.Window() != 8 {
 		t.Fatalf("window %d", tr.Window())
 	}
-	for _, x := range xs {
-		tr.Ended(x, s, Failed, 0)
+	for _, x := range extents {
+		tr.Ended(x, second, Failed, 0)
 	}
 	if tr.Window() != 4 {
-		t.Errorf("window %d after %d failures at once", tr.Window(), len(xs))
+		t.Errorf("window %d after %d failures at once", tr.Window(), len(extents))
 	}
 }
 
-func TestRateIsKept(t *testing.T) {
+func TestRateLimit(t *testing.T) {
 	tr := New(Default, 0, 1000, 1)
 	sum, now := 0, time.Duration(0)
-	for now < 10*s {
+	for now < 10*second {
 		ok, at := tr.Room(now)
 		if !ok {
 			now = at
 			continue
 		}
-		x := tr.Begin(now, 0, 250, s)
+		x := tr.Begin(now, 0, 250, second)
 		tr.Ask(x, now)
 		tr.Ended(x, now, Served, 0)
 		sum += 250
@@ -163,7 +163,7 @@
 	tr.File(true)
 	for range Default.LeaveOut - 1 {
 		if tr.File(false) {
-			t.Fatal("a served file was forgotten")
+			t.Fatal("a served file does not reset the count")
 		}
 	}
 	if !tr.File(false) {
@@ -171,17 +171,17 @@
 	}
 }
 
-// TestNeverPastTheClientsTime: whatever happens, an extent has at most four tries,
-// none that outlives its part of the client's time, and the number out stays right.
-func TestNeverPastTheClientsTime(t *testing.T) {
+// TestTriesStayWithinClientTimeout checks that, for any sequence of results, an extent gets at most four tries, no try
+// outlasts the extent's part of the client's timeout, and the number of tries in flight stays correct.
+func TestTriesStayWithinClientTimeout(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		timeout := time.Duration(rapid.IntRange(0, 60).Draw(t, "timeout")) * s
+		timeout := time.Duration(rapid.IntRange(0, 60).Draw(t, "timeout")) * second
 		tr := New(Default, timeout, 0, 1)
 		limit := Default.Patience
 		if timeout > 0 {
 			limit = min(limit, time.Duration(Default.TimeoutPart*float64(timeout)))
 		}
-		now := time.Duration(rapid.Int64Range(0, int64(s)).Draw(t, "begin"))
+		now := time.Duration(rapid.Int64Range(0, int64(second)).Draw(t, "begin"))
 		begin := now
 		x := tr.Begin(now, 0, 1, time.Duration(rapid.IntRange(20, 5000).Draw(t, "deadline"))*ms)
 		tries := 0
@@ -195,24 +195,24 @@
 				t.Fatalf("try %d at %v of %v: %+v", tries, now-begin, limit, try)
 			}
 			now += time.Duration(rapid.Int64Range(0, int64(try.Expires)).Draw(t, "took"))
-			hint := time.Duration(rapid.Int64Range(0, int64(3*s)).Draw(t, "hint"))
+			retryAfter := time.Duration(rapid.Int64Range(0, int64(3*second)).Draw(t, "hint"))
 			kind := Kind(rapid.IntRange(0, 2).Draw(t, "kind"))
-			next := tr.Ended(x, now, kind, hint)
+			next := tr.Ended(x, now, kind, retryAfter)
 			if next.What != Again {
 				break
 			}
-			if kind == Refused && next.At < now+hint {
-				t.Fatalf("asks again %v after a refusal that said %v", next.At-now, hint)
+			if kind == Refused && next.At < now+retryAfter {
+				t.Fatalf("retries %v after a refusal with a retry-after of %v", next.At-now, retryAfter)
 			}
 			now = next.At
 		}
-		if tr.out != 0 || tr.Window() < 1 || tr.Window() > Default.WindowTop {
-			t.Fatalf("out %d, window %d", tr.out, tr.Window())
+		if tr.inFlight != 0 || tr.Window() < 1 || tr.Window() > Default.WindowTop {
+			t.Fatalf("out %d, window %d", tr.inFlight, tr.Window())
 		}
 	})
 }
 
-func TestBudgetKeepsAPartForFirstExtents(t *testing.T) {
+func TestBudgetReservesRoomForFirstExtents(t *testing.T) {
 	b := Budget{Limit: 100, Reserve: 0.25}
 	if !b.Take(75, 50) || b.Take(1, 50) || !b.Take(25, 0) || b.Take(1, 0) {
 		t.Errorf("used %d", b.Used())
