--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -1,11 +1,11 @@
-// Package forecast tells what volumes will ask for from what they asked for: for each, a
-// sketch of units a second by day, over the last days, older ones counting less. It is a
-// decision package: no I/O, no clock, no goroutine; times are handed in. Callers: the gateway
-// (a Book of its own demand) and eiderhold shares gather (Merge, Demands).
+// Package forecast predicts the demand of volumes from their past demand. For each volume and day it keeps a sketch of
+// the rates in units per second, over the last days, with older days weighted less. The package is pure decision code:
+// it does no I/O, reads no clock and starts no goroutine; times are passed in. A gateway records its own demand in a
+// Book, and the command eiderhold shares gather uses Merge and Demands.
 //
-// What a volume asks for in a slot of time (a minute) is one count in the sketch of that
-// day. A day with a surge of an hour has 60 counts of 1,440 at the surge: a quantile of 0.99
-// plans for it, one of 0.95 does not, and it is forgotten over days, not at once.
+// The demand of a volume in one slot of time (a minute) is one count in the sketch of that day. On a day with a surge
+// of one hour, 60 of 1,440 counts lie at the surge: a quantile of 0.99 includes it and one of 0.95 does not. Its weight
+// declines over days rather than at once.
 package forecast
 
 import (
@@ -17,68 +17,70 @@
 	"time"
 )
 
-// Settings of a book.
+// Settings configure a Book.
 type Settings struct {
 	Gateway string
-	Slot    time.Duration // over which demand is averaged
-	Days    int           // kept, the present one included
-	Most    int           // volumes kept; at it those that asked for least of late go
+	Slot    time.Duration // interval over which demand is averaged
+	Days    int           // number of days kept, including the current one
+	Most    int           // maximum number of volumes; beyond it those with the least demand are dropped
 }
 
-// Default settings.
+// Default holds the default settings.
 var Default = Settings{Slot: time.Minute, Days: 8, Most: 10_000}
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
 	case s.Slot < time.Second || s.Slot > time.Hour || (24*time.Hour)%s.Slot != 0:
-		return fmt.Errorf("slot = %v: 1s to 1h, a whole part of a day", s.Slot)
+		return fmt.Errorf("slot = %v: expected 1s to 1h, and a divisor of a day", s.Slot)
 	case s.Days < 1 || s.Days > 366:
-		return fmt.Errorf("days = %d: 1 to 366", s.Days)
+		return fmt.Errorf("days = %d: expected 1 to 366", s.Days)
 	case s.Most < 1 || s.Most > 1_000_000:
-		return fmt.Errorf("volumes = %d: 1 to 1,000,000", s.Most)
+		return fmt.Errorf("volumes = %d: expected 1 to 1,000,000", s.Most)
 	}
 	return nil
 }
 
-// Book is a gateway's own record, being written.
+// Book records the demand that one gateway sees. It is not safe for concurrent use.
 type Book struct {
-	set     Settings
-	slot    int64 // number of the slot under way, since 1970
-	seen    bool
-	now     map[string]float64 // units asked for in it
-	days    map[int64]*Day
-	names   map[string]bool // of the volumes in days
-	Dropped uint64          // volumes that went at the ceiling, since the start
+	settings       Settings
+	currentSlot    int64 // number of the current slot, counted from 1970
+	started        bool
+	slotUnits      map[string]float64 // units requested in the current slot, by volume
+	days           map[int64]*Day
+	volumeNames    map[string]bool // names of the volumes in days
+	DroppedVolumes uint64          // volumes dropped at the limit, since the start
 }
 
-// Day is what one gateway saw in one day.
+// Day is the demand that one gateway saw on one day.
 type Day struct {
-	Slots   uint32            // during which it ran
-	Volumes map[string]Sketch // of the slots in which a volume asked for something
+	Slots   uint32            // number of slots during which the gateway ran
+	Volumes map[string]Sketch // by volume, over the slots with demand
 }
 
-// Record is what gateways saw: gateway -> day since 1970 (UTC) -> what it saw.
+// Record is the demand that gateways saw, by gateway and by day, counted from 1970 (UTC).
 type Record struct {
 	Slot     time.Duration
 	Gateways map[string]map[int64]*Day
 }
 
-// NewBook begins a book, or goes on with what was written down before; before may be nil.
-func NewBook(set Settings, before *Record) (*Book, error) {
-	if err := set.Check(); err != nil {
+// NewBook returns a Book that continues an earlier record of the gateway, or an empty one if previous is nil or was
+// recorded with another slot.
+func NewBook(settings Settings, previous *Record) (*Book, error) {
+	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("forecast: %w", err)
 	}
-	b := &Book{set: set, now: map[string]float64{}, days: map[int64]*Day{}, names: map[string]bool{}}
-	if before != nil && before.Slot == set.Slot {
-		for day, d := range before.Gateways[set.Gateway] {
+	b := &Book{settings: settings, slotUnits: map[string]float64{}, days: map[int64]*Day{}, volumeNames: map[string]bool{}}
+	if previous != nil && previous.Slot == settings.Slot {
+		for day, d := range previous.Gateways[settings.Gateway] {
 			b.days[day] = d.clone()
 		}
 	}
-	b.rename()
+	b.rebuildVolumeNames()
 	return b, nil
 }
 
+// clone returns a deep copy.
 func (d *Day) clone() *Day {
 	c := &Day{Slots: d.Slots, Volumes: make(map[string]Sketch, len(d.Volumes))}
 	for v, s := range d.Volumes {
@@ -87,126 +89,127 @@
 	return c
 }
 
-// Add books units that volumes asked for until now. Time that goes backwards counts as
-// standing still.
+// Add records units that volumes requested up to now. A time before that of an earlier call counts as that earlier
+// time.
 func (b *Book) Add(now time.Time, units map[string]float64) {
 	b.Tick(now)
 	for v, u := range units {
 		if u > 0 && !math.IsInf(u, 1) {
-			b.now[v] += u
+			b.slotUnits[v] += u
 		}
 	}
-	if len(b.now) > 2*b.set.Most { // the rest of a slot's volumes is dropped with the least of it
-		b.dropNow()
+	if len(b.slotUnits) > 2*b.settings.Most { // bounds the memory of the current slot
+		b.limitSlotVolumes()
 	}
 }
 
-// dropNow keeps the volumes of the slot under way that ask for most.
-func (b *Book) dropNow() {
-	for _, v := range mostFirst(b.now)[b.set.Most:] {
-		delete(b.now, v)
-		b.Dropped++
+// limitSlotVolumes keeps only the volumes with the highest demand in the current slot.
+func (b *Book) limitSlotVolumes() {
+	for _, v := range byDescendingSum(b.slotUnits)[b.settings.Most:] {
+		delete(b.slotUnits, v)
+		b.DroppedVolumes++
 	}
 }
 
-// Tick closes slots that are over. Of time in which the gateway did not run (over an hour
-// without a call) nothing is known; shorter gaps were without demand.
+// Tick closes the slots that have ended. A gap of more than an hour without a call counts as time in which the gateway
+// did not run; shorter gaps count as time without demand.
 func (b *Book) Tick(now time.Time) {
-	slot := now.UnixNano() / int64(b.set.Slot)
-	if !b.seen {
-		b.slot, b.seen = slot, true
+	slot := now.UnixNano() / int64(b.settings.Slot)
+	if !b.started {
+		b.currentSlot, b.started = slot, true
 	}
-	if slot <= b.slot {
+	if slot <= b.currentSlot {
 		return
 	}
-	day := b.day(b.slot)
+	day := b.dayOf(b.currentSlot)
 	day.Slots++
-	for v, u := range b.now {
-		if milli := u * 1000 / b.set.Slot.Seconds(); milli >= 1 {
-			day.Volumes[v] = day.Volumes[v].add(milli)
-			b.names[v] = true
+	for v, u := range b.slotUnits {
+		if rate := u * 1000 / b.settings.Slot.Seconds(); rate >= 1 {
+			day.Volumes[v] = day.Volumes[v].add(rate)
+			b.volumeNames[v] = true
 		}
 	}
-	clear(b.now)
-	if gap := slot - b.slot - 1; time.Duration(gap)*b.set.Slot <= time.Hour {
-		for s := b.slot + 1; s < slot; s++ {
-			b.day(s).Slots++
+	clear(b.slotUnits)
+	if gap := slot - b.currentSlot - 1; time.Duration(gap)*b.settings.Slot <= time.Hour {
+		for s := b.currentSlot + 1; s < slot; s++ {
+			b.dayOf(s).Slots++
 		}
 	}
-	b.slot = slot
-	b.bound()
+	b.currentSlot = slot
+	b.enforceLimits()
 }
 
-// day is that of a slot, begun if need be.
-func (b *Book) day(slot int64) *Day {
-	k := slot * int64(b.set.Slot/time.Second) / 86_400
-	d := b.days[k]
+// dayOf returns the day of a slot and creates it if needed.
+func (b *Book) dayOf(slot int64) *Day {
+	number := slot * int64(b.settings.Slot/time.Second) / 86_400
+	d := b.days[number]
 	if d == nil {
 		d = &Day{Volumes: map[string]Sketch{}}
-		b.days[k] = d
+		b.days[number] = d
 	}
 	return d
 }
 
-// rename finds the names anew.
-func (b *Book) rename() {
-	clear(b.names)
+// rebuildVolumeNames sets volumeNames to the volumes of the days kept.
+func (b *Book) rebuildVolumeNames() {
+	clear(b.volumeNames)
 	for _, d := range b.days {
 		for v := range d.Volumes {
-			b.names[v] = true
+			b.volumeNames[v] = true
 		}
 	}
 }
 
-// bound drops days that are too old, and volumes beyond the ceiling: those that asked for
-// least, by the sum of their rates over all days kept.
-func (b *Book) bound() {
-	last := b.slot * int64(b.set.Slot/time.Second) / 86_400
-	before := len(b.days)
-	maps.DeleteFunc(b.days, func(k int64, _ *Day) bool { return k <= last-int64(b.set.Days) })
-	if len(b.days) < before {
-		b.rename()
+// enforceLimits removes days that are too old, and volumes beyond the limit: those with the least demand, by the sum of
+// their rates over all days kept.
+func (b *Book) enforceLimits() {
+	today := b.currentSlot * int64(b.settings.Slot/time.Second) / 86_400
+	daysBefore := len(b.days)
+	maps.DeleteFunc(b.days, func(k int64, _ *Day) bool { return k <= today-int64(b.settings.Days) })
+	if len(b.days) < daysBefore {
+		b.rebuildVolumeNames()
 	}
-	if len(b.names) <= b.set.Most {
+	if len(b.volumeNames) <= b.settings.Most {
 		return
 	}
 	sums := map[string]float64{}
-	for _, k := range slices.Sorted(maps.Keys(b.days)) { // in order: sums of floats depend on it
+	for _, k := range slices.Sorted(maps.Keys(b.days)) { // sorted, since floating-point sums depend on the order
 		for v, s := range b.days[k].Volumes {
 			for _, x := range s {
-				sums[v] += float64(x.Count) * middle(x.Index)
+				sums[v] += float64(x.Count) * bucketRate(x.Index)
 			}
 		}
 	}
-	for _, v := range mostFirst(sums)[b.set.Most-b.set.Most/20:] { // a twentieth more, so that not every slot sorts
+	// Drops 5% more than needed, so that not every slot has to sort.
+	for _, v := range byDescendingSum(sums)[b.settings.Most-b.settings.Most/20:] {
 		for _, d := range b.days {
 			delete(d.Volumes, v)
 		}
-		delete(b.names, v)
-		b.Dropped++
+		delete(b.volumeNames, v)
+		b.DroppedVolumes++
 	}
 }
 
-// mostFirst are the names with the largest sums first; among equals by name.
-func mostFirst(sums map[string]float64) []string {
+// byDescendingSum returns the names ordered by decreasing sum, then by name.
+func byDescendingSum(sums map[string]float64) []string {
 	return slices.SortedFunc(maps.Keys(sums), func(x, y string) int {
 		return cmp.Or(cmp.Compare(sums[y], sums[x]), cmp.Compare(x, y))
 	})
 }
 
-// Record is a copy of what the book holds; the slot under way is not in it.
+// Record returns a copy of what the book holds, without the current slot.
 func (b *Book) Record() *Record {
-	r := &Record{Slot: b.set.Slot, Gateways: map[string]map[int64]*Day{b.set.Gateway: {}}}
+	r := &Record{Slot: b.settings.Slot, Gateways: map[string]map[int64]*Day{b.settings.Gateway: {}}}
 	for k, d := range b.days {
-		r.Gateways[b.set.Gateway][k] = d.clone()
+		r.Gateways[b.settings.Gateway][k] = d.clone()
 	}
 	return r
 }
 
-// Merge puts two records together: the days of all gateways in either. Of one gateway's day
-// the record that was written later, which has more slots, stands. Merging is
-// associative, commutative and idempotent, so that it does not matter who gathers what
-// in which order, or twice. Records of other slots cannot be merged.
+// Merge combines two records: the result has the days of all gateways in either. If both have the same day of a
+// gateway, the later version, which has more slots, is kept. Merging is associative, commutative and idempotent, so
+// the order in which records are gathered does not matter, nor does gathering one twice. Both records must have the
+// same slot.
 func Merge(a, b *Record) (*Record, error) {
 	if a.Slot != b.Slot {
 		return nil, fmt.Errorf("forecast: merge: slots of %v and of %v: gateways must be set alike (forecast.slot)", a.Slot, b.Slot)
@@ -218,7 +221,7 @@
 				r.Gateways[g] = map[int64]*Day{}
 			}
 			for k, d := range days {
-				if old := r.Gateways[g][k]; old == nil || d.after(old) {
+				if old := r.Gateways[g][k]; old == nil || d.supersedes(old) {
 					r.Gateways[g][k] = d
 				}
 			}
@@ -227,20 +230,21 @@
 	return r, nil
 }
 
-// after is a total order of records of one day: by slots, then by what is in them.
-func (d *Day) after(old *Day) bool {
-	if d.Slots != old.Slots {
-		return d.Slots > old.Slots
+// supersedes reports whether d is kept rather than other when both are records of the same day. It is a total order:
+// by number of slots, then by content, so that Merge does not depend on the order of its arguments.
+func (d *Day) supersedes(other *Day) bool {
+	if d.Slots != other.Slots {
+		return d.Slots > other.Slots
 	}
-	if len(d.Volumes) != len(old.Volumes) {
-		return len(d.Volumes) > len(old.Volumes)
+	if len(d.Volumes) != len(other.Volumes) {
+		return len(d.Volumes) > len(other.Volumes)
 	}
 	names := slices.Sorted(maps.Keys(d.Volumes))
-	if c := slices.Compare(names, slices.Sorted(maps.Keys(old.Volumes))); c != 0 {
+	if c := slices.Compare(names, slices.Sorted(maps.Keys(other.Volumes))); c != 0 {
 		return c > 0
 	}
 	for _, v := range names {
-		if c := slices.CompareFunc(d.Volumes[v], old.Volumes[v], func(x, y Bucket) int {
+		if c := slices.CompareFunc(d.Volumes[v], other.Volumes[v], func(x, y Bucket) int {
 			if x.Index != y.Index {
 				return int(x.Index) - int(y.Index)
 			}
@@ -252,41 +256,42 @@
 	return false
 }
 
-// Demand is what a volume is expected to ask for, milli-units a second.
+// Demand is the expected demand of a volume, in milli-units per second.
 type Demand struct {
-	Milli    int64   `json:"demand"` // at the quantile asked for
+	Milli    int64   `json:"demand"` // at the requested quantile
 	Mean     int64   `json:"mean"`
-	Peak     int64   `json:"peak"` // of the slots kept
+	Peak     int64   `json:"peak"` // highest rate of a slot kept
 	Gateways int     `json:"gateways"`
-	Days     float64 `json:"days"` // days' worth of slots known, at most over gateways
+	Days     float64 `json:"days"` // length of the record in days; the longest of all gateways
 }
 
-// weightOne is the weight of a slot of the last day; those of older days are smaller whole
-// numbers, so that a quantile does not depend on the order of sums.
-const weightOne = 1 << 20
+// unitWeight is the weight of a slot of the latest day. Slots of older days have smaller integer weights; integers make
+// the quantile independent of the order of summation.
+const unitWeight = 1 << 20
 
-// Demands are those of all volumes of a record at a quantile (0 to 1) of all slots, a slot of
-// a day that is halfLife days old counting half. What several gateways saw of a volume is
-// added up, quantile by quantile: exact where its clients surge at all of them together, as
-// clients spread over gateways do, and otherwise more than it will be.
+// Demands returns the expected demand of all volumes of a record at a quantile (0 to 1) of all slots. A slot of a day
+// that is halfLife days old counts half. The demand of a volume at several gateways is the sum of their quantiles. The
+// sum is exact if surges occur at all gateways together, as they do when clients spread over gateways, and otherwise
+// an overestimate.
 func Demands(r *Record, quantile, halfLife float64) (map[string]Demand, error) {
 	if !(quantile > 0 && quantile <= 1) || !(halfLife > 0) {
-		return nil, fmt.Errorf("forecast: quantile %v, half-life %v days: more than 0, the quantile at most 1", quantile, halfLife)
+		return nil, fmt.Errorf("forecast: quantile %v, half-life %v days: expected both above 0, and the quantile at most 1",
+			quantile, halfLife)
 	}
-	last := int64(math.MinInt64)
+	lastDay := int64(math.MinInt64)
 	for _, days := range r.Gateways {
 		for k := range days {
-			last = max(last, k)
+			lastDay = max(lastDay, k)
 		}
 	}
-	all := map[string]Demand{}
+	demands := map[string]Demand{}
 	for _, g := range slices.Sorted(maps.Keys(r.Gateways)) {
 		days := r.Gateways[g]
 		volumes := map[string]bool{}
 		slots, known := int64(0), int64(0)
 		weight := map[int64]int64{}
 		for k, d := range days {
-			weight[k] = max(1, int64(math.Round(weightOne*math.Exp2(-float64(last-k)/halfLife))))
+			weight[k] = max(1, int64(math.Round(unitWeight*math.Exp2(-float64(lastDay-k)/halfLife))))
 			slots += weight[k] * int64(d.Slots)
 			known += int64(d.Slots)
 			for v := range d.Volumes {
@@ -300,28 +305,28 @@
 					counts[b.Index] += weight[k] * int64(b.Count)
 				}
 			}
-			x := all[v]
-			q, mean, peak := quantiles(counts, slots, quantile)
+			x := demands[v]
+			q, mean, peak := weightedStats(counts, slots, quantile)
 			x.Milli, x.Mean, x.Peak = x.Milli+q, x.Mean+mean, x.Peak+peak
 			x.Gateways++
 			x.Days = max(x.Days, float64(known)*r.Slot.Hours()/24)
-			all[v] = x
+			demands[v] = x
 		}
 	}
-	return all, nil
+	return demands, nil
 }
 
-// quantiles are a quantile, the mean and the highest of weighted counts among slots, those
-// that are not counted without demand.
-func quantiles(counts map[uint16]int64, slots int64, quantile float64) (q, mean, peak int64) {
-	order := slices.Sorted(maps.Keys(counts))
-	above := slots - int64(math.Ceil(quantile*float64(slots))) // weight that may lie above
+// weightedStats returns a quantile, the mean and the maximum of the rates of weighted slots. Slots that are not in
+// counts had no demand.
+func weightedStats(counts map[uint16]int64, slots int64, quantile float64) (q, mean, peak int64) {
+	indexes := slices.Sorted(maps.Keys(counts))
+	weightAbove := slots - int64(math.Ceil(quantile*float64(slots))) // weight that may lie above the quantile
 	sum, found := 0.0, false
-	for _, k := range slices.Backward(order) {
-		value := int64(math.Round(middle(k)))
-		sum += middle(k) * float64(counts[k])
+	for _, k := range slices.Backward(indexes) {
+		value := int64(math.Round(bucketRate(k)))
+		sum += bucketRate(k) * float64(counts[k])
 		peak = max(peak, value)
-		if above -= counts[k]; above < 0 && !found {
+		if weightAbove -= counts[k]; weightAbove < 0 && !found {
 			q, found = value, true
 		}
 	}
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -17,7 +17,8 @@
 
 var start = time.Date(2026, 8, 13, 0, 0, 0, 0, time.UTC)
 
-func book(t testing.TB, set Settings) *Book {
+// newBook returns an empty Book.
+func newBook(t testing.TB, set Settings) *Book {
 	t.Helper()
 	b, err := NewBook(set, nil)
 	if err != nil {
@@ -26,10 +27,10 @@
 	return b
 }
 
-// TestSurgeIsNeitherForgottenNorPlannedForAllDay: a volume asks for 10 units a second, and
-// for 100 during one hour of each of the last two days.
-func TestSurgeIsNeitherForgottenNorPlannedForAllDay(t *testing.T) {
-	b := book(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, Most: 10})
+// TestQuantileDeterminesWhetherSurgeCounts checks a volume that requests 10 units per second, and 100 during one hour
+// of each of the last two days. The surge must count at the quantile 0.99 but not at 0.95, and no longer at 0.99 a week later.
+func TestQuantileDeterminesWhetherSurgeCounts(t *testing.T) {
+	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, Most: 10})
 	for m := range 5 * 24 * 60 {
 		rate := 10.0
 		if day := m / 1440; day >= 3 && m/60%24 == 9 {
@@ -51,7 +52,7 @@
 	if d := at(0.99, 2); !near(d.Milli, 100_000) {
 		t.Errorf("at 0.99: %+v, want the surge", d)
 	}
-	for m := range 7 * 24 * 60 { // a week without it
+	for m := range 7 * 24 * 60 { // a week without a surge
 		b.Add(start.Add(time.Duration(5*1440+m)*time.Minute), map[string]float64{"v": 600})
 	}
 	if d := at(0.99, 2); !near(d.Milli, 10_000) || !near(d.Peak, 100_000) {
@@ -59,10 +60,10 @@
 	}
 }
 
-// TestSketchIsWithinItsError: quantiles of random demands are within 5%.
-func TestSketchIsWithinItsError(t *testing.T) {
+// TestSketchErrorBound checks that quantiles of random demand are within 5%.
+func TestSketchErrorBound(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	b := book(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, Most: 10})
+	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, Most: 10})
 	var all []float64
 	for m := range 1400 {
 		rate := math.Exp(rng.NormFloat64()) * 20
@@ -88,13 +89,13 @@
 			}
 		}
 		if float64(below) < q*1400-1 || float64(above) > q*1400 {
-			t.Errorf("quantile %v is %d: %d of 1,400 at most it, %d clearly below", q, d["v"].Milli, below, above)
+			t.Errorf("quantile %v is %d: %d of 1,400 rates at or below it, %d clearly below", q, d["v"].Milli, below, above)
 		}
 	}
 }
 
-// draw is a random record of a few gateways, days and volumes.
-func draw(t *rapid.T, label string) *Record {
+// drawRecord draws a record of a few gateways, days and volumes.
+func drawRecord(t *rapid.T, label string) *Record {
 	r := &Record{Slot: time.Minute, Gateways: map[string]map[int64]*Day{}}
 	for range rapid.IntRange(0, 3).Draw(t, label+" gateways") {
 		days := map[int64]*Day{}
@@ -111,11 +112,11 @@
 	return r
 }
 
-// TestMergeIsASemilattice: associative, commutative, idempotent, whatever the records, also
-// two of one gateway's day that differ; and what is read back is what was written.
+// TestMergeIsASemilattice checks that Merge is associative, commutative and idempotent for arbitrary records, including
+// different versions of one gateway's day, and that a decoded record equals the encoded one.
 func TestMergeIsASemilattice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b, c := draw(t, "a"), draw(t, "b"), draw(t, "c")
+		a, b, c := drawRecord(t, "a"), drawRecord(t, "b"), drawRecord(t, "c")
 		merge := func(x, y *Record) *Record {
 			m, err := Merge(x, y)
 			if err != nil {
@@ -133,7 +134,7 @@
 		one := encode(merge(merge(a, b), c))
 		for i, other := range []*Record{merge(a, merge(b, c)), merge(c, merge(b, a)), merge(merge(merge(a, b), c), b)} {
 			if !bytes.Equal(one, encode(other)) {
-				t.Fatalf("order %d comes to something else", i)
+				t.Fatalf("order %d gives a different result", i)
 			}
 		}
 		m := merge(a, b)
@@ -142,8 +143,8 @@
 			t.Fatalf("read back: %v, %+v, not %+v", err, back, m)
 		}
 	})
-	// One gateway's day twice, as long, of other volumes: neither call may find its own first
-	// record the later one (rapid found this in one run of many).
+	// Two versions of one gateway's day with equal slots and different volumes: the two calls must not each keep the
+	// version of their own first argument. Random records rarely contain this case.
 	of := func(volume string) *Record {
 		return &Record{Slot: time.Minute, Gateways: map[string]map[int64]*Day{"h": {1: {Slots: 4, Volumes: map[string]Sketch{volume: {{1, 1}}}}}}}
 	}
@@ -157,11 +158,11 @@
 	}
 }
 
-// TestGatewaysAddUp: what two gateways saw of one volume is the sum.
-func TestGatewaysAddUp(t *testing.T) {
+// TestDemandSumsGateways checks that the demand of a volume is summed over gateways.
+func TestDemandSumsGateways(t *testing.T) {
 	var all *Record
 	for _, g := range []string{"g", "h"} {
-		b := book(t, Settings{Gateway: g, Slot: time.Minute, Days: 2, Most: 10})
+		b := newBook(t, Settings{Gateway: g, Slot: time.Minute, Days: 2, Most: 10})
 		for m := range 100 {
 			b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": 600})
 		}
@@ -180,11 +181,11 @@
 	}
 }
 
-// TestRestart: a book goes on with what it had written; a clock that goes back adds nothing;
-// a night off is not a night without demand.
+// TestRestart checks that a book continues an earlier record, that a clock that moves backwards adds no slots, and that
+// a long gap is not counted as time without demand.
 func TestRestart(t *testing.T) {
 	set := Settings{Gateway: "g", Slot: time.Minute, Days: 3, Most: 10}
-	b := book(t, set)
+	b := newBook(t, set)
 	for m := range 30 {
 		b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": 60})
 	}
@@ -200,19 +201,19 @@
 	var day *Day
 	for _, day = range b.Record().Gateways["g"] {
 	}
-	if day.Slots != 29+1+5 || day.Volumes["v"].slots() != 29+1+1 {
-		t.Errorf("%d slots, %d with demand", day.Slots, day.Volumes["v"].slots())
+	if day.Slots != 29+1+5 || day.Volumes["v"].totalSlots() != 29+1+1 {
+		t.Errorf("%d slots, %d with demand", day.Slots, day.Volumes["v"].totalSlots())
 	}
 	m, err := Merge(first, b.Record())
 	if err != nil || m.Gateways["g"][start.Unix()/86_400].Slots != 35 {
-		t.Errorf("the later record does not stand: %v", err)
+		t.Errorf("the later record is not kept: %v", err)
 	}
 }
 
-// TestBounded: however many volumes there are, those that ask for most are kept; buckets a
-// day too.
-func TestBounded(t *testing.T) {
-	b := book(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, Most: 100})
+// TestVolumesAndBucketsAreLimited checks that at the limit of volumes those with the highest demand are kept, and that
+// the number of buckets per day is limited.
+func TestVolumesAndBucketsAreLimited(t *testing.T) {
+	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, Most: 100})
 	for m := range 50 {
 		units := map[string]float64{}
 		for i := range 50 {
@@ -222,28 +223,28 @@
 			units[fmt.Sprint("steady", i)] = 1000
 		}
 		b.Add(start.Add(time.Duration(m)*time.Minute), units)
-		if len(b.names) > 100 || len(b.now) > 200 {
-			t.Fatalf("%d volumes are held, %d in the slot", len(b.names), len(b.now))
+		if len(b.volumeNames) > 100 || len(b.slotUnits) > 200 {
+			t.Fatalf("%d volumes are held, %d in the slot", len(b.volumeNames), len(b.slotUnits))
 		}
 	}
 	for i := range 40 {
-		if !b.names[fmt.Sprint("steady", i)] {
+		if !b.volumeNames[fmt.Sprint("steady", i)] {
 			t.Errorf("steady%d was dropped", i)
 		}
 	}
-	if b.Dropped == 0 {
-		t.Error("none is counted as dropped")
+	if b.DroppedVolumes == 0 {
+		t.Error("no volume is counted as dropped")
 	}
 	var s Sketch
 	for x := 1.0; x < 1e12; x *= 1.05 {
 		s = s.add(x)
 	}
-	if len(s) != mostBuckets || s.slots() < 500 {
-		t.Errorf("%d buckets, %d slots", len(s), s.slots())
+	if len(s) != maxBuckets || s.totalSlots() < 500 {
+		t.Errorf("%d buckets, %d slots", len(s), s.totalSlots())
 	}
 }
 
-func TestRecordsThatCannotBe(t *testing.T) {
+func TestReadRecordRejectsInvalidInput(t *testing.T) {
 	good := &Record{Slot: time.Minute, Gateways: map[string]map[int64]*Day{"g": {1: {Slots: 9, Volumes: map[string]Sketch{"v": {{3, 4}}}}}}}
 	b, err := good.Encode()
 	if err != nil {
@@ -251,7 +252,7 @@
 	}
 	for n := range b {
 		if _, err := ReadRecord(b[:n]); err == nil {
-			t.Fatalf("cut at byte %d it is read", n)
+			t.Fatalf("a record cut at byte %d is accepted", n)
 		}
 	}
 	for want, change := range map[string]func(r *Record){
@@ -268,7 +269,7 @@
 		}
 	}
 	if _, err := Demands(good, 1.5, 1); err == nil {
-		t.Error("a quantile of 1.5")
+		t.Error("a quantile of 1.5 is accepted")
 	}
 }
 
@@ -286,8 +287,8 @@
 	})
 }
 
-// BenchmarkMemory is the heap of 10,000 volumes over 8 days, of this package's sketches and,
-// as the plain alternative, of one HDR histogram (1 significant figure) a volume and day.
+// BenchmarkMemory reports the heap used for 10,000 volumes over 8 days by this package's sketches and, for comparison,
+// by one HDR histogram (1 significant figure) per volume and day.
 func BenchmarkMemory(b *testing.B) {
 	const volumes, days = 10_000, 8
 	heap := func() float64 {
@@ -299,7 +300,7 @@
 	b.Run("sketches", func(b *testing.B) {
 		for range b.N {
 			before := heap()
-			bk := book(b, Settings{Gateway: "g", Slot: time.Minute, Days: days, Most: volumes})
+			bk := newBook(b, Settings{Gateway: "g", Slot: time.Minute, Days: days, Most: volumes})
 			rng := rand.New(rand.NewSource(1))
 			names := make([]string, volumes)
 			for i := range names {
@@ -307,7 +308,7 @@
 			}
 			took := time.Duration(0)
 			for d := range days {
-				for s := range 150 { // of 1,440 slots, those in which it asks
+				for s := range 150 { // slots with demand, of 1,440
 					units := make(map[string]float64, volumes)
 					for _, v := range names {
 						units[v] = math.Exp(rng.NormFloat64()) * 600
@@ -330,7 +331,7 @@
 		for range b.N {
 			before := heap()
 			all := make([]*hdrhistogram.Histogram, 0, volumes/10*days)
-			for range volumes / 10 * days { // a tenth, reported tenfold
+			for range volumes / 10 * days { // a tenth of them, scaled up by 10 in the report
 				all = append(all, hdrhistogram.New(1, 1_000_000_000_000, 1))
 			}
 			b.ReportMetric(10*(heap()-before)/1e6, "MB")
