--- a/outage/outage.go
+++ b/outage/outage.go
@@ -138,14 +138,14 @@
 // By that time a fraction of RetryQuantile of the past outages that lasted longer than this one so far had ended;
 // without such outages it is as long as the silence so far. It lies within the bounds of the settings, and not before
 // the next probe.
-func (b *Book) Lost(id int, now time.Duration) (silent, back time.Duration, lost bool) {
+func (b *Book) Lost(id int, now time.Duration) (silent, retryAfter time.Duration, lost bool) {
 	s := b.silent[id]
 	if s == nil || !s.lost {
 		return 0, 0, false
 	}
 	silent = now - s.since
-	back = max(b.settings.MinRetryAfter, min(b.settings.MaxRetryAfter, b.remaining(silent)), s.nextProbe-now)
-	return silent, back + b.settings.SilenceInterval, true
+	retryAfter = max(b.settings.MinRetryAfter, min(b.settings.MaxRetryAfter, b.remaining(silent)), s.nextProbe-now)
+	return silent, retryAfter + b.settings.SilenceInterval, true
 }
 
 // remaining estimates how much longer an outage lasts. Where outages are alike, as for a process that is restarted or
--- a/outage/outage_test.go
+++ b/outage/outage_test.go
@@ -31,8 +31,8 @@
 	if due := b.Due(1200 * ms); len(due) != 1 || due[0] != 1 {
 		t.Errorf("due %v", due)
 	}
-	if silent, back, lost := b.Lost(1, 1300*ms); !lost || silent != 300*ms || back != time.Second+Default.SilenceInterval {
-		t.Errorf("%v %v %v", silent, back, lost)
+	if silent, retryAfter, lost := b.Lost(1, 1300*ms); !lost || silent != 300*ms || retryAfter != time.Second+Default.SilenceInterval {
+		t.Errorf("%v %v %v", silent, retryAfter, lost)
 	}
 	if _, _, lost := b.Lost(2, 1300*ms); lost {
 		t.Error("another shard is lost")
@@ -51,37 +51,37 @@
 func TestProbes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b, _ := New(Default)
-		start, lasts := time.Minute, time.Duration(rapid.IntRange(200, 60_000).Draw(t, "ms"))*ms
+		start, duration := time.Minute, time.Duration(rapid.IntRange(200, 60_000).Draw(t, "ms"))*ms
 		for i := range 3 {
 			b.Heard(7, false, start+time.Duration(i)*50*ms)
 		}
 		probes, found := 0, time.Duration(0)
-		told := map[time.Duration]bool{} // times at which clients were told to retry
+		retryTimes := map[time.Duration]bool{} // times at which clients were told to retry
 		for now := start + 100*ms; found == 0; now += 10 * ms {
 			for range b.Due(now) {
 				probes++
-				if now >= start+lasts {
+				if now >= start+duration {
 					found = now
 				}
-				clear(told)
+				clear(retryTimes)
 			}
-			for at := range told {
+			for at := range retryTimes {
 				if now > at+20*ms {
 					t.Fatalf("told to retry at %v, but no probe by %v", at, now)
 				}
 			}
-			if _, back, lost := b.Lost(7, now); !lost || back < Default.MinRetryAfter {
-				t.Fatalf("lost %v, retry-after %v", lost, back)
+			if _, retryAfter, lost := b.Lost(7, now); !lost || retryAfter < Default.MinRetryAfter {
+				t.Fatalf("lost %v, retry-after %v", lost, retryAfter)
 			} else {
-				told[now+back] = true
+				retryTimes[now+retryAfter] = true
 			}
 		}
-		if late := found - start - lasts; late > max(Default.MinProbeInterval, time.Duration(0.25*float64(lasts)))+10*ms {
-			t.Fatalf("lost for %v, found %v after recovery", lasts, late)
+		if delay := found - start - duration; delay > max(Default.MinProbeInterval, time.Duration(0.25*float64(duration)))+10*ms {
+			t.Fatalf("lost for %v, found %v after recovery", duration, delay)
 		}
-		most := 5 + 5*math.Log(float64(lasts)/float64(time.Second)+1)*1.2 + float64(lasts)/float64(Default.MaxProbeInterval)
-		if float64(probes) > most+6 {
-			t.Fatalf("%d probes in %v", probes, lasts)
+		maxProbes := 5 + 5*math.Log(float64(duration)/float64(time.Second)+1)*1.2 + float64(duration)/float64(Default.MaxProbeInterval)
+		if float64(probes) > maxProbes+6 {
+			t.Fatalf("%d probes in %v", probes, duration)
 		}
 	})
 }
@@ -124,38 +124,38 @@
 		for j := range 3 {
 			b.Heard(1, false, start+time.Duration(j)*50*ms)
 		}
-		type client struct{ came, told, next time.Duration }
+		type client struct{ arrivedAt, firstRetryAfter, retryAt time.Duration }
 		var waiting []*client
-		back := time.Duration(0)
-		for now := start + 100*ms; back == 0 || len(waiting) > 0; now += 10 * ms {
+		recoveredAt := time.Duration(0)
+		for now := start + 100*ms; recoveredAt == 0 || len(waiting) > 0; now += 10 * ms {
 			for range b.Due(now) {
-				if now >= start+duration && back == 0 {
-					back = now
+				if now >= start+duration && recoveredAt == 0 {
+					recoveredAt = now
 					b.Heard(1, true, now)
 				}
 			}
-			if _, told, lost := b.Lost(1, now); lost {
+			if _, retryAfter, lost := b.Lost(1, now); lost {
 				if (now-start)%(100*ms) == 0 {
-					waiting = append(waiting, &client{now, told, now + told})
+					waiting = append(waiting, &client{now, retryAfter, now + retryAfter})
 				}
 				for _, c := range waiting {
-					if c.next <= now {
-						c.next = now + told
+					if c.retryAt <= now {
+						c.retryAt = now + retryAfter
 					}
 				}
 				continue
 			}
 			stillWaiting := waiting[:0]
 			for _, c := range waiting {
-				if c.next > now {
+				if c.retryAt > now {
 					stillWaiting = append(stillWaiting, c)
 					continue
 				}
 				clients++
-				if float64(now-c.came) <= 1.2*float64(c.told) {
+				if float64(now-c.arrivedAt) <= 1.2*float64(c.firstRetryAfter) {
 					servedInTime++
 				}
-				totalDelay += now - max(c.came, start+duration)
+				totalDelay += now - max(c.arrivedAt, start+duration)
 			}
 			waiting = stillWaiting
 		}
@@ -175,8 +175,8 @@
 // TestRetryAfterIsAccurate checks that where outages are alike, four of five clients that retry as told are served
 // then.
 func TestRetryAfterIsAccurate(t *testing.T) {
-	if truly, late := simulateOutages(Default, drawOutages(0.2, 40)); truly < 0.8 || late > 3*time.Second {
-		t.Errorf("%.2f are served when told, on average %v after recovery", truly, late)
+	if served, delay := simulateOutages(Default, drawOutages(0.2, 40)); served < 0.8 || delay > 3*time.Second {
+		t.Errorf("%.2f are served when told, on average %v after recovery", served, delay)
 	}
 }
 
@@ -188,13 +188,13 @@
 		plain.MaxRetryAfter, half.RetryQuantile = plain.MinRetryAfter, 0.5
 		for name, set := range map[string]Settings{"plain": plain, "sure=0.5": half, "sure=0.8": Default} {
 			b.Run(fmt.Sprintf("sigma=%v/%s", sigma, name), func(b *testing.B) {
-				var truly float64
-				var late time.Duration
+				var served float64
+				var delay time.Duration
 				for b.Loop() {
-					truly, late = simulateOutages(set, drawOutages(sigma, 100))
+					served, delay = simulateOutages(set, drawOutages(sigma, 100))
 				}
-				b.ReportMetric(truly, "true")
-				b.ReportMetric(late.Seconds(), "s-late")
+				b.ReportMetric(served, "true")
+				b.ReportMetric(delay.Seconds(), "s-late")
 			})
 		}
 	}
--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -207,7 +207,7 @@
 			now = next.At
 		}
 		if tr.inFlight != 0 || tr.Window() < 1 || tr.Window() > Default.WindowTop {
-			t.Fatalf("out %d, window %d", tr.inFlight, tr.Window())
+			t.Fatalf("%d in flight, window %d", tr.inFlight, tr.Window())
 		}
 	})
 }
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -7,7 +7,7 @@
 // fraction y gains x - y; the cost of a move is expressed as the smallest difference for which it is worthwhile, so
 // planning ends by itself. No move raises its target above its source. A plan computed after an earlier one was
 // executed is therefore empty, and plans do not oscillate. (This is water-filling; the limit on concurrent moves
-// per shard is that of shares.Waves.)
+// per shard is the one of shares.Waves.)
 package rebalance
 
 import (
@@ -42,7 +42,7 @@
 type Settings struct {
 	Least   float64 // smallest difference in used fraction for which a move is worthwhile
 	Moves   int     // maximum per plan; another plan may follow
-	PerNode int     // maximum of concurrent moves that a shard takes part in
+	PerNode int     // maximum number of concurrent moves that a shard takes part in
 	Rate    int64   // bytes per second that a shard reads and writes, over all its moves
 	High    float64 // used fraction that no target exceeds
 }
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -94,7 +94,7 @@
 				}
 				visited[m.Base][m.Shard] = true
 				if visited[m.Base][m.To] {
-					t.Fatalf("%s comes back to %d", m.Base, m.To)
+					t.Fatalf("%s returns to %d", m.Base, m.To)
 				}
 			}
 			inWaves := map[int]bool{}
