--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -21,7 +21,7 @@
 	X, Y []float64
 }
 
-const mostNames = 60 // on one axis; of more, every k-th is written
+const maxLabels = 60 // on one axis; of more, every k-th is written
 
 // Bars writes a chart of grouped bars: for each name one bar of each series.
 func Bars(file, title, unit string, names []string, series ...Series) error {
@@ -40,9 +40,9 @@
 		p.Legend.Add(s.Name, b)
 	}
 	shown := make([]string, len(names))
-	every := 1 + len(names)/mostNames
+	step := 1 + len(names)/maxLabels
 	for i := range names {
-		if i%every == 0 {
+		if i%step == 0 {
 			shown[i] = names[i]
 		}
 	}
--- a/internal/sealed/sealed.go
+++ b/internal/sealed/sealed.go
@@ -30,7 +30,7 @@
 
 // Open returns the body of a frame of a kind, up to a format and a size in bytes. The error
 // names what is wrong.
-func Open(kind string, newest int, most int64, b []byte) (body []byte, err error) {
+func Open(kind string, maxFormat int, maxBytes int64, b []byte) (body []byte, err error) {
 	line, body, ok := bytes.Cut(b, []byte("\n"))
 	if !ok {
 		return nil, fmt.Errorf("its first line does not end within its %d bytes: it was cut, or is no %s", len(b), kind)
@@ -43,12 +43,12 @@
 	if err != nil || format == 0 {
 		return nil, fmt.Errorf("line 1: format %q: a number from 1 on", fields[1])
 	}
-	if int(format) > newest {
-		return nil, fmt.Errorf("%w (format %d, up to %d are read)", ErrNewer, format, newest)
+	if int(format) > maxFormat {
+		return nil, fmt.Errorf("%w (format %d, up to %d are read)", ErrNewer, format, maxFormat)
 	}
 	length, err := strconv.ParseInt(fields[2], 10, 64)
-	if err != nil || length < 0 || length > most {
-		return nil, fmt.Errorf("line 1: length %q: 0 to %d", fields[2], most)
+	if err != nil || length < 0 || length > maxBytes {
+		return nil, fmt.Errorf("line 1: length %q: 0 to %d", fields[2], maxBytes)
 	}
 	if int64(len(body)) != length {
 		return nil, fmt.Errorf("%d bytes follow the first line, which says %d: it was cut or added to", len(body), length)
--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -24,9 +24,9 @@
 
 // Why a solution is not taken; the one in use stays.
 var (
-	ErrOld     = errors.New("solution: its version is not above that of the one in use: solve again, with a higher --version")
-	ErrOther   = errors.New("solution: its version is in use, with other content: hand it out under a version of its own")
-	ErrUnknown = errors.New("solution: it names nodes that the register does not list: solve again for the nodes there are")
+	ErrStaleVersion    = errors.New("solution: its version is not above that of the one in use: solve again, with a higher --version")
+	ErrVersionConflict = errors.New("solution: its version is in use, with other content: hand it out under a version of its own")
+	ErrUnknown         = errors.New("solution: it names nodes that the register does not list: solve again for the nodes there are")
 )
 
 // Settings of a keeper.
@@ -56,23 +56,23 @@
 
 // Keeper holds the solution in use.
 type Keeper struct {
-	set  Settings
-	host Host
-	log  *slog.Logger
-	now  func() time.Time
+	settings Settings
+	host     Host
+	log      *slog.Logger
+	now      func() time.Time
 
-	mu      sync.Mutex
-	nodes   map[string]bool // listed; nil: not known yet
-	current *shares.Solution
-	bytes   []byte
-	waiting *offer // whole, but its nodes were not all listed when it came
-	state   State
+	mu       sync.Mutex
+	nodes    map[string]bool // listed; nil: not known yet
+	current  *shares.Solution
+	bytes    []byte
+	deferred *candidate // whole, but its nodes were not all listed when it came
+	state    State
 }
 
-type offer struct {
-	source string
-	bytes  []byte
-	s      *shares.Solution
+type candidate struct {
+	source   string
+	bytes    []byte
+	solution *shares.Solution
 }
 
 // New makes a keeper and takes the newest good solution of its folder up again as soon as
@@ -81,8 +81,8 @@
 	if err := os.MkdirAll(set.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("solution: %w", err)
 	}
-	k := &Keeper{set: set, host: h, log: log, now: now}
-	names, err := k.kept()
+	k := &Keeper{settings: set, host: h, log: log, now: now}
+	names, err := k.fileNames()
 	if err != nil {
 		return nil, err
 	}
@@ -91,10 +91,10 @@
 		if err == nil {
 			var s *shares.Solution
 			if s, err = shares.ReadSolution(b); err == nil && set.Inputs != "" {
-				err = s.Of(set.Inputs)
+				err = s.CheckInputs(set.Inputs)
 			}
 			if err == nil {
-				k.waiting = &offer{"kept " + name, b, s}
+				k.deferred = &candidate{"kept " + name, b, s}
 				break
 			}
 		}
@@ -103,16 +103,16 @@
 	return k, nil
 }
 
-const prefix = "solution-"
+const filePrefix = "solution-"
 
 // kept are the names of the solutions in the folder, by version.
-func (k *Keeper) kept() (names []string, err error) {
-	entries, err := os.ReadDir(k.set.Dir)
+func (k *Keeper) fileNames() (names []string, err error) {
+	entries, err := os.ReadDir(k.settings.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("solution: %w", err)
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), prefix) && e.Type().IsRegular() {
+		if strings.HasPrefix(e.Name(), filePrefix) && e.Type().IsRegular() {
 			names = append(names, e.Name())
 		}
 	}
@@ -125,13 +125,13 @@
 // looked at again when the list changes, until a newer one comes.
 func (k *Keeper) Offer(source string, b []byte) error {
 	s, err := shares.ReadSolution(b)
-	if err == nil && k.set.Inputs != "" {
-		err = s.Of(k.set.Inputs)
+	if err == nil && k.settings.Inputs != "" {
+		err = s.CheckInputs(k.settings.Inputs)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
-		err = k.try(&offer{source, b, s})
+		err = k.accept(&candidate{source, b, s})
 	}
 	if err != nil {
 		k.state.Refused++
@@ -142,49 +142,49 @@
 }
 
 // try takes an offer that is whole; the lock is held.
-func (k *Keeper) try(o *offer) error {
-	if k.current != nil && o.s.Version <= k.current.Version {
+func (k *Keeper) accept(c *candidate) error {
+	if k.current != nil && c.solution.Version <= k.current.Version {
 		switch {
-		case o.s.Version < k.current.Version:
-			return fmt.Errorf("%w (%d, in use %d)", ErrOld, o.s.Version, k.current.Version)
-		case !bytes.Equal(o.bytes, k.bytes):
-			return fmt.Errorf("%w (version %d)", ErrOther, o.s.Version)
+		case c.solution.Version < k.current.Version:
+			return fmt.Errorf("%w (%d, in use %d)", ErrStaleVersion, c.solution.Version, k.current.Version)
+		case !bytes.Equal(c.bytes, k.bytes):
+			return fmt.Errorf("%w (version %d)", ErrVersionConflict, c.solution.Version)
 		}
 		return nil
 	}
 	var unknown []string
-	for _, n := range o.s.Nodes {
+	for _, n := range c.solution.Nodes {
 		if !k.nodes[n] {
 			unknown = append(unknown, n)
 		}
 	}
 	if len(unknown) > 0 {
-		if k.waiting == nil || o.s.Version >= k.waiting.s.Version {
-			k.waiting = o
+		if k.deferred == nil || c.solution.Version >= k.deferred.solution.Version {
+			k.deferred = c
 		}
-		return fmt.Errorf("%w (%d of %d: %s)", ErrUnknown, len(unknown), len(o.s.Nodes), strings.Join(unknown[:min(5, len(unknown))], ", "))
+		return fmt.Errorf("%w (%d of %d: %s)", ErrUnknown, len(unknown), len(c.solution.Nodes), strings.Join(unknown[:min(5, len(unknown))], ", "))
 	}
-	if k.waiting != nil && k.waiting.s.Version <= o.s.Version {
-		k.waiting = nil
+	if k.deferred != nil && k.deferred.solution.Version <= c.solution.Version {
+		k.deferred = nil
 	}
-	k.current, k.bytes = o.s, o.bytes
-	k.host.Shares(Told(o.s, k.now()), o.s.Placement)
-	k.state.Version, k.state.At, k.state.Until = o.s.Version, o.s.At, o.s.At.Add(o.s.Trust())
-	k.state.Volumes, k.state.Err = len(o.s.Placement), ""
+	k.current, k.bytes = c.solution, c.bytes
+	k.host.Shares(Told(c.solution, k.now()), c.solution.Placement)
+	k.state.Version, k.state.At, k.state.Until = c.solution.Version, c.solution.At, c.solution.At.Add(c.solution.Trust())
+	k.state.Volumes, k.state.Err = len(c.solution.Placement), ""
 	k.state.Taken++
-	k.log.Info("solution: in use", "from", o.source, "version", o.s.Version, "by", o.s.By, "at", o.s.At,
-		"trusted_until", k.state.Until, "volumes", len(o.s.Placement), "nodes", len(o.s.Nodes))
-	k.save(o)
+	k.log.Info("solution: in use", "from", c.source, "version", c.solution.Version, "by", c.solution.By, "at", c.solution.At,
+		"trusted_until", k.state.Until, "volumes", len(c.solution.Placement), "nodes", len(c.solution.Nodes))
+	k.save(c)
 	return nil
 }
 
 // save keeps a solution, whole or not at all, and drops the oldest.
-func (k *Keeper) save(o *offer) {
-	name := filepath.Join(k.set.Dir, fmt.Sprintf("%s%020d", prefix, o.s.Version))
-	err := renameio.WriteFile(name, o.bytes, 0o644)
-	names, lerr := k.kept()
-	for len(names) > k.set.Keep {
-		lerr = errors.Join(lerr, os.Remove(filepath.Join(k.set.Dir, names[0])))
+func (k *Keeper) save(c *candidate) {
+	name := filepath.Join(k.settings.Dir, fmt.Sprintf("%s%020d", filePrefix, c.solution.Version))
+	err := renameio.WriteFile(name, c.bytes, 0o644)
+	names, lerr := k.fileNames()
+	for len(names) > k.settings.Keep {
+		lerr = errors.Join(lerr, os.Remove(filepath.Join(k.settings.Dir, names[0])))
 		names = names[1:]
 	}
 	if err = errors.Join(err, lerr); err != nil {
@@ -201,9 +201,9 @@
 	for _, id := range ids {
 		k.nodes[id] = true
 	}
-	if o := k.waiting; o != nil {
-		if err := k.try(o); err != nil && !errors.Is(err, ErrUnknown) {
-			k.waiting = nil
+	if c := k.deferred; c != nil {
+		if err := k.accept(c); err != nil && !errors.Is(err, ErrUnknown) {
+			k.deferred = nil
 		}
 	}
 }
@@ -218,21 +218,21 @@
 // Follow offers what stands in the file, at once and whenever it changes, until stop is
 // closed. A file that is not there (yet) is no error.
 func (k *Keeper) Follow(stop <-chan struct{}) {
-	if k.set.File == "" {
+	if k.settings.File == "" {
 		return
 	}
 	var last os.FileInfo
-	tick := time.NewTicker(k.set.Poll)
+	tick := time.NewTicker(k.settings.Poll)
 	defer tick.Stop()
 	for {
-		if info, err := os.Stat(k.set.File); err == nil && (last == nil || !info.ModTime().Equal(last.ModTime()) ||
+		if info, err := os.Stat(k.settings.File); err == nil && (last == nil || !info.ModTime().Equal(last.ModTime()) ||
 			info.Size() != last.Size() || !os.SameFile(info, last)) {
 			last = info
-			b, err := readFile(k.set.File)
+			b, err := readFile(k.settings.File)
 			if err != nil {
-				k.log.Warn("solution: the file cannot be read", "file", k.set.File, "err", err)
+				k.log.Warn("solution: the file cannot be read", "file", k.settings.File, "err", err)
 			} else {
-				_ = k.Offer("file "+k.set.File, b) // it has said why
+				_ = k.Offer("file "+k.settings.File, b) // it has said why
 			}
 		}
 		select {
@@ -257,7 +257,7 @@
 // Told is what a controller is told of a solution at a time. One that is dated in the future,
 // by a clock that is ahead, counts as new.
 func Told(s *shares.Solution, now time.Time) control.Shares {
-	t := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
+	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
 		Volumes: make(map[string]control.VolumeShare, len(s.Shares))}
 	for v, at := range s.Shares {
 		x := control.VolumeShare{At: make(map[string]float64, len(at))}
@@ -268,7 +268,7 @@
 		}
 		x.Rate = float64(milli) / 1000
 		_, x.Met = slices.BinarySearch(s.Met, v)
-		t.Volumes[v] = x
+		told.Volumes[v] = x
 	}
-	return t
+	return told
 }
--- a/internal/solution/keeper_test.go
+++ b/internal/solution/keeper_test.go
@@ -19,27 +19,27 @@
 var noon = time.Date(2026, 8, 13, 12, 0, 0, 0, time.UTC)
 
 // hearer notes what the host is told.
-type hearer struct {
-	mu   sync.Mutex
-	told []control.Shares
+type recordingHost struct {
+	mu       sync.Mutex
+	received []control.Shares
 }
 
-func (h *hearer) Shares(s control.Shares, _ map[string][]string) {
+func (h *recordingHost) Shares(s control.Shares, _ map[string][]string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told = append(h.told, s)
+	h.received = append(h.received, s)
 }
 
-func (h *hearer) versions() (list []uint64) {
+func (h *recordingHost) versions() (list []uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for _, s := range h.told {
+	for _, s := range h.received {
 		list = append(list, s.Version)
 	}
 	return list
 }
 
-func encoded(t *testing.T, version uint64, nodes ...string) []byte {
+func encodeSolution(t *testing.T, version uint64, nodes ...string) []byte {
 	t.Helper()
 	s := &shares.Solution{Version: version, Inputs: strings.Repeat("ab", 32), By: "test", At: noon.Add(-time.Hour), For: "24h",
 		Nodes: nodes, Placement: map[string][]string{"v": nodes}, Shares: map[string]map[string]int64{"v": {}}, Weights: map[string]int64{"v": 1}}
@@ -53,9 +53,9 @@
 	return b
 }
 
-func keeper(t *testing.T, set Settings) (*Keeper, *hearer) {
+func newTestKeeper(t *testing.T, set Settings) (*Keeper, *recordingHost) {
 	t.Helper()
-	h := &hearer{}
+	h := &recordingHost{}
 	if set.Dir == "" {
 		set.Dir = t.TempDir()
 	}
@@ -69,14 +69,14 @@
 
 // TestRefusedWithTheReason: cut at every byte, newer, of other inputs, older, the same version
 // with other content, of unknown nodes: the one in use stays.
-func TestRefusedWithTheReason(t *testing.T) {
-	k, h := keeper(t, Settings{Inputs: strings.Repeat("ab", 32)})
+func TestOfferRefusesInvalidSolutions(t *testing.T) {
+	k, h := newTestKeeper(t, Settings{Inputs: strings.Repeat("ab", 32)})
 	k.Listed([]string{"a", "b"})
-	good := encoded(t, 5, "a", "b")
+	good := encodeSolution(t, 5, "a", "b")
 	if err := k.Offer("test", good); err != nil {
 		t.Fatal(err)
 	}
-	next := encoded(t, 6, "a")
+	next := encodeSolution(t, 6, "a")
 	for n := range next {
 		if err := k.Offer("test", next[:n]); err == nil {
 			t.Fatalf("cut at byte %d it is taken", n)
@@ -92,23 +92,23 @@
 	if err := k.Offer("test", other); !errors.Is(err, shares.ErrInputs) {
 		t.Errorf("other inputs: %v", err)
 	}
-	if err := k.Offer("test", encoded(t, 4, "a")); !errors.Is(err, ErrOld) {
+	if err := k.Offer("test", encodeSolution(t, 4, "a")); !errors.Is(err, ErrStaleVersion) {
 		t.Errorf("older: %v", err)
 	}
-	if err := k.Offer("test", encoded(t, 5, "a")); !errors.Is(err, ErrOther) {
+	if err := k.Offer("test", encodeSolution(t, 5, "a")); !errors.Is(err, ErrVersionConflict) {
 		t.Errorf("same version, other content: %v", err)
 	}
 	if err := k.Offer("test", good); err != nil {
 		t.Errorf("the same again: %v", err)
 	}
-	if err := k.Offer("test", encoded(t, 7, "a", "z")); !errors.Is(err, ErrUnknown) || !strings.Contains(err.Error(), "1 of 2: z") {
+	if err := k.Offer("test", encodeSolution(t, 7, "a", "z")); !errors.Is(err, ErrUnknown) || !strings.Contains(err.Error(), "1 of 2: z") {
 		t.Errorf("unknown node: %v", err)
 	}
 	if got := h.versions(); len(got) != 1 || got[0] != 5 {
 		t.Fatalf("told: %v", got)
 	}
-	if x := h.told[0].Volumes["v"]; x.Rate != 2 || x.At["b"] != 1.5 || h.told[0].Age != time.Hour || h.told[0].Trust != 24*time.Hour {
-		t.Errorf("told %+v", h.told[0])
+	if x := h.received[0].Volumes["v"]; x.Rate != 2 || x.At["b"] != 1.5 || h.received[0].Age != time.Hour || h.received[0].Trust != 24*time.Hour {
+		t.Errorf("told %+v", h.received[0])
 	}
 	if st := k.State(); st.Version != 5 || st.Refused < 6 || st.Err == "" {
 		t.Errorf("%+v", st)
@@ -117,14 +117,14 @@
 
 // TestTakenWhenTheNodesAreKnown: before the first list nothing is taken; one refused for a
 // node is taken once that is listed, unless a newer one came.
-func TestTakenWhenTheNodesAreKnown(t *testing.T) {
-	k, h := keeper(t, Settings{})
-	if err := k.Offer("test", encoded(t, 1, "a")); !errors.Is(err, ErrUnknown) {
+func TestDeferredUntilNodesAreListed(t *testing.T) {
+	k, h := newTestKeeper(t, Settings{})
+	if err := k.Offer("test", encodeSolution(t, 1, "a")); !errors.Is(err, ErrUnknown) {
 		t.Fatal(err)
 	}
 	k.Listed([]string{"a"})
-	_ = k.Offer("test", encoded(t, 2, "a", "b"))
-	_ = k.Offer("test", encoded(t, 3, "a", "c"))
+	_ = k.Offer("test", encodeSolution(t, 2, "a", "b"))
+	_ = k.Offer("test", encodeSolution(t, 3, "a", "c"))
 	k.Listed([]string{"a", "b"})
 	k.Listed([]string{"a", "b", "c"})
 	k.Listed([]string{"a"}) // the one in use stays when nodes go
@@ -135,23 +135,23 @@
 
 // TestKeptOverRestarts: the last few are kept, the newest good one is taken up again, a
 // damaged one is passed over.
-func TestKeptOverRestarts(t *testing.T) {
+func TestSolutionsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	k, _ := keeper(t, Settings{Dir: dir})
+	k, _ := newTestKeeper(t, Settings{Dir: dir})
 	k.Listed([]string{"a"})
 	for v := range uint64(12) {
-		if err := k.Offer("test", encoded(t, v+1, "a")); err != nil {
+		if err := k.Offer("test", encodeSolution(t, v+1, "a")); err != nil {
 			t.Fatal(err)
 		}
 	}
-	names, err := k.kept()
+	names, err := k.fileNames()
 	if err != nil || len(names) != 3 || !strings.HasSuffix(names[2], "00012") {
 		t.Fatal(names, err)
 	}
 	if err := os.Truncate(filepath.Join(dir, names[2]), 100); err != nil {
 		t.Fatal(err)
 	}
-	k, h := keeper(t, Settings{Dir: dir})
+	k, h := newTestKeeper(t, Settings{Dir: dir})
 	if len(h.versions()) != 0 {
 		t.Fatal("told before the nodes were known")
 	}
@@ -162,16 +162,16 @@
 }
 
 // TestFollowsAFile: what stands in the file is taken, also when it is replaced.
-func TestFollowsAFile(t *testing.T) {
+func TestFollowReadsReplacedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "solution")
-	k, h := keeper(t, Settings{File: file})
+	k, h := newTestKeeper(t, Settings{File: file})
 	k.Listed([]string{"a"})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() { k.Follow(stop); close(done) }()
 	for v := range uint64(3) {
 		next := file + ".new"
-		if err := os.WriteFile(next, encoded(t, v+1, "a"), 0o644); err != nil {
+		if err := os.WriteFile(next, encodeSolution(t, v+1, "a"), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if err := os.Rename(next, file); err != nil {
--- a/shares/bound.go
+++ b/shares/bound.go
@@ -7,45 +7,43 @@
 	"slices"
 )
 
-// boundRounds is the number of sets of prices tried for the Lagrangian bound, at most.
-// What they cost is bounded too: rounds x volumes x groups stays under boundWork.
+// Limits on the work of computing bounds.
 const (
-	boundRounds = 80
-	boundWork   = 16_000_000
-	aloneWork   = 200_000   // volumes x nodes; above it what each would earn alone is not worked out
-	boundPlaces = 4_000_000 // volumes x groups; above it there is no Lagrangian bound
+	maxBoundRounds      = 80         // price vectors tried for the Lagrangian bound
+	maxBoundWork        = 16_000_000 // rounds x volumes x groups of the Lagrangian bound
+	maxIndependentPairs = 200_000    // volumes x nodes; above it the bound of independent volumes is skipped
+	maxLagrangianPairs  = 4_000_000  // volumes x groups; above it the Lagrangian bound is skipped
 )
 
-// Bound is an upper bound of what any placement of a problem that has passed Check is
-// worth.
-func Bound(p *Problem) Value { return p.resolve().bound(least) }
+// Bound returns an upper bound on the value of any placement of p. p must have passed Check.
+func Bound(p *Problem) Value { return p.instance().bound(minValue) }
 
-// bound is the least of three upper bounds: each volume alone on its best nodes, all
-// nodes as one, and a Lagrangian one. value is that of a placement known, or least: it
-// only guides how far prices are moved.
+// bound returns the lowest of three upper bounds: each volume alone on its best nodes, all
+// nodes pooled into one, and a Lagrangian relaxation. value is the value of a known placement,
+// or minValue; it only sets the step size of the prices in the relaxation.
 func (in *instance) bound(value Value) Value {
-	best := in.pooled()
-	if len(in.volumes)*len(in.nodes) <= aloneWork { // else the Lagrangian one is close to it
-		s := &search{in: in}
-		s.alone()
-		if s.rest[0].Cmp(best) < 0 {
-			best = s.rest[0]
+	best := in.pooledBound()
+	if len(in.volumes)*len(in.nodes) <= maxIndependentPairs { // for larger problems the Lagrangian bound is close to this one
+		s := &exactSearch{in: in}
+		s.boundRest()
+		if s.restBounds[0].Cmp(best) < 0 {
+			best = s.restBounds[0]
 		}
 	}
 	if best.Cmp(value) <= 0 {
 		return best
 	}
-	if l := in.lagrange(value, best); l.Cmp(best) < 0 {
+	if l := in.lagrangianBound(value, best); l.Cmp(best) < 0 {
 		best = l
 	}
 	return best
 }
 
-// pooled is what is earned if all nodes were one: the dearest volumes take what is
-// usable, the dearest of the rest what is spare.
-func (in *instance) pooled() Value {
-	s := &search{in: in}
-	usable, capacity, cost := int64(0), int64(0), int64(MostPrice)
+// pooledBound returns the value if all ready nodes were one: the volumes with the highest
+// prices take the usable capacity, and after them the spare capacity.
+func (in *instance) pooledBound() Value {
+	s := &exactSearch{in: in}
+	usable, capacity, cost := int64(0), int64(0), int64(MaxPrice)
 	for _, n := range in.nodes {
 		if n.ready {
 			usable, capacity, cost = usable+n.usable, capacity+n.capacity, min(cost, n.cost)
@@ -61,70 +59,71 @@
 		sent := min(v.demand, capacity)
 		usable -= share
 		capacity -= sent
-		sum = sum.Add(s.upper(v, &all, share, sent-share))
+		sum = sum.Add(s.upperBound(v, &all, share, sent-share))
 	}
 	return sum
 }
 
-// group is nodes that differ in little but their size: for a bound, one place.
+// group is a set of nodes with the same zone and cost and similar capacity. The Lagrangian
+// bound treats it as one resource.
 type group struct {
-	zone             int
-	cost             int64
-	usable, capacity int64
-	most, mostUsable int64 // of the largest
-	nodes            []int
-	lambda, mu       int64 // price of a milli-unit of usable, of any capacity; times Den
+	zone                   int
+	cost                   int64
+	usable, capacity       int64
+	maxCapacity, maxUsable int64 // of the largest node
+	nodes                  []int
+	lambda, mu             int64 // price of a milli-unit of usable and of total capacity, times Den
 }
 
-// groups are the ready nodes by zone, cost and size (half octaves), in order.
+// groups returns the ready nodes grouped by zone, cost and size (in half octaves), in order.
 func (in *instance) groups() (list []*group) {
 	type key struct {
 		zone int
 		cost int64
 		size int
 	}
-	at := map[key]*group{}
+	byKey := map[key]*group{}
 	for i, n := range in.nodes {
 		if !n.ready {
 			continue
 		}
 		square, _ := bits.Mul64(uint64(n.capacity)<<12, uint64(n.capacity)<<12)
 		k := key{n.zone, n.cost, bits.Len64(square)}
-		g := at[k]
+		g := byKey[k]
 		if g == nil {
 			g = &group{zone: n.zone, cost: n.cost}
-			at[k] = g
+			byKey[k] = g
 			list = append(list, g)
 		}
-		g.usable, g.capacity, g.most = g.usable+n.usable, g.capacity+n.capacity, max(g.most, n.capacity)
-		g.mostUsable = max(g.mostUsable, n.usable)
+		g.usable, g.capacity, g.maxCapacity = g.usable+n.usable, g.capacity+n.capacity, max(g.maxCapacity, n.capacity)
+		g.maxUsable = max(g.maxUsable, n.usable)
 		g.nodes = append(g.nodes, i)
 	}
 	return list
 }
 
-// lagrange is the Lagrangian bound (M. Fisher, "The Lagrangian relaxation method for
-// solving integer programming problems", Management Science 27, 1981): what is usable and
-// what there is at a group of equal nodes may be overdrawn at a price. Each volume then
-// chooses by itself its k best places at these prices; for any prices that are not
-// negative the sum, and the prices of all there is, are an upper bound. The prices are moved by
-// subgradients with Polyak's steps; they are integers, and so is the bound: floating
-// point only proposes prices. Constraints on zones, on required and forbidden nodes, and
-// what a move costs are kept; ceilings, least zones and fairness are left out.
-func (in *instance) lagrange(value, start Value) Value {
+// lagrangianBound returns the Lagrangian bound (M. Fisher, "The Lagrangian relaxation method
+// for solving integer programming problems", Management Science 27, 1981). The usable and the
+// total capacity of each group of similar nodes may be exceeded at a price. Each volume then
+// independently chooses its k best nodes at these prices; for any non-negative prices, the sum
+// of the volumes' values plus the price of all capacity is an upper bound. The prices follow a
+// subgradient method with Polyak's step size. Prices and bound are integers: floating point
+// only proposes prices. Allowed zones, forbidden nodes and move costs are enforced;
+// required nodes, volume limits of nodes, minimum zones and fairness are relaxed.
+func (in *instance) lagrangianBound(value, upper Value) Value {
 	groups := in.groups()
-	rounds := min(boundRounds, boundWork/(len(in.volumes)*len(groups)+1))
-	if len(groups) == 0 || len(in.volumes) == 0 || len(groups)*len(in.volumes) > boundPlaces {
-		return start
+	rounds := min(maxBoundRounds, maxBoundWork/(len(in.volumes)*len(groups)+1))
+	if len(groups) == 0 || len(in.volumes) == 0 || len(groups)*len(in.volumes) > maxLagrangianPairs {
+		return upper
 	}
-	places := in.places(groups)
-	// the prices to begin with: what the marginal volume pays for what is usable
-	in.marginal(groups)
-	best := start
+	slots := in.groupSlots(groups)
+	// Start from the price that the marginal volume pays for usable capacity.
+	in.setMarginalPrices(groups)
+	best := upper
 	stuck, scale := 0, 1.0
 	gradL, gradM := make([]float64, len(groups)), make([]float64, len(groups))
 	for range rounds {
-		l := in.relaxed(groups, places, gradL, gradM)
+		l := in.relaxedValue(groups, slots, gradL, gradM)
 		stuck++
 		if l.Cmp(best) < 0 {
 			best, stuck = l, 0
@@ -133,35 +132,36 @@
 			scale, stuck = scale/2, 0
 		}
 		gap := toFloat(l.Sub(value))
-		if value == least {
+		if value == minValue {
 			gap = toFloat(l) / 100
 		}
 		norm := 0.0
 		for i := range groups {
-			norm += float64(gradL[i]*gradL[i]) + float64(gradM[i]*gradM[i]) // not fused: the same on every machine
+			// The conversions prevent fused multiply-add, so that all platforms get the same result.
+			norm += float64(gradL[i]*gradL[i]) + float64(gradM[i]*gradM[i])
 		}
 		if norm == 0 || gap <= 0 {
 			break
 		}
 		for i, g := range groups {
-			g.lambda = moved(g.lambda, scale*gap*gradL[i]/norm)
-			g.mu = moved(g.mu, scale*gap*gradM[i]/norm)
+			g.lambda = stepMultiplier(g.lambda, scale*gap*gradL[i]/norm)
+			g.mu = stepMultiplier(g.mu, scale*gap*gradM[i]/norm)
 		}
 	}
 	return best
 }
 
-const mostPrices = MostPrice * MostRatio / 1000 // a price of a bound; sums of it fit in 128 bits
+const maxMultiplier = MaxPrice * MaxRatioTerm / 1000 // highest Lagrangian price; sums of it fit in 128 bits
 
-func moved(price int64, by float64) int64 {
-	return int64(math.Min(mostPrices, math.Max(0, math.Round(float64(price)-by))))
+func stepMultiplier(price int64, by float64) int64 {
+	return int64(math.Min(maxMultiplier, math.Max(0, math.Round(float64(price)-by))))
 }
 
 func toFloat(v Value) float64 { return float64(v.hi)*0x1p64 + float64(v.lo) }
 
-// marginal sets the prices of all groups to what the volume earns at which, dearest
-// first, what is usable (or all) is used up.
-func (in *instance) marginal(groups []*group) {
+// setMarginalPrices sets the prices of all groups to the value of the marginal volume: the one
+// at which usable (or total) capacity runs out when volumes take it in descending order of price.
+func (in *instance) setMarginalPrices(groups []*group) {
 	usable, capacity := int64(0), int64(0)
 	for _, g := range groups {
 		usable, capacity = usable+g.usable, capacity+g.capacity
@@ -172,7 +172,7 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(in.volumes[b].price, in.volumes[a].price) })
 	lambda, mu := 0.0, 0.0
-	worth := float64(in.spare.Num) / float64(in.spare.Den)
+	worth := float64(in.spareWorth.Num) / float64(in.spareWorth.Den)
 	for _, i := range order {
 		v := &in.volumes[i]
 		price := float64(v.price)
@@ -185,32 +185,31 @@
 		usable, capacity = usable-v.demand, capacity-v.demand
 	}
 	for _, g := range groups {
-		g.lambda = moved(0, -lambda*float64(in.spare.Den))
-		g.mu = moved(0, float64(float64(g.cost)-mu)*float64(in.spare.Den))
+		g.lambda = stepMultiplier(0, -lambda*float64(in.spareWorth.Den))
+		g.mu = stepMultiplier(0, float64(float64(g.cost)-mu)*float64(in.spareWorth.Den))
 	}
 }
 
-// places is what a group has for a volume: nodes where it is now, or where being costs
-// nothing, and others.
-type places struct{ group, here, free int32 }
+// groupSlots counts a group's nodes that a volume may be placed on, without and with a move cost.
+type groupSlots struct{ group, noMove, withMove int32 }
 
-// places are those of all volumes, which do not change from round to round.
-func (in *instance) places(groups []*group) [][]places {
-	list := make([][]places, len(in.volumes))
+// groupSlots returns the slots of every volume. They are the same in each round.
+func (in *instance) groupSlots(groups []*group) [][]groupSlots {
+	list := make([][]groupSlots, len(in.volumes))
 	for i := range in.volumes {
 		v := &in.volumes[i]
 		for k, g := range groups {
-			p := places{group: int32(k)}
+			p := groupSlots{group: int32(k)}
 			for _, n := range g.nodes {
 				switch {
 				case !v.allowed[n]:
-				case v.anywhere && !v.on[n]:
-					p.free++
+				case v.placed && !v.on[n]:
+					p.withMove++
 				default:
-					p.here++
+					p.noMove++
 				}
 			}
-			if p.here+p.free > 0 {
+			if p.noMove+p.withMove > 0 {
 				list[i] = append(list[i], p)
 			}
 		}
@@ -218,74 +217,76 @@
 	return list
 }
 
-// offer is places that a volume could take, each at the same worth.
-type offer struct {
+// candidate is a number of equivalent nodes that a volume could be placed on.
+type candidate struct {
 	group        int32
 	count        int64
-	worth        Value
-	share, spare int64 // what it would take
+	worth        Value // of the volume's part on one of them
+	share, spare int64 // that the part would take
 }
 
-// relaxed is the bound at the groups' prices, and how much is left of each.
-func (in *instance) relaxed(groups []*group, places [][]places, gradL, gradM []float64) Value {
+// relaxedValue returns the bound at the groups' prices and stores the capacity that is left
+// over in each group, usable and total, in gradL and gradM: the subgradients of the prices.
+func (in *instance) relaxedValue(groups []*group, slots [][]groupSlots, gradL, gradM []float64) Value {
 	sum := Value{}
 	for i, g := range groups {
-		sum = sum.Add(valueOf(g.lambda).times(g.usable)).Add(valueOf(g.mu).times(g.capacity))
+		sum = sum.Add(valueOf(g.lambda).mul(g.usable)).Add(valueOf(g.mu).mul(g.capacity))
 		gradL[i], gradM[i] = float64(g.usable), float64(g.capacity)
 	}
-	var offers []offer
+	var candidates []candidate
 	for i := range in.volumes {
 		v := &in.volumes[i]
-		offers = offers[:0]
+		candidates = candidates[:0]
 		part := (v.demand + int64(v.spread) - 1) / int64(v.spread)
-		for _, p := range places[i] {
-			o := in.offer(v, groups[p.group], part)
-			o.group = p.group
-			if p.here > 0 {
-				o.count = int64(p.here)
-				offers = append(offers, o)
+		for _, p := range slots[i] {
+			c := in.groupCandidate(v, groups[p.group], part)
+			c.group = p.group
+			if p.noMove > 0 {
+				c.count = int64(p.noMove)
+				candidates = append(candidates, c)
 			}
-			if p.free > 0 {
-				o.count, o.worth = int64(p.free), o.worth.Sub(in.moveCost(v))
-				offers = append(offers, o)
+			if p.withMove > 0 {
+				c.count, c.worth = int64(p.withMove), c.worth.Sub(in.moveCost(v))
+				candidates = append(candidates, c)
 			}
 		}
-		for left := int64(v.spread); left > 0; { // the best ones: a few of a few
+		for left := int64(v.spread); left > 0; { // selects the best; both lists are short
 			best := -1
-			for k := range offers {
-				if offers[k].count > 0 && (best < 0 || offers[k].worth.Cmp(offers[best].worth) > 0) {
+			for k := range candidates {
+				if candidates[k].count > 0 && (best < 0 || candidates[k].worth.Cmp(candidates[best].worth) > 0) {
 					best = k
 				}
 			}
 			if best < 0 {
 				break
 			}
-			o := &offers[best]
-			n := min(left, o.count)
+			c := &candidates[best]
+			n := min(left, c.count)
 			left -= n
-			o.count = 0
-			sum = sum.Add(o.worth.times(n))
-			gradL[o.group] -= float64(n * o.share)
-			gradM[o.group] -= float64(n * (o.share + o.spare))
+			c.count = 0
+			sum = sum.Add(c.worth.mul(n))
+			gradL[c.group] -= float64(n * c.share)
+			gradM[c.group] -= float64(n * (c.share + c.spare))
 		}
 	}
 	return sum
 }
 
-// offer is what a part of a volume would take and earn at a group, at its prices: share as
-// far as the largest node has room, and spare, each only if it earns.
-func (in *instance) offer(v *volume, g *group, part int64) (o offer) {
-	den := in.spare.Den
-	share := valueOf(v.price - g.cost).times(den).Sub(valueOf(g.lambda)).Sub(valueOf(g.mu))
-	spare := valueOf(v.price).times(in.spare.Num).Sub(valueOf(g.cost).times(den)).Sub(valueOf(g.mu))
-	part = min(part, g.most)
+// groupCandidate returns what a part of a volume would take and be worth on a group's nodes at
+// the group's prices: share up to the usable capacity of the largest node, and spare, each only
+// if its worth is positive.
+func (in *instance) groupCandidate(v *volume, g *group, part int64) (c candidate) {
+	den := in.spareWorth.Den
+	share := valueOf(v.price - g.cost).mul(den).Sub(valueOf(g.lambda)).Sub(valueOf(g.mu))
+	spare := valueOf(v.price).mul(in.spareWorth.Num).Sub(valueOf(g.cost).mul(den)).Sub(valueOf(g.mu))
+	part = min(part, g.maxCapacity)
 	if share.Cmp(spare) >= 0 && share.Cmp(Value{}) > 0 {
-		o.share = min(part, g.mostUsable)
-		o.worth = share.times(o.share)
+		c.share = min(part, g.maxUsable)
+		c.worth = share.mul(c.share)
 	}
 	if spare.Cmp(Value{}) > 0 {
-		o.spare = part - o.share
-		o.worth = o.worth.Add(spare.times(o.spare))
+		c.spare = part - c.share
+		c.worth = c.worth.Add(spare.mul(c.spare))
 	}
-	return o
+	return c
 }
--- a/shares/brute_test.go
+++ b/shares/brute_test.go
@@ -207,13 +207,13 @@
 }
 
 // draw makes a small instance. Its placements are few enough for the brute force.
-func draw(rng *rand.Rand) *Problem {
+func randomProblem(rng *rand.Rand) *Problem {
 	pick := func(list ...int64) int64 { return list[rng.Intn(len(list))] }
 	for {
 		p := &Problem{ShareOfCapacity: Ratio{9, 10}, SpareWorth: Ratio{pick(0, 5, 50, 100), 100}}
 		for i := range 1 + rng.Intn(3) {
 			p.Plans = append(p.Plans, Plan{Name: fmt.Sprint("p", i), Weight: 1 + rng.Int63n(3),
-				Price: pick(0, 1, 720_000, 900_000, 900_000, MostPrice), Reserve: pick(0, 0, 0, 0, 0, 100, 3001)})
+				Price: pick(0, 1, 720_000, 900_000, 900_000, MaxPrice), Reserve: pick(0, 0, 0, 0, 0, 100, 3001)})
 		}
 		for i := range 2 + rng.Intn(5) {
 			p.Nodes = append(p.Nodes, Node{ID: fmt.Sprint("n", i), Capacity: pick(1, 1000, 1000, 10_000, 100_000, 7777),
@@ -257,7 +257,7 @@
 func TestAgainstBruteForce(t *testing.T) {
 	solved, none := 0, 0
 	for seed := range int64(4500) {
-		p := draw(rand.New(rand.NewSource(seed)))
+		p := randomProblem(rand.New(rand.NewSource(seed)))
 		want, placement := brute(p)
 		got, err := Exact(p, 0)
 		if want == nil {
@@ -285,8 +285,8 @@
 func TestValueArithmetic(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 10_000 {
-		a, b, k := rng.Int63()>>rng.Intn(60), rng.Int63()>>rng.Intn(60), rng.Int63n(MostRatio)
-		v := valueOf(a).times(b >> 20).Sub(valueOf(b).times(k))
+		a, b, k := rng.Int63()>>rng.Intn(60), rng.Int63()>>rng.Intn(60), rng.Int63n(MaxRatioTerm)
+		v := valueOf(a).mul(b >> 20).Sub(valueOf(b).mul(k))
 		want := new(big.Int).Sub(new(big.Int).Mul(big.NewInt(a), big.NewInt(b>>20)), new(big.Int).Mul(big.NewInt(b), big.NewInt(k)))
 		if v.Big().Cmp(want) != 0 || v.Neg().Big().Cmp(new(big.Int).Neg(want)) != 0 || v.Cmp(v.Neg()) != want.Sign() {
 			t.Fatalf("%d %d %d: %v, want %v", a, b, k, v, want)
--- a/shares/cases_test.go
+++ b/shares/cases_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func plain(nodes []Node, volumes []Volume, plans ...Plan) *Problem {
+func readyProblem(nodes []Node, volumes []Volume, plans ...Plan) *Problem {
 	if len(plans) == 0 {
 		plans = []Plan{{Name: "p", Weight: 1, Price: 1_000_000}}
 	}
@@ -17,8 +17,8 @@
 }
 
 // TestSharesByHand has parts that can be worked out on paper.
-func TestSharesByHand(t *testing.T) {
-	p := plain([]Node{{ID: "n", Capacity: 1000}}, []Volume{
+func TestSharesWorkedExample(t *testing.T) {
+	p := readyProblem([]Node{{ID: "n", Capacity: 1000}}, []Volume{
 		{ID: "a", Plan: "one", Demand: 5000, Spread: 1}, {ID: "b", Plan: "three", Demand: 5000, Spread: 1},
 		{ID: "c", Plan: "one", Demand: 50, Spread: 1}},
 		Plan{Name: "one", Weight: 1, Price: 10}, Plan{Name: "three", Weight: 3, Price: 20, Reserve: 100})
@@ -41,17 +41,17 @@
 
 // TestEdges: a node with nearly all capacity, one of capacity 1, no demand, one volume,
 // all equal, and prices that overflow 64 bits.
-func TestEdges(t *testing.T) {
-	a, err := Exact(plain([]Node{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 900_000}, {ID: "c", Capacity: 99_999}},
+func TestExactEdgeCases(t *testing.T) {
+	a, err := Exact(readyProblem([]Node{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 900_000}, {ID: "c", Capacity: 99_999}},
 		[]Volume{{ID: "v", Plan: "p", Demand: 500_000, Spread: 1}, {ID: "w", Plan: "p", Demand: 80_000, Spread: 1}}), 0)
 	if err != nil || a.Placement["v"][0] != "b" || a.Placement["w"][0] != "b" {
 		t.Errorf("unequal nodes: %+v %v", a, err)
 	}
-	a, err = Exact(plain([]Node{{ID: "a", Capacity: 1}}, []Volume{{ID: "v", Plan: "p", Demand: 7, Spread: 1}}), 0)
+	a, err = Exact(readyProblem([]Node{{ID: "a", Capacity: 1}}, []Volume{{ID: "v", Plan: "p", Demand: 7, Spread: 1}}), 0)
 	if err != nil || a.Parts[0].Share != 0 || a.Parts[0].Spare != 1 {
 		t.Errorf("capacity 1, nine tenths of which are none: %+v %v", a, err)
 	}
-	a, err = Exact(plain([]Node{{ID: "b", Capacity: 5}, {ID: "a", Capacity: 5}}, []Volume{{ID: "v", Plan: "p", Spread: 2}}), 0)
+	a, err = Exact(readyProblem([]Node{{ID: "b", Capacity: 5}, {ID: "a", Capacity: 5}}, []Volume{{ID: "v", Plan: "p", Spread: 2}}), 0)
 	if err != nil || a.Value != (Value{}) || strings.Join(a.Placement["v"], "") != "ab" {
 		t.Errorf("no demand: %+v %v", a, err)
 	}
@@ -60,7 +60,7 @@
 	for _, id := range []string{"u", "v", "w", "x", "y", "z"} {
 		volumes = append(volumes, Volume{ID: id, Plan: "p", Demand: 450, Spread: 1})
 	}
-	a, err = Exact(plain(equal, volumes), 0)
+	a, err = Exact(readyProblem(equal, volumes), 0)
 	if got := func() (s string) {
 		for _, v := range volumes {
 			s += a.Placement[v.ID][0]
@@ -69,22 +69,22 @@
 	}(); err != nil || got != "aabbcc" {
 		t.Errorf("all equal: %s %v: the least of the best is wanted", got, err)
 	}
-	big := plain([]Node{{ID: "a", Capacity: MostFlow}}, []Volume{{ID: "v", Plan: "p", Demand: MostFlow, Spread: 1}},
-		Plan{Name: "p", Weight: MostRatio, Price: MostPrice})
-	big.SpareWorth = Ratio{999_999, MostRatio}
+	big := readyProblem([]Node{{ID: "a", Capacity: MostFlow}}, []Volume{{ID: "v", Plan: "p", Demand: MostFlow, Spread: 1}},
+		Plan{Name: "p", Weight: MaxRatioTerm, Price: MaxPrice})
+	big.SpareWorth = Ratio{999_999, MaxRatioTerm}
 	a, err = Exact(big, 0)
 	if err != nil || a.Value.String() != "999999900000000000000000000000000" {
 		t.Errorf("largest prices: %v %v", a, err)
 	}
-	if a, err := Exact(plain(nil, nil), 0); err != nil || a.Value != (Value{}) {
+	if a, err := Exact(readyProblem(nil, nil), 0); err != nil || a.Value != (Value{}) {
 		t.Errorf("nothing at all: %+v %v", a, err)
 	}
 }
 
 // TestWhatCannotBeMet: each kind of constraint by itself.
-func TestWhatCannotBeMet(t *testing.T) {
+func TestExactReportsUnsatisfiableConstraints(t *testing.T) {
 	one := func() *Problem {
-		return plain([]Node{{ID: "a", Capacity: 1000, Zone: "x"}, {ID: "b", Capacity: 1000, Zone: "x"}},
+		return readyProblem([]Node{{ID: "a", Capacity: 1000, Zone: "x"}, {ID: "b", Capacity: 1000, Zone: "x"}},
 			[]Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
 	}
 	for name, change := range map[string]func(*Problem){
@@ -114,23 +114,23 @@
 	}
 }
 
-func TestStepsEndTheSearch(t *testing.T) {
+func TestExactStopsAtStepLimit(t *testing.T) {
 	var volumes []Volume
 	var nodes []Node
 	for i := range 8 {
 		volumes = append(volumes, Volume{ID: string(rune('a' + i)), Plan: "p", Demand: int64(700 + i*13), Spread: 2})
 		nodes = append(nodes, Node{ID: string(rune('a' + i)), Capacity: int64(900 + i*77)})
 	}
-	a, err := Exact(plain(nodes, volumes), 50)
-	if !errors.Is(err, ErrSteps) || a == nil {
+	a, err := Exact(readyProblem(nodes, volumes), 50)
+	if !errors.Is(err, ErrStepLimit) || a == nil {
 		t.Errorf("%+v, %v", a, err)
 	}
-	if a, err = Exact(plain(nodes, volumes), 3); !errors.Is(err, ErrSteps) || a != nil {
+	if a, err = Exact(readyProblem(nodes, volumes), 3); !errors.Is(err, ErrStepLimit) || a != nil {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
 
-func TestProblemsThatCannotBe(t *testing.T) {
+func TestInvalidProblemsAndPlacements(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*Problem)
 		want   string
@@ -148,13 +148,13 @@
 		"weight":      {func(p *Problem) { p.Plans[0].Weight = 0 }, "weight = 0"},
 		"two volumes": {func(p *Problem) { p.Volumes = append(p.Volumes, p.Volumes[0]) }, `volumes[1] "v": id`},
 	} {
-		p := plain([]Node{{ID: "a", Capacity: 10}}, []Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
+		p := readyProblem([]Node{{ID: "a", Capacity: 10}}, []Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
 		c.change(p)
 		if _, err := Exact(p, 0); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
 	}
-	p := plain([]Node{{ID: "a", Capacity: 10}}, []Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
+	p := readyProblem([]Node{{ID: "a", Capacity: 10}}, []Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
 	for _, placement := range []map[string][]string{{}, {"v": nil}, {"v": {"z"}}, {"v": {"a", "a"}}, {"v": {"a"}, "w": {"a"}}} {
 		if _, err := Evaluate(p, placement); !errors.As(err, new(*Infeasible)) {
 			t.Errorf("%v: %v", placement, err)
--- a/shares/conflict.go
+++ b/shares/conflict.go
@@ -6,15 +6,16 @@
 	"slices"
 )
 
-// Constraint is one demand of a problem that can be left out.
+// Constraint identifies one constraint of a problem that Conflict may omit.
 type Constraint struct {
 	Kind  string `json:"kind"`            // reserve, state, most_volumes, zones, least_zones, require, forbid, spread
 	Table string `json:"table"`           // plans, nodes or volumes
-	Index int    `json:"index"`           // in that table, as the file has it
+	Index int    `json:"index"`           // in that table, in the order of the file
 	Name  string `json:"name"`            // of the plan, node or volume
 	Other string `json:"other,omitempty"` // the node that is required or forbidden
 }
 
+// String returns the constraint as a line of text, such as `volumes[0] "v": require "n"`.
 func (c Constraint) String() string {
 	text := fmt.Sprintf("%s[%d] %q: %s", c.Table, c.Index, c.Name, c.Kind)
 	if c.Other != "" {
@@ -23,7 +24,7 @@
 	return text
 }
 
-// constraints lists what can be left out of a problem.
+// constraints lists the constraints of a problem that can be omitted.
 func constraints(p *Problem) (all []Constraint) {
 	for i, x := range p.Plans {
 		if x.Reserve > 0 {
@@ -39,32 +40,32 @@
 		}
 	}
 	for i, x := range p.Volumes {
-		at := func(kind, other string) {
+		add := func(kind, other string) {
 			all = append(all, Constraint{Kind: kind, Table: "volumes", Index: i, Name: x.ID, Other: other})
 		}
 		if len(x.Zones) > 0 {
-			at("zones", "")
+			add("zones", "")
 		}
 		if x.LeastZones > 1 {
-			at("least_zones", "")
+			add("least_zones", "")
 		}
 		for _, id := range x.Require {
-			at("require", id)
+			add("require", id)
 		}
 		for _, id := range x.Forbid {
-			at("forbid", id)
+			add("forbid", id)
 		}
-		at("spread", "")
+		add("spread", "")
 	}
 	return all
 }
 
-// without is a problem that some constraints are left out of. A volume whose spread is
-// left out is not placed at all.
-func without(p *Problem, left map[Constraint]bool) *Problem {
+// withoutConstraints returns a copy of p without the omitted constraints. Omitting a volume's
+// spread removes the volume from the problem.
+func withoutConstraints(p *Problem, omitted map[Constraint]bool) *Problem {
 	q := *p
 	q.Plans, q.Nodes, q.Volumes = slices.Clone(p.Plans), slices.Clone(p.Nodes), nil
-	for c, out := range left {
+	for c, out := range omitted {
 		if !out {
 			continue
 		}
@@ -78,66 +79,66 @@
 		}
 	}
 	for i, x := range p.Volumes {
-		at := func(kind, other string) bool {
-			return left[Constraint{Kind: kind, Table: "volumes", Index: i, Name: x.ID, Other: other}]
+		isOmitted := func(kind, other string) bool {
+			return omitted[Constraint{Kind: kind, Table: "volumes", Index: i, Name: x.ID, Other: other}]
 		}
-		if at("spread", "") {
+		if isOmitted("spread", "") {
 			continue
 		}
-		if at("zones", "") {
+		if isOmitted("zones", "") {
 			x.Zones = nil
 		}
-		if at("least_zones", "") {
+		if isOmitted("least_zones", "") {
 			x.LeastZones = 0
 		}
-		keep := func(list []string, kind string) (kept []string) {
+		remaining := func(list []string, kind string) (kept []string) {
 			for _, id := range list {
-				if !at(kind, id) {
+				if !isOmitted(kind, id) {
 					kept = append(kept, id)
 				}
 			}
 			return kept
 		}
-		x.Require, x.Forbid = keep(x.Require, "require"), keep(x.Forbid, "forbid")
+		x.Require, x.Forbid = remaining(x.Require, "require"), remaining(x.Forbid, "forbid")
 		q.Volumes = append(q.Volumes, x)
 	}
 	return &q
 }
 
-// Conflict finds, for a problem of which Exact says that it has no placement, a set of
-// constraints that cannot be met together, though they could if any one of them were left
-// out. It leaves constraints out one after another, in the order of the file, as long as
-// there is still no placement (a deletion filter: J. Chinneck and E. Dravnieks, "Locating
-// minimal infeasible constraint sets in linear programs", ORSA Journal on Computing 3,
-// 1991). steps bounds each of the exact searches; 0: no bound. It returns ErrSteps if one
-// did not end, and no set if there is a placement.
+// Conflict finds, for a problem that Exact reports infeasible, a minimal set of conflicting
+// constraints: they cannot be met together, but any proper subset can. It omits constraints
+// one after another, in the order of the file, as long as the problem stays infeasible (a
+// deletion filter: J. Chinneck and E. Dravnieks, "Locating minimal infeasible constraint sets
+// in linear programs", ORSA Journal on Computing 3, 1991). steps limits each exact search; 0
+// means no limit. Conflict returns ErrStepLimit if a search reached the limit, and a nil set if
+// the problem has a placement.
 func Conflict(p *Problem, steps int) ([]Constraint, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	none := func(left map[Constraint]bool) (bool, error) {
-		_, err := Exact(without(p, left), steps)
+	infeasible := func(omitted map[Constraint]bool) (bool, error) {
+		_, err := Exact(withoutConstraints(p, omitted), steps)
 		switch {
 		case errors.Is(err, ErrNone):
 			return true, nil
-		case errors.Is(err, ErrSteps): // a placement may have been found all the same
+		case errors.Is(err, ErrStepLimit): // the search may have found a placement nevertheless
 			return false, err
 		}
 		return false, err
 	}
-	left := map[Constraint]bool{}
-	if stuck, err := none(left); err != nil || !stuck {
+	omitted := map[Constraint]bool{}
+	if conflicting, err := infeasible(omitted); err != nil || !conflicting {
 		return nil, err
 	}
 	var conflict []Constraint
 	for _, c := range constraints(p) {
-		left[c] = true
-		stuck, err := none(left)
+		omitted[c] = true
+		conflicting, err := infeasible(omitted)
 		if err != nil {
 			return nil, err
 		}
-		if !stuck {
-			left[c] = false
+		if !conflicting {
+			omitted[c] = false
 			conflict = append(conflict, c)
 		}
 	}
--- a/shares/conflict_test.go
+++ b/shares/conflict_test.go
@@ -11,7 +11,7 @@
 func TestConflictsAreMinimal(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range int64(1200) {
-		p := draw(rand.New(rand.NewSource(seed)))
+		p := randomProblem(rand.New(rand.NewSource(seed)))
 		_, err := Exact(p, 0)
 		conflict, cerr := Conflict(p, 0)
 		if cerr != nil {
@@ -33,13 +33,13 @@
 		for _, c := range conflict {
 			left[c] = false
 		}
-		if _, err := Exact(without(p, left), 0); !errors.Is(err, ErrNone) {
+		if _, err := Exact(withoutConstraints(p, left), 0); !errors.Is(err, ErrNone) {
 			t.Fatalf("seed %d: %v can be met together: %v", seed, conflict, err)
 		}
 		for _, c := range conflict {
 			kinds[c.Kind]++
 			left[c] = true
-			if _, err := Exact(without(p, left), 0); err != nil {
+			if _, err := Exact(withoutConstraints(p, left), 0); err != nil {
 				t.Fatalf("seed %d: without %v the rest of %v: %v", seed, c, conflict, err)
 			}
 			left[c] = false
--- a/shares/evaluate.go
+++ b/shares/evaluate.go
@@ -8,15 +8,15 @@
 	"sort"
 )
 
-// Part is what one volume gets at one node, milli-units a second.
+// Part is one volume's allocation on one node, in milli-units a second.
 type Part struct {
 	Volume, Node string
-	Demand       int64 // its part of the volume's demand
+	Demand       int64 // the part of the volume's demand that falls on the node
 	Share        int64 // reserve and fair share
-	Spare        int64
+	Spare        int64 // allocated from the capacity beyond the shares
 }
 
-// Answer is a placement and what it comes to.
+// Answer is a placement and its value.
 type Answer struct {
 	Value     Value
 	Placement map[string][]string
@@ -24,42 +24,42 @@
 	Moves     int
 }
 
-// Infeasible names the rule that a placement breaks.
+// Infeasible is the error for a placement that violates a constraint. Text names the constraint.
 type Infeasible struct{ Text string }
 
 func (e *Infeasible) Error() string { return "infeasible: " + e.Text }
 
-// load is one volume at one node.
+// load is one volume's part on one node.
 type load struct {
-	volume int
-	extra  bool // it takes one milli-unit of the remainder of its demand
-	rextra bool // and one of its reserve's
+	volume       int
+	extraDemand  bool // takes one milli-unit of the remainder of the volume's demand
+	extraReserve bool // takes one milli-unit of the remainder of its reserve
 }
 
-// part is the demand and reserve of a load.
+// part returns the demand and reserve of a load.
 func (in *instance) part(l load) (demand, reserve int64) {
 	v := &in.volumes[l.volume]
 	k := int64(v.spread)
 	demand, reserve = v.demand/k, v.reserve/k
-	if l.extra {
+	if l.extraDemand {
 		demand++
 	}
-	if l.rextra {
+	if l.extraReserve {
 		reserve++
 	}
 	return demand, reserve
 }
 
-// loadOf is volume v at the rank-th of its nodes.
+// loadOf returns the load of volume v on the rank-th of its nodes.
 func (in *instance) loadOf(v, rank int) load {
 	x := &in.volumes[v]
 	return load{v, int64(rank) < x.demand%int64(x.spread), int64(rank) < x.reserve%int64(x.spread)}
 }
 
-// fill parts a node among its loads, which are in the order of their volumes. It
-// reports false if the reserves come to more than what is usable. shares and spares
-// have room for a number a load, and are whole afterwards.
-func (in *instance) fill(n *node, loads []load, shares, spares []int64) bool {
+// allocate divides a node among its loads, which must be in the order of their volumes. It
+// returns false if the reserves exceed the usable capacity. shares and spares must have the
+// length of loads; allocate sets every element.
+func (in *instance) allocate(n *node, loads []load, shares, spares []int64) bool {
 	reserves, want, left := int64(0), int64(0), n.usable
 	unmet := in.unmet[:0]
 	for i, l := range loads {
@@ -73,13 +73,13 @@
 		want += demand - shares[i]
 	}
 	in.unmet = unmet
-	if want <= left { // there is enough for all
+	if want <= left { // the usable capacity meets all demand
 		for i := range loads {
 			shares[i] += unmet[i]
 		}
 		return true
 	}
-	in.fair(loads, unmet, left, shares)
+	in.addFairShares(loads, unmet, left, shares)
 	room := n.capacity
 	for i := range loads {
 		demand, _ := in.part(loads[i])
@@ -104,12 +104,12 @@
 	return true
 }
 
-// fair adds weighted max-min fair parts of what is left: progressive filling, each
-// load's part the lesser of what it wants and its weight times a level; the level in
-// exact rational arithmetic, parts rounded down, the remainder one milli-unit each by
-// the largest fraction, then the lowest volume (Bertsekas and Gallager, Data Networks,
-// section 6.5.2, with weights).
-func (in *instance) fair(loads []load, unmet []int64, left int64, shares []int64) {
+// addFairShares adds weighted max-min fair parts of the capacity left to shares. It uses
+// progressive filling: each load gets the lower of its unmet demand and its weight times a
+// common level. The level is exact rational arithmetic; parts are rounded down, and the
+// remainder goes out one milli-unit each by largest fraction, then lowest volume (Bertsekas and
+// Gallager, Data Networks, section 6.5.2, with weights).
+func (in *instance) addFairShares(loads []load, unmet []int64, left int64, shares []int64) {
 	open := in.order[:0]
 	weights := int64(0)
 	for i, l := range loads {
@@ -119,7 +119,7 @@
 		}
 	}
 	in.order = open
-	// by what they want for each weight: a is filled before b if a/wa < b/wb
+	// Sort by unmet demand per weight: a is filled before b if a/wa < b/wb.
 	slices.SortStableFunc(open, func(a, b int) int {
 		ah, al := bits.Mul64(uint64(unmet[a]), uint64(in.volumes[loads[b].volume].weight))
 		bh, bl := bits.Mul64(uint64(unmet[b]), uint64(in.volumes[loads[a].volume].weight))
@@ -131,7 +131,7 @@
 		wantH, wantL := bits.Mul64(uint64(unmet[i]), uint64(weights))
 		haveH, haveL := bits.Mul64(uint64(left), uint64(w))
 		if (Value{int64(wantH), wantL}).Cmp(Value{int64(haveH), haveL}) > 0 {
-			break // the level ends below what it wants, and so for all after it
+			break // the level stays below the unmet demand of this load and of all after it
 		}
 		shares[i] += unmet[i]
 		left -= unmet[i]
@@ -144,7 +144,7 @@
 	fractions := slices.Grow(in.fractions[:0], len(loads))[:len(loads)]
 	in.fractions = fractions
 	rest := left
-	for _, i := range open { // its part is weight x left / weights
+	for _, i := range open { // each part is weight x left / weights
 		h, l := bits.Mul64(uint64(left), uint64(in.volumes[loads[i].volume].weight))
 		q, r := bits.Div64(h, l, uint64(weights))
 		shares[i] += int64(q)
@@ -165,20 +165,23 @@
 	}
 }
 
-// worth is what parts of a volume at a node earn: price x share and price x
-// spare_worth x spare, less what sending them costs; times the denominator.
+// worth returns the value of a volume's share and spare on a node: price x share plus price x
+// spare_worth x spare, minus the node's cost for both; times the denominator of spare_worth.
 func (in *instance) worth(v *volume, n *node, share, spare int64) Value {
-	d, s := in.spare.Den, in.spare.Num
-	sum := valueOf(v.price).times(share).times(d)
-	sum = sum.Add(valueOf(v.price).times(spare).times(s))
-	return sum.Sub(valueOf(n.cost).times(share + spare).times(d))
+	d, s := in.spareWorth.Den, in.spareWorth.Num
+	sum := valueOf(v.price).mul(share).mul(d)
+	sum = sum.Add(valueOf(v.price).mul(spare).mul(s))
+	return sum.Sub(valueOf(n.cost).mul(share + spare).mul(d))
 }
 
-// moveCost is what a volume pays for one node that it is newly placed on.
-func (in *instance) moveCost(v *volume) Value { return valueOf(v.move).times(1000).times(in.spare.Den) }
+// moveCost returns the cost of placing a volume on one node that it is not on now.
+func (in *instance) moveCost(v *volume) Value {
+	return valueOf(v.moveCost).mul(1000).mul(in.spareWorth.Den)
+}
 
-// may says whether a volume may lie on a set of nodes, which are in order, and why not.
-func (in *instance) may(v int, set []int) error {
+// checkSet returns nil if volume v may be placed on a set of nodes, which must be in order, or
+// an *Infeasible error with the reason.
+func (in *instance) checkSet(v int, set []int) error {
 	x := &in.volumes[v]
 	if len(set) != x.spread {
 		return &Infeasible{fmt.Sprintf("volume %s: on %d nodes, spread %d", x.id, len(set), x.spread)}
@@ -193,8 +196,8 @@
 		}
 		zones[in.nodes[n].zone] = true
 	}
-	if len(zones) < x.zones {
-		return &Infeasible{fmt.Sprintf("volume %s: in %d zones, at least %d", x.id, len(zones), x.zones)}
+	if len(zones) < x.minZones {
+		return &Infeasible{fmt.Sprintf("volume %s: in %d zones, at least %d", x.id, len(zones), x.minZones)}
 	}
 	for n, must := range x.required {
 		if must && !slices.Contains(set, n) {
@@ -204,20 +207,20 @@
 	return nil
 }
 
-// evaluate is the exact value of a placement: for each volume, its nodes in order.
+// evaluate returns the exact value of a placement, which holds each volume's nodes in order.
 func (in *instance) evaluate(placement [][]int) (*Answer, error) {
 	a := &Answer{Placement: map[string][]string{}}
-	at := make([][]load, len(in.nodes))
+	loadsAt := make([][]load, len(in.nodes))
 	for v, set := range placement {
-		if err := in.may(v, set); err != nil {
+		if err := in.checkSet(v, set); err != nil {
 			return nil, err
 		}
 		x := &in.volumes[v]
 		ids := make([]string, len(set))
 		for rank, n := range set {
-			at[n] = append(at[n], in.loadOf(v, rank))
+			loadsAt[n] = append(loadsAt[n], in.loadOf(v, rank))
 			ids[rank] = in.nodes[n].id
-			if x.anywhere && !x.on[n] {
+			if x.placed && !x.on[n] {
 				a.Moves++
 				a.Value = a.Value.Sub(in.moveCost(x))
 			}
@@ -225,12 +228,12 @@
 		a.Placement[x.id] = ids
 	}
 	for i := range in.nodes {
-		n, loads := &in.nodes[i], at[i]
-		if len(loads) > n.most {
-			return nil, &Infeasible{fmt.Sprintf("node %s: %d volumes, at most %d", n.id, len(loads), n.most)}
+		n, loads := &in.nodes[i], loadsAt[i]
+		if len(loads) > n.maxVolumes {
+			return nil, &Infeasible{fmt.Sprintf("node %s: %d volumes, at most %d", n.id, len(loads), n.maxVolumes)}
 		}
 		shares, spares := make([]int64, len(loads)), make([]int64, len(loads))
-		if !in.fill(n, loads, shares, spares) {
+		if !in.allocate(n, loads, shares, spares) {
 			return nil, &Infeasible{fmt.Sprintf("node %s: the reserves there come to more than the %d usable", n.id, n.usable)}
 		}
 		for k, l := range loads {
@@ -244,15 +247,16 @@
 	return a, nil
 }
 
-// Evaluate checks a problem and values a placement of it: volume -> nodes.
+// Evaluate checks a problem and returns the value of a placement (volume -> nodes) of it. The
+// error is *Infeasible if the placement violates a constraint.
 func Evaluate(p *Problem, placement map[string][]string) (*Answer, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	in := p.resolve()
-	at := map[string]int{}
+	in := p.instance()
+	nodeIndex := map[string]int{}
 	for i, n := range in.nodes {
-		at[n.id] = i
+		nodeIndex[n.id] = i
 	}
 	sets := make([][]int, len(in.volumes))
 	for v := range in.volumes {
@@ -261,7 +265,7 @@
 			return nil, &Infeasible{fmt.Sprintf("volume %s: not placed", in.volumes[v].id)}
 		}
 		for _, id := range ids {
-			n, ok := at[id]
+			n, ok := nodeIndex[id]
 			if !ok {
 				return nil, &Infeasible{fmt.Sprintf("volume %s: there is no node %s", in.volumes[v].id, id)}
 			}
--- a/shares/explain.go
+++ b/shares/explain.go
@@ -5,43 +5,43 @@
 	"slices"
 )
 
-// Choice is one node for a part of a volume, and what the whole would be worth with the
-// part there.
+// Choice is one node that a part of a volume could be placed on, and how the value of the
+// placement would change.
 type Choice struct {
 	Node    string `json:"node"`
-	Instead string `json:"instead,omitempty"` // the node of the placement that it would stand for
-	Change  Value  `json:"change"`            // of the whole's value; 0 for a node that it is on
-	Why     string `json:"why,omitempty"`     // why it cannot be there; Change means nothing then
+	Instead string `json:"instead,omitempty"` // the node of the placement that it would replace
+	Change  Value  `json:"change"`            // of the placement's value; 0 for a node that the volume is on
+	Why     string `json:"why,omitempty"`     // why the volume cannot be there; Change is 0 then
 }
 
-// Explanation tells of one volume why it is where it is.
+// Explanation compares the placement of one volume with its alternatives.
 type Explanation struct {
 	Volume  string   `json:"volume"`
 	Parts   []Part   `json:"parts"`
-	Choices []Choice `json:"choices"` // the best first, those that cannot be last
+	Choices []Choice `json:"choices"` // best first, impossible ones last
 }
 
-// Explain tells why a volume is where a placement puts it: what every other node would
-// cost in the place of the one of its nodes that could best be left, all other volumes
-// staying where they are.
+// Explain explains why a volume is where a placement puts it. For every other node it computes
+// how the value would change if that node replaced one of the volume's nodes, the one where the
+// change is best, with all other volumes unchanged.
 func Explain(p *Problem, placement map[string][]string, volume string) (*Explanation, error) {
 	a, err := Evaluate(p, placement)
 	if err != nil {
 		return nil, err
 	}
-	in := p.resolve()
-	at := map[string]int{}
+	in := p.instance()
+	nodeIndex := map[string]int{}
 	for i, n := range in.nodes {
-		at[n.id] = i
+		nodeIndex[n.id] = i
 	}
-	s := newState(in, 1)
+	s := newSearchState(in, 1)
 	target := -1
 	for v := range in.volumes {
 		var set []int
 		for _, id := range a.Placement[in.volumes[v].id] {
-			set = append(set, at[id])
+			set = append(set, nodeIndex[id])
 		}
-		s.put(v, set)
+		s.assign(v, set)
 		if in.volumes[v].id == volume {
 			target = v
 		}
@@ -49,7 +49,7 @@
 	if target < 0 {
 		return nil, fmt.Errorf("shares: there is no volume %q", volume)
 	}
-	if !s.settle() {
+	if !s.evaluateNodes() {
 		return nil, ErrNotFound
 	}
 	e := &Explanation{Volume: volume}
@@ -62,7 +62,7 @@
 	for n := range in.nodes {
 		c := Choice{Node: in.nodes[n].id}
 		if !slices.Contains(set, n) {
-			c = s.choice(target, n)
+			c = s.evaluateChoice(target, n)
 		}
 		e.Choices = append(e.Choices, c)
 	}
@@ -81,29 +81,30 @@
 	return e, nil
 }
 
-// choice values node n in the place of each of a volume's nodes.
-func (s *state) choice(v, n int) Choice {
+// evaluateChoice evaluates node n as a replacement for each of volume v's nodes and returns the
+// best.
+func (s *searchState) evaluateChoice(v, n int) Choice {
 	in, x, set := s.in, &s.in.volumes[v], s.sets[v]
-	best := Choice{Node: in.nodes[n].id, Change: least}
+	best := Choice{Node: in.nodes[n].id, Change: minValue}
 	for _, out := range set {
-		next := s.with(set, out, n)
+		next := s.replaceNode(set, out, n)
 		why := ""
-		if err := in.may(v, next); err != nil {
+		if err := in.checkSet(v, next); err != nil {
 			why = err.Error()
 		}
-		change, before := Value{}, s.moves(v)
+		change, before := Value{}, s.moveValue(v)
 		if why == "" {
-			s.put(v, next)
-			change = s.moves(v).Sub(before)
-			for _, m := range append(slices.Clone(set), n) { // the parts of all its nodes may change by a milli-unit
-				w, ok := s.value(m)
+			s.assign(v, next)
+			change = s.moveValue(v).Sub(before)
+			for _, m := range append(slices.Clone(set), n) { // rounding may change the part on each node by a milli-unit
+				w, ok := s.evaluateNode(m)
 				if !ok {
 					why = fmt.Sprintf("node %s does not bear it: its ceiling of volumes, or the reserves there", in.nodes[m].id)
 					break
 				}
-				change = change.Add(w).Sub(s.worth[m])
+				change = change.Add(w).Sub(s.nodeValues[m])
 			}
-			s.put(v, set)
+			s.assign(v, set)
 		}
 		if why == "" && change.Cmp(best.Change) > 0 {
 			best.Change, best.Instead, best.Why = change, in.nodes[out].id, ""
--- a/shares/generate.go
+++ b/shares/generate.go
@@ -7,41 +7,41 @@
 	"slices"
 )
 
-// Draw says what kind of problem Generate makes.
+// Draw holds the parameters of the problem that Generate makes.
 type Draw struct {
 	Volumes, Nodes, Zones int
 	Seed                  uint64
-	Skew                  float64 // exponent of the volumes' demands by rank (Zipf); 0: all alike
-	Load                  float64 // demand over all that is usable
-	Unequal               int64   // the largest node has so many times the capacity of the least
-	Spread                int     // nodes a volume lies on, at most
-	Costs                 bool    // nodes of one zone cost something
-	Placed                bool    // volumes lie somewhere now, on nodes chosen at random
+	Skew                  float64 // Zipf exponent of the volumes' demands by rank; 0: all equal
+	Load                  float64 // total demand over total usable capacity
+	Unequal               int64   // highest ratio of the capacities of two nodes
+	Spread                int     // highest number of nodes a volume is placed on
+	Costs                 bool    // whether the nodes of one zone have a cost
+	Placed                bool    // whether volumes have a present placement, on random nodes
 }
 
-// Check names what cannot be drawn.
+// Check returns an error for the first parameter that is out of range.
 func (d *Draw) Check() error {
 	switch {
-	case d.Volumes < 0 || d.Volumes > MostVolumes:
-		return fmt.Errorf("volumes = %d: 0 to %d", d.Volumes, MostVolumes)
-	case d.Nodes < 1 || d.Nodes > MostNodes:
-		return fmt.Errorf("nodes = %d: 1 to %d", d.Nodes, MostNodes)
+	case d.Volumes < 0 || d.Volumes > MaxVolumes:
+		return fmt.Errorf("volumes = %d: expected 0 to %d", d.Volumes, MaxVolumes)
+	case d.Nodes < 1 || d.Nodes > MaxNodes:
+		return fmt.Errorf("nodes = %d: expected 1 to %d", d.Nodes, MaxNodes)
 	case d.Zones < 1 || d.Zones > d.Nodes:
-		return fmt.Errorf("zones = %d: 1 to the number of nodes", d.Zones)
+		return fmt.Errorf("zones = %d: expected 1 to the number of nodes", d.Zones)
 	case d.Spread < 1 || d.Spread > d.Nodes:
-		return fmt.Errorf("spread = %d: 1 to the number of nodes", d.Spread)
+		return fmt.Errorf("spread = %d: expected 1 to the number of nodes", d.Spread)
 	case d.Unequal < 1 || d.Unequal > 10_000:
-		return fmt.Errorf("unequal = %d: 1 to 10,000", d.Unequal)
+		return fmt.Errorf("unequal = %d: expected 1 to 10,000", d.Unequal)
 	case !(d.Skew >= 0 && d.Skew <= 3):
-		return fmt.Errorf("skew = %v: 0 to 3", d.Skew)
+		return fmt.Errorf("skew = %v: expected 0 to 3", d.Skew)
 	case !(d.Load >= 0 && d.Load <= 100):
-		return fmt.Errorf("load = %v: 0 to 100", d.Load)
+		return fmt.Errorf("load = %v: expected 0 to 100", d.Load)
 	}
 	return nil
 }
 
-// Generate draws a problem: the same Draw gives the same one. Three quarters of the
-// volumes are of a plan of weight 1, the others of one of weight 3 with a reserve.
+// Generate makes a random problem; equal parameters give equal problems. About three quarters
+// of the volumes have a plan of weight 1, the others a plan of weight 3 with a reserve.
 func Generate(d Draw) (*Problem, error) {
 	if err := d.Check(); err != nil {
 		return nil, fmt.Errorf("shares: generate: %w", err)
@@ -56,7 +56,7 @@
 		if d.Costs && i%d.Zones == 0 {
 			n.Cost = 50_000
 		}
-		usable += floorOf(c, p.ShareOfCapacity)
+		usable += floorProduct(c, p.ShareOfCapacity)
 		p.Nodes = append(p.Nodes, n)
 	}
 	weights, sum := make([]float64, d.Volumes), 0.0
@@ -65,7 +65,7 @@
 		sum += weights[i]
 	}
 	rng.Shuffle(len(weights), func(i, j int) { weights[i], weights[j] = weights[j], weights[i] })
-	if d.Volumes > 0 { // a quarter of the mean demand is reserved, for what reserves it
+	if d.Volumes > 0 { // the reserve is a quarter of the mean demand
 		p.Plans[1].Reserve = int64(float64(usable) * d.Load / float64(d.Volumes) / 4)
 	}
 	for i, w := range weights {
@@ -87,4 +87,5 @@
 	return p, nil
 }
 
+// digits returns the number of decimal digits of the highest index below n.
 func digits(n int) int { return len(fmt.Sprint(max(0, n-1))) }
--- a/shares/int128.go
+++ b/shares/int128.go
@@ -5,16 +5,16 @@
 	"math/bits"
 )
 
-// Value is a signed number of 128 bits, two's complement: the value of an answer, in
-// micro-worth times milli-units times the denominator of spare_worth. The ceilings of
-// Problem.Check keep every sum within it.
+// Value is a signed 128-bit integer in two's complement. It holds the value of an answer, in
+// micro-worth times milli-units times the denominator of spare_worth. The limits of
+// Problem.Check keep every sum within its range.
 type Value struct {
 	hi int64
 	lo uint64
 }
 
-// least is below every value that an answer can have.
-var least = Value{hi: -1 << 63}
+// minValue is lower than the value of any answer.
+var minValue = Value{hi: -1 << 63}
 
 func valueOf(x int64) Value { return Value{hi: x >> 63, lo: uint64(x)} }
 
@@ -33,16 +33,16 @@
 // Sub returns v - w.
 func (v Value) Sub(w Value) Value { return v.Add(w.Neg()) }
 
-// times returns v x k, k not negative; the product must fit.
-func (v Value) times(k int64) Value {
+// mul returns v x k. k must not be negative, and the product must fit.
+func (v Value) mul(k int64) Value {
 	if v.hi < 0 {
-		return v.Neg().times(k).Neg()
+		return v.Neg().mul(k).Neg()
 	}
 	hi, lo := bits.Mul64(v.lo, uint64(k))
 	return Value{hi: int64(hi) + v.hi*k, lo: lo}
 }
 
-// Cmp is -1, 0 or 1 as v is less than, equal to or more than w.
+// Cmp returns -1, 0 or 1 if v is less than, equal to or greater than w.
 func (v Value) Cmp(w Value) int {
 	switch {
 	case v.hi < w.hi || v.hi == w.hi && v.lo < w.lo:
@@ -53,13 +53,14 @@
 	return 1
 }
 
-// Big is the number for arithmetic of any size.
+// Big returns v as a big.Int.
 func (v Value) Big() *big.Int {
 	b := new(big.Int).Lsh(big.NewInt(v.hi), 64)
 	return b.Add(b, new(big.Int).SetUint64(v.lo))
 }
 
+// String returns v in decimal.
 func (v Value) String() string { return v.Big().String() }
 
-// MarshalJSON writes the whole integer.
+// MarshalJSON writes v as a JSON number with all its digits.
 func (v Value) MarshalJSON() ([]byte, error) { return []byte(v.String()), nil }
--- a/shares/plain.go
+++ b/shares/plain.go
@@ -9,22 +9,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// The plain ways of placing, to compare a solution with. Both know zones, required and
-// forbidden nodes; neither knows prices, reserves or ceilings, so that what they come to may
-// be infeasible.
+// Greedy and Hashing are baselines to compare a solution with. Both respect zones, required and
+// forbidden nodes, but ignore prices, reserves and volume limits, so their placements may be
+// infeasible.
 
-// Greedy places volumes by demand, largest first, each on the nodes that have most of what
-// is usable left.
+// Greedy places volumes by descending demand, each on the nodes with the most usable capacity
+// left.
 func Greedy(p *Problem) (*Answer, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	in := p.resolve()
-	return in.evaluate(in.greedy())
+	in := p.instance()
+	return in.evaluate(in.greedySets())
 }
 
-func (in *instance) greedy() [][]int {
-	want := make([]int64, len(in.nodes))
+func (in *instance) greedySets() [][]int {
+	demand := make([]int64, len(in.nodes))
 	order := make([]int, len(in.volumes))
 	for i := range order {
 		order[i] = i
@@ -32,25 +32,25 @@
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(in.volumes[b].demand, in.volumes[a].demand) })
 	sets := make([][]int, len(in.volumes))
 	for _, v := range order {
-		sets[v] = in.ranked(v, func(a, b int) int {
-			return cmp.Or(cmp.Compare(in.nodes[b].usable-want[b], in.nodes[a].usable-want[a]), a-b)
+		sets[v] = in.firstAllowed(v, func(a, b int) int {
+			return cmp.Or(cmp.Compare(in.nodes[b].usable-demand[b], in.nodes[a].usable-demand[a]), a-b)
 		})
 		for _, n := range sets[v] {
-			want[n] += in.volumes[v].demand / int64(in.volumes[v].spread)
+			demand[n] += in.volumes[v].demand / int64(in.volumes[v].spread)
 		}
 	}
 	return sets
 }
 
-// Hashing places each volume by weighted rendezvous hashing, nodes weighing what they have
-// capacity (D. Thaler and C. Ravishankar, "Using name-based mappings to increase hit rates",
-// IEEE/ACM Transactions on Networking 6, 1998; the weights as J. Resch, SNIA SDC 2015):
-// nobody needs to be told where anything is.
+// Hashing places each volume by weighted rendezvous hashing with the nodes' capacities as
+// weights (D. Thaler and C. Ravishankar, "Using name-based mappings to increase hit rates",
+// IEEE/ACM Transactions on Networking 6, 1998; the weights as in J. Resch, SNIA SDC 2015).
+// Such a placement can be computed anywhere and need not be distributed.
 func Hashing(p *Problem) (*Answer, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	in := p.resolve()
+	in := p.instance()
 	sets := make([][]int, len(in.volumes))
 	score := make([]float64, len(in.nodes))
 	for v := range in.volumes {
@@ -58,13 +58,14 @@
 			h := xxhash.Sum64String(in.volumes[v].id + "\x00" + in.nodes[n].id)
 			score[n] = -math.Log((float64(h>>11)+0.5)/(1<<53)) / float64(max(1, in.nodes[n].capacity))
 		}
-		sets[v] = in.ranked(v, func(a, b int) int { return cmp.Or(cmp.Compare(score[a], score[b]), a-b) })
+		sets[v] = in.firstAllowed(v, func(a, b int) int { return cmp.Or(cmp.Compare(score[a], score[b]), a-b) })
 	}
 	return in.evaluate(sets)
 }
 
-// ranked is the first nodes of an order that a volume may be on, with the zones it needs.
-func (in *instance) ranked(v int, less func(a, b int) int) (set []int) {
+// firstAllowed returns the volume's required nodes and then the first allowed nodes in the
+// order of compare, chosen to cover the number of zones that the volume needs.
+func (in *instance) firstAllowed(v int, compare func(a, b int) int) (set []int) {
 	x := &in.volumes[v]
 	zones := map[int]bool{}
 	var order []int
@@ -77,12 +78,12 @@
 			order = append(order, n)
 		}
 	}
-	slices.SortFunc(order, less)
+	slices.SortFunc(order, compare)
 	for _, n := range order {
 		if len(set) >= x.spread {
 			break
 		}
-		if x.zones-len(zones) >= x.spread-len(set) && zones[in.nodes[n].zone] {
+		if x.minZones-len(zones) >= x.spread-len(set) && zones[in.nodes[n].zone] {
 			continue
 		}
 		set = append(set, n)
@@ -92,7 +93,7 @@
 	return set
 }
 
-// Plain are the plain ways by name.
+// Plain returns the baseline of a name: greedy or hashing.
 func Plain(name string) (func(*Problem) (*Answer, error), error) {
 	switch name {
 	case "greedy":
@@ -100,5 +101,5 @@
 	case "hashing":
 		return Hashing, nil
 	}
-	return nil, fmt.Errorf("%q: greedy or hashing", name)
+	return nil, fmt.Errorf("%q: expected greedy or hashing", name)
 }
--- a/shares/relax.go
+++ b/shares/relax.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// Relax finds the best answer of a problem that cannot be met as a whole: volumes are
-// taken in, dearest first (by price, then id), as long as those taken can be met together;
-// the others are left out, and listed in the order of their ids. If all can be met none is.
-// exact asks the exact search each time, its steps bounded by steps; else each is tried by
-// putting it in and a few others elsewhere, and steps are those of the search afterwards.
+// Relax solves a problem in which not all volumes can be placed together. It adds volumes in
+// descending order of price, then by id, and omits each one that cannot be placed with those
+// added so far. It returns the ids of the omitted volumes in order; if all volumes can be
+// placed, it omits none. If exact is true, each addition is decided by an exact search of at
+// most opt.Steps steps. Otherwise it is decided by placing the volume and relocating a few
+// others, and opt.Steps applies to the search that follows.
 func Relax(p *Problem, exact bool, opt Options) (*Found, []string, error) {
 	if err := p.Check(); err != nil {
 		return nil, nil, err
@@ -23,18 +24,18 @@
 	slices.SortFunc(order, func(a, b Volume) int {
 		return cmp.Or(cmp.Compare(prices[b.Plan], prices[a.Plan]), cmp.Compare(a.ID, b.ID))
 	})
-	var kept, left []string
+	var kept, omitted []string
 	var err error
 	if exact {
-		kept, left, err = relaxExact(p, order, opt.Steps)
+		kept, omitted, err = relaxExact(p, order, opt.Steps)
 	} else {
-		kept, left = relaxFast(p, order, opt.Seed)
+		kept, omitted = relaxHeuristic(p, order, opt.Seed)
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	slices.Sort(left)
-	q := only(p, kept)
+	slices.Sort(omitted)
+	q := withVolumes(p, kept)
 	if exact {
 		a, err := Exact(q, opt.Steps)
 		if a == nil {
@@ -44,14 +45,14 @@
 		if err != nil {
 			f.Bound = Bound(q)
 		}
-		return f, left, err
+		return f, omitted, err
 	}
 	f, err := Search(q, opt)
-	return f, left, err
+	return f, omitted, err
 }
 
-// only is a problem with some of its volumes.
-func only(p *Problem, ids []string) *Problem {
+// withVolumes returns a copy of p with only the volumes of the given ids.
+func withVolumes(p *Problem, ids []string) *Problem {
 	wanted := map[string]bool{}
 	for _, id := range ids {
 		wanted[id] = true
@@ -66,91 +67,93 @@
 	return &q
 }
 
-func relaxExact(p *Problem, order []Volume, steps int) (kept, left []string, err error) {
+// relaxExact divides volumes into kept and omitted ones by an exact search for each volume.
+func relaxExact(p *Problem, order []Volume, steps int) (kept, omitted []string, err error) {
 	for _, v := range order {
-		_, err := Exact(only(p, append(kept, v.ID)), steps)
+		_, err := Exact(withVolumes(p, append(kept, v.ID)), steps)
 		switch {
 		case errors.Is(err, ErrNone):
-			left = append(left, v.ID)
+			omitted = append(omitted, v.ID)
 		case err != nil:
 			return nil, nil, err
 		default:
 			kept = append(kept, v.ID)
 		}
 	}
-	return kept, left, nil
+	return kept, omitted, nil
 }
 
-const relaxTries = 20 // sets tried for a volume that does not fit by itself
+const maxRelaxTries = 20 // sets tried for a volume that fits only if others are relocated
 
-func relaxFast(p *Problem, order []Volume, seed uint64) (kept, left []string) {
-	in := p.resolve()
-	s := newState(in, seed)
-	at := map[string]int{}
+// relaxHeuristic divides volumes into kept and omitted ones by forcePlace.
+func relaxHeuristic(p *Problem, order []Volume, seed uint64) (kept, omitted []string) {
+	in := p.instance()
+	s := newSearchState(in, seed)
+	volumeIndex := map[string]int{}
 	for i := range in.volumes {
-		at[in.volumes[i].id] = i
+		volumeIndex[in.volumes[i].id] = i
 	}
 	for _, v := range order {
-		if s.squeeze(at[v.ID]) {
+		if s.forcePlace(volumeIndex[v.ID]) {
 			kept = append(kept, v.ID)
 		} else {
-			left = append(left, v.ID)
+			omitted = append(omitted, v.ID)
 		}
 	}
-	return kept, left
+	return kept, omitted
 }
 
-// squeeze places a volume, if need be by putting others elsewhere; if it cannot, all is
-// as it was.
-func (s *state) squeeze(v int) bool {
-	if set := s.pick(v, false); set != nil && s.in.may(v, set) == nil {
-		s.put(v, set)
+// forcePlace places a volume, relocating others if necessary. If it fails, it restores the
+// previous placement.
+func (s *searchState) forcePlace(v int) bool {
+	if set := s.chooseSet(v, false); set != nil && s.in.checkSet(v, set) == nil {
+		s.assign(v, set)
 		return true
 	}
-	for range relaxTries {
-		set := s.pick(v, true)
-		if set == nil || s.in.may(v, set) != nil {
+	for range maxRelaxTries {
+		set := s.chooseSet(v, true)
+		if set == nil || s.in.checkSet(v, set) != nil {
 			return false
 		}
 		old := map[int][]int{}
-		s.put(v, set)
+		s.assign(v, set)
 		for _, n := range set {
-			for _, ok := s.value(n); !ok && len(s.at[n]) > 1; _, ok = s.value(n) {
-				out := s.at[n][s.rng.IntN(len(s.at[n]))].volume
+			for _, ok := s.evaluateNode(n); !ok && len(s.loads[n]) > 1; _, ok = s.evaluateNode(n) {
+				out := s.loads[n][s.rng.IntN(len(s.loads[n]))].volume
 				if out != v {
 					old[out] = s.sets[out]
-					s.put(out, nil)
+					s.assign(out, nil)
 				}
 			}
 		}
-		again := make([]int, 0, len(old))
+		evicted := make([]int, 0, len(old))
 		for u := range old {
-			again = append(again, u)
+			evicted = append(evicted, u)
 		}
-		slices.Sort(again)
-		whole := true
+		slices.Sort(evicted)
+		allFit := true
 		for _, n := range set {
-			_, ok := s.value(n)
-			whole = whole && ok
+			_, ok := s.evaluateNode(n)
+			allFit = allFit && ok
 		}
-		for _, u := range again {
-			if !whole {
+		for _, u := range evicted {
+			if !allFit {
 				break
 			}
-			set := s.pick(u, false)
-			if whole = set != nil && s.in.may(u, set) == nil; whole {
-				s.put(u, set)
+			set := s.chooseSet(u, false)
+			if allFit = set != nil && s.in.checkSet(u, set) == nil; allFit {
+				s.assign(u, set)
 			}
 		}
-		if whole {
+		if allFit {
 			return true
 		}
-		for _, u := range again {
-			s.put(u, nil)
+		for _, u := range evicted {
+			s.assign(u, nil)
 		}
-		s.put(v, nil)
-		for _, u := range again {
-			s.put(u, old[u])
+		s.assign(v, nil)
+		for _, u := range evicted {
+			s.assign(u, old[u])
 		}
 	}
 	return false
--- a/shares/resolve.go
+++ b/shares/resolve.go
@@ -5,66 +5,66 @@
 	"slices"
 )
 
-// ErrMoves says that a placement that meets all constraints needs more moves than are
-// allowed.
-type ErrMoves struct{ Needed, Most int }
+// MoveLimitError is returned when meeting all constraints needs more moves than are allowed.
+type MoveLimitError struct{ Needed, Max int }
 
-func (e *ErrMoves) Error() string {
+// Error implements error.
+func (e *MoveLimitError) Error() string {
 	return fmt.Sprintf("shares: %d moves are needed to meet all constraints, %d are allowed: allow more, or change what needs them",
-		e.Needed, e.Most)
+		e.Needed, e.Max)
 }
 
-// Again are the options of Resolve.
+// Again holds the options of Resolve.
 type Again struct {
 	Seed      uint64
-	Steps     int // changes tried after all is placed again
-	MostMoves int // nodes that volumes may newly be placed on; negative: any number
+	Steps     int // changes tried once all volumes are placed again
+	MostMoves int // limit on the nodes that volumes are newly placed on; negative: no limit
 }
 
-// Resolve works a problem out anew from the present placement (Volume.On), after nodes
-// were lost, added, resized or drained, with few moves. What can stay stays; what lost
-// its place is placed where the whole gains most; then changes are tried, each of which must gain
-// more than its moves cost. With MostMoves the count of moves holds too; if what has lost its
-// place takes more by itself, the error is *ErrMoves.
+// Resolve solves a problem again from its present placement (Volume.On) with few moves, after
+// nodes were lost, added, resized or drained. Volumes stay where they can; displaced ones are
+// placed where the total value gains most. Then it tries changes and applies those that gain
+// more than their moves cost, within the limit of opt.MostMoves. If the displaced volumes alone
+// need more moves, the error is a *MoveLimitError.
 func Resolve(p *Problem, opt Again) (*Found, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	in := p.resolve()
-	s := newState(in, opt.Seed)
-	s.few = true
-	var homeless []int
-	for _, v := range s.ordered() {
-		set := s.stay(v)
-		if in.may(v, set) == nil {
-			s.put(v, set)
+	in := p.instance()
+	s := newSearchState(in, opt.Seed)
+	s.keepPlaced = true
+	var displaced []int
+	for _, v := range s.placementOrder() {
+		set := s.keptNodes(v)
+		if in.checkSet(v, set) == nil {
+			s.assign(v, set)
 		} else {
-			homeless = append(homeless, v)
+			displaced = append(displaced, v)
 		}
 	}
-	// a node that does not bear what is on it gives up what takes most of it
+	// Remove the volumes with the largest reserves from nodes whose loads do not fit.
 	for n := range in.nodes {
-		for _, ok := s.value(n); !ok && len(s.at[n]) > 0; _, ok = s.value(n) {
-			out := s.at[n][0]
-			for _, l := range s.at[n] {
+		for _, ok := s.evaluateNode(n); !ok && len(s.loads[n]) > 0; _, ok = s.evaluateNode(n) {
+			out := s.loads[n][0]
+			for _, l := range s.loads[n] {
 				_, r := in.part(l)
 				if _, most := in.part(out); r > most {
 					out = l
 				}
 			}
-			s.put(out.volume, nil)
-			homeless = append(homeless, out.volume)
+			s.assign(out.volume, nil)
+			displaced = append(displaced, out.volume)
 		}
 	}
-	if !s.insert(homeless) || !s.settle() {
+	if !s.placeAll(displaced) || !s.evaluateNodes() {
 		return nil, ErrNotFound
 	}
-	if opt.MostMoves >= 0 && s.moved > opt.MostMoves {
-		return nil, &ErrMoves{s.moved, opt.MostMoves}
+	if opt.MostMoves >= 0 && s.moveCount > opt.MostMoves {
+		return nil, &MoveLimitError{s.moveCount, opt.MostMoves}
 	}
-	s.most = opt.MostMoves
+	s.maxMoves = opt.MostMoves
 	for range opt.Steps {
-		s.step()
+		s.tryStep()
 	}
 	a, err := in.evaluate(s.sets)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return &Found{Answer: a, Bound: in.bound(a.Value)}, nil
 }
 
-// Migrate is Resolve with its Waves. Where changes beyond those that are forced leave no order
-// without overload, it does without them.
+// Migrate runs Resolve and orders the moves with Waves. If some moves have no order without
+// overload, it solves again with only the forced moves and keeps that answer if fewer are stuck.
 func Migrate(p *Problem, opt Again, perNode int) (*Found, *Schedule, error) {
 	f, err := Resolve(p, opt)
 	if err != nil {
@@ -85,228 +85,235 @@
 		return f, s, err
 	}
 	opt.Steps = 0
-	f2, err := Resolve(p, opt)
+	forced, err := Resolve(p, opt)
 	if err != nil {
 		return nil, nil, err
 	}
-	s2, err := Waves(p, f2.Placement, perNode)
-	if err == nil && len(s2.Stuck) < len(s.Stuck) {
-		return f2, s2, nil
+	forcedSchedule, err := Waves(p, forced.Placement, perNode)
+	if err == nil && len(forcedSchedule.Stuck) < len(s.Stuck) {
+		return forced, forcedSchedule, nil
 	}
 	return f, s, err
 }
 
-// Move brings one part of a volume to a node. From is empty where there is nothing to
-// copy from at its old home: it is gone, or the part is new.
+// Move is the transfer of one part of a volume to a node. From is empty if there is no source to
+// copy from: the old node is gone, or the part is new.
 type Move struct {
 	Volume string `json:"volume"`
 	From   string `json:"from,omitempty"`
 	To     string `json:"to"`
-	Detour bool   `json:"detour,omitempty"` // a stop on the way: it goes on from there
+	Detour bool   `json:"detour,omitempty"` // To is an intermediate node, from which a later move continues
 }
 
-// Schedule is an order of moves: those of one wave may be made at the same time, and
-// a wave begins when the one before it is done.
+// Schedule is an order of moves. The moves of one wave may run at the same time; a wave starts
+// when the one before it is complete.
 type Schedule struct {
 	Waves [][]Move `json:"waves"`
-	// Stuck are moves that no order without overload was found for. Their volumes stay
-	// where they are.
+	// Stuck holds the moves for which no order without overload was found. Their volumes are not
+	// moved.
 	Stuck []Move `json:"stuck,omitempty"`
 }
 
-// mover works a schedule out.
-type mover struct {
-	in       *instance
-	at       map[string]int
-	load     []int64 // demand at each node, what is under way counted at both ends
-	count    []int
-	reserved []int64
-	limit    []int64
-	most     []int
-	bears    []int64 // reserves
-	perNode  int
+// scheduler orders moves. Its slices are by node.
+type scheduler struct {
+	in          *instance
+	nodeIndex   map[string]int
+	demand      []int64 // moves in progress count at source and target
+	count       []int
+	reserved    []int64
+	maxDemand   []int64
+	maxCount    []int
+	maxReserved []int64 // reserves
+	perNode     int
 }
 
-// Waves orders the moves from a problem's present placement (Volume.On) to another one.
-// While a part moves it counts at both ends, in demand, reserve and number. No node is
-// ever asked for more than it would bear: what is usable there, its reserves and its
-// ceiling, or what it carries before or after it all, if that is more. A ring of full
-// nodes is broken by a detour. perNode bounds the moves that one node takes part in
-// within a wave; 0: no bound.
+// Waves orders the moves from a problem's present placement (Volume.On) to another one. While a
+// part moves, its demand, reserve and number count at source and target. The schedule never
+// exceeds a node's usable capacity, for demand and for reserves, or its limit of volumes, unless
+// the node exceeds them before or after the migration; then that load is its limit. A cycle of
+// full nodes is broken by a detour over another node. perNode limits the moves that one node
+// takes part in within a wave; 0 means no limit.
 func Waves(p *Problem, placement map[string][]string, perNode int) (*Schedule, error) {
 	a, err := Evaluate(p, placement)
 	if err != nil {
 		return nil, err
 	}
-	in := p.resolve()
-	m := &mover{in: in, at: map[string]int{}, perNode: perNode}
+	in := p.instance()
+	m := &scheduler{in: in, nodeIndex: map[string]int{}, perNode: perNode}
 	for i, n := range in.nodes {
-		m.at[n.id] = i
+		m.nodeIndex[n.id] = i
 	}
 	size := len(in.nodes)
-	m.load, m.limit, m.reserved, m.bears = make([]int64, size), make([]int64, size), make([]int64, size), make([]int64, size)
-	m.count, m.most = make([]int, size), make([]int, size)
-	var todo []pending
-	will := make([]bool, size)
-	after := make([]int64, size)
-	afterReserved, afterCount := make([]int64, size), make([]int, size)
+	m.demand, m.maxDemand, m.reserved, m.maxReserved = make([]int64, size), make([]int64, size), make([]int64, size), make([]int64, size)
+	m.count, m.maxCount = make([]int, size), make([]int, size)
+	var moves []pendingMove
+	target := make([]bool, size)
+	targetDemand := make([]int64, size)
+	targetReserved, targetCount := make([]int64, size), make([]int, size)
 	for v := range in.volumes {
 		x := &in.volumes[v]
-		part, reserve := ceil(x.demand, x.spread), ceil(x.reserve, x.spread)
+		part, reserve := ceilDiv(x.demand, x.spread), ceilDiv(x.reserve, x.spread)
 		var from, to []int
-		clear(will)
+		clear(target)
 		for _, id := range a.Placement[x.id] {
-			will[m.at[id]] = true
+			target[m.nodeIndex[id]] = true
 		}
-		for n, will := range will {
-			if will {
-				after[n] += part
-				afterReserved[n] += reserve
-				afterCount[n]++
+		for n, targeted := range target {
+			if targeted {
+				targetDemand[n] += part
+				targetReserved[n] += reserve
+				targetCount[n]++
 			}
 			if x.on[n] {
-				m.load[n] += part
+				m.demand[n] += part
 				m.reserved[n] += reserve
 				m.count[n]++
 			}
 			switch {
-			case x.on[n] && !will:
+			case x.on[n] && !targeted:
 				from = append(from, n)
-			case !x.on[n] && will && x.anywhere:
+			case !x.on[n] && targeted && x.placed:
 				to = append(to, n)
 			}
 		}
 		for i, n := range to {
-			mv := pending{volume: v, from: -1, to: n, part: part, reserve: reserve}
+			mv := pendingMove{volume: v, from: -1, to: n, part: part, reserve: reserve}
 			if i < len(from) {
 				mv.from = from[i]
 			}
-			todo = append(todo, mv)
+			moves = append(moves, mv)
 		}
 	}
 	for n := range in.nodes {
-		m.limit[n] = max(in.nodes[n].usable, m.load[n], after[n])
-		m.bears[n] = max(in.nodes[n].usable, m.reserved[n], afterReserved[n])
-		m.most[n] = max(in.nodes[n].most, m.count[n], afterCount[n])
+		m.maxDemand[n] = max(in.nodes[n].usable, m.demand[n], targetDemand[n])
+		m.maxReserved[n] = max(in.nodes[n].usable, m.reserved[n], targetReserved[n])
+		m.maxCount[n] = max(in.nodes[n].maxVolumes, m.count[n], targetCount[n])
 	}
-	return m.schedule(p, todo), nil
+	return m.order(p, moves), nil
 }
 
-func ceil(x int64, k int) int64 { return (x + int64(k) - 1) / int64(k) }
+// ceilDiv returns x / k, rounded up.
+func ceilDiv(x int64, k int) int64 { return (x + int64(k) - 1) / int64(k) }
 
-type pending struct {
+// pendingMove is a move that is not complete. from is -1 if the part has no source.
+type pendingMove struct {
 	volume, from, to int
 	part, reserve    int64
-	onward           int // after a detour: the node that it is for, plus one
+	finalTarget      int // on a detour: the index of the final target plus one; else 0
 }
 
-func (m *mover) schedule(p *Problem, todo []pending) *Schedule {
+// order arranges moves in waves.
+func (m *scheduler) order(p *Problem, moves []pendingMove) *Schedule {
 	states := map[string]string{}
 	for _, n := range p.Nodes {
 		states[n.ID] = n.State
 	}
-	urgent := func(x pending) int { // what lies on a node that leaves goes first
+	priority := func(x pendingMove) int { // parts on nodes that are not ready go first
 		if x.from >= 0 && states[m.in.nodes[x.from].id] != "ready" || x.from < 0 {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(todo, func(a, b pending) int {
-		if u := urgent(a) - urgent(b); u != 0 {
+	slices.SortStableFunc(moves, func(a, b pendingMove) int {
+		if u := priority(a) - priority(b); u != 0 {
 			return u
 		}
 		return int(min(1, max(-1, b.part-a.part)))
 	})
 	s := &Schedule{}
-	detours := len(todo) // each move gets one at most
-	for len(todo) > 0 {
+	detours := len(moves) // one for each move at most
+	for len(moves) > 0 {
 		var wave []Move
-		var under, rest []pending
+		var started, rest []pendingMove
 		busy := make([]int, len(m.in.nodes))
-		free := func(n int) bool { return n < 0 || m.perNode == 0 || busy[n] < m.perNode }
-		for _, x := range todo {
-			if !m.fits(x, x.to) || !free(x.to) || !free(x.from) {
+		available := func(n int) bool { return n < 0 || m.perNode == 0 || busy[n] < m.perNode }
+		for _, x := range moves {
+			if !m.fits(x, x.to) || !available(x.to) || !available(x.from) {
 				rest = append(rest, x)
 				continue
 			}
-			m.arrive(x, x.to)
+			m.start(x, x.to)
 			busy[x.to]++
 			if x.from >= 0 {
 				busy[x.from]++
 			}
-			under = append(under, x)
-			wave = append(wave, m.move(x, states))
+			started = append(started, x)
+			wave = append(wave, m.describe(x, states))
 		}
-		if len(under) == 0 {
-			i, over := m.detour(todo)
+		if len(started) == 0 {
+			i, stop := m.findDetour(moves)
 			if i < 0 || detours == 0 {
-				for _, x := range todo {
-					s.Stuck = append(s.Stuck, m.move(x, states))
+				for _, x := range moves {
+					s.Stuck = append(s.Stuck, m.describe(x, states))
 				}
 				return s
 			}
 			detours--
-			x := todo[i]
-			rest = slices.Delete(slices.Clone(todo), i, i+1)
-			x.onward, x.to = x.to+1, over
-			m.arrive(x, over)
-			under, wave = []pending{x}, []Move{m.move(x, states)}
+			x := moves[i]
+			rest = slices.Delete(slices.Clone(moves), i, i+1)
+			x.finalTarget, x.to = x.to+1, stop
+			m.start(x, stop)
+			started, wave = []pendingMove{x}, []Move{m.describe(x, states)}
 		}
-		for _, x := range under {
+		for _, x := range started {
 			if x.from >= 0 {
-				m.leave(x)
+				m.finish(x)
 			}
-			if x.onward > 0 {
-				rest = append(rest, pending{volume: x.volume, from: x.to, to: x.onward - 1, part: x.part, reserve: x.reserve})
+			if x.finalTarget > 0 {
+				rest = append(rest, pendingMove{volume: x.volume, from: x.to, to: x.finalTarget - 1, part: x.part, reserve: x.reserve})
 			}
 		}
 		s.Waves = append(s.Waves, wave)
-		todo = rest
+		moves = rest
 	}
 	return s
 }
 
-func (m *mover) move(x pending, states map[string]string) Move {
-	mv := Move{Volume: m.in.volumes[x.volume].id, To: m.in.nodes[x.to].id, Detour: x.onward > 0}
+// describe returns a pending move with the names of its volume and nodes.
+func (m *scheduler) describe(x pendingMove, states map[string]string) Move {
+	mv := Move{Volume: m.in.volumes[x.volume].id, To: m.in.nodes[x.to].id, Detour: x.finalTarget > 0}
 	if x.from >= 0 && states[m.in.nodes[x.from].id] != "gone" {
 		mv.From = m.in.nodes[x.from].id
 	}
 	return mv
 }
 
-func (m *mover) fits(x pending, n int) bool {
-	return m.load[n]+x.part <= m.limit[n] && m.reserved[n]+x.reserve <= m.bears[n] && m.count[n] < m.most[n]
+// fits reports whether node n has room for the part of x.
+func (m *scheduler) fits(x pendingMove, n int) bool {
+	return m.demand[n]+x.part <= m.maxDemand[n] && m.reserved[n]+x.reserve <= m.maxReserved[n] && m.count[n] < m.maxCount[n]
 }
 
-func (m *mover) arrive(x pending, n int) {
-	m.load[n] += x.part
+// start counts the part of x at node n.
+func (m *scheduler) start(x pendingMove, n int) {
+	m.demand[n] += x.part
 	m.reserved[n] += x.reserve
 	m.count[n]++
 }
 
-func (m *mover) leave(x pending) {
-	m.load[x.from] -= x.part
+// finish no longer counts the part of x at its source.
+func (m *scheduler) finish(x pendingMove) {
+	m.demand[x.from] -= x.part
 	m.reserved[x.from] -= x.reserve
 	m.count[x.from]--
 }
 
-// detour finds a move that can stop somewhere on the way, the smallest first, so that
-// the others can go on.
-func (m *mover) detour(todo []pending) (which, over int) {
-	order := make([]int, len(todo))
+// findDetour finds a move that can go to an intermediate node first, so that other moves can
+// proceed. It tries the smallest moves first and returns -1 as the index if there is none.
+func (m *scheduler) findDetour(moves []pendingMove) (index, stop int) {
+	order := make([]int, len(moves))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return int(min(1, max(-1, todo[a].part-todo[b].part))) })
+	slices.SortStableFunc(order, func(a, b int) int { return int(min(1, max(-1, moves[a].part-moves[b].part))) })
 	for _, i := range order {
-		x := todo[i]
+		x := moves[i]
 		if x.from < 0 {
 			continue
 		}
 		v := &m.in.volumes[x.volume]
 		for n := range m.in.nodes {
 			if v.allowed[n] && !v.on[n] && n != x.to && n != x.from && m.fits(x, n) &&
-				!slices.ContainsFunc(todo, func(y pending) bool { return y.volume == x.volume && (y.to == n || y.from == n) }) {
+				!slices.ContainsFunc(moves, func(y pendingMove) bool { return y.volume == x.volume && (y.to == n || y.from == n) }) {
 				return i, n
 			}
 		}
@@ -314,10 +321,10 @@
 	return -1, 0
 }
 
-// After is where volumes are once moves are made: the placement given, with each move's
-// part at its target and no more at its source. Moves whose volume is not on the source
-// (any more) only add. It is what Resolve starts from if a wave failed in the middle.
-func After(placement map[string][]string, moves []Move) map[string][]string {
+// ApplyMoves returns the placement after moves are made: each move's part is on its target and
+// no longer on its source. A move whose volume is not on the source only adds the target. The
+// result is the starting point of Resolve if a wave failed partway.
+func ApplyMoves(placement map[string][]string, moves []Move) map[string][]string {
 	next := map[string][]string{}
 	for v, nodes := range placement {
 		next[v] = slices.Clone(nodes)
@@ -333,21 +340,22 @@
 	return next
 }
 
-// Now is a problem whose volumes lie where a placement says. A node that is gone, or not
-// listed, is left out where enough others hold the volume: its part was rebuilt elsewhere.
+// Now returns a copy of p with placement as the present placement of its volumes. Nodes that are
+// gone or not listed are omitted if enough others hold the volume, since their parts were
+// rebuilt elsewhere.
 func Now(p *Problem, placement map[string][]string) *Problem {
-	there := map[string]bool{}
+	present := map[string]bool{}
 	for _, n := range p.Nodes {
-		there[n.ID] = n.State != "gone"
+		present[n.ID] = n.State != "gone"
 	}
 	q := *p
 	q.Volumes = slices.Clone(p.Volumes)
 	for i := range q.Volumes {
 		v := &q.Volumes[i]
 		nodes := placement[v.ID]
-		whole := slices.DeleteFunc(slices.Clone(nodes), func(n string) bool { return !there[n] })
-		if len(whole) >= v.Spread {
-			nodes = whole
+		remaining := slices.DeleteFunc(slices.Clone(nodes), func(n string) bool { return !present[n] })
+		if len(remaining) >= v.Spread {
+			nodes = remaining
 		}
 		v.On = slices.Clone(nodes)
 	}
--- a/shares/resolve_test.go
+++ b/shares/resolve_test.go
@@ -19,7 +19,7 @@
 }
 
 // placed is a drawn fleet whose volumes lie where a first search puts them.
-func placed(t testing.TB, d Draw) *Problem {
+func placedProblem(t testing.TB, d Draw) *Problem {
 	t.Helper()
 	p := mustGenerate(t, d)
 	f, err := Search(p, Options{Seed: 1, Steps: 500})
@@ -32,8 +32,8 @@
 // TestResolveMovesLittle: a node lost, two lost, one drained, one halved, one added, a
 // volume's old home gone: the answer is feasible, what could stay stayed, and a ceiling of
 // moves holds.
-func TestResolveMovesLittle(t *testing.T) {
-	base := placed(t, Draw{Volumes: 120, Nodes: 10, Zones: 3, Seed: 4, Skew: 0.7, Load: 0.7, Unequal: 4, Spread: 3})
+func TestResolveMakesFewMoves(t *testing.T) {
+	base := placedProblem(t, Draw{Volumes: 120, Nodes: 10, Zones: 3, Seed: 4, Skew: 0.7, Load: 0.7, Unequal: 4, Spread: 3})
 	on := func(p *Problem, ids ...string) (n int) {
 		for _, v := range p.Volumes {
 			for _, id := range v.On {
@@ -79,8 +79,8 @@
 			t.Errorf("%s: %d moves for %v, %d for %v", name, f.Moves, f.Value, least.Moves, least.Value)
 		}
 		if forced > 0 {
-			var short *ErrMoves
-			if _, err := Resolve(p, Again{MostMoves: forced - 1}); !errors.As(err, &short) || short.Needed != forced {
+			var limitErr *MoveLimitError
+			if _, err := Resolve(p, Again{MostMoves: forced - 1}); !errors.As(err, &limitErr) || limitErr.Needed != forced {
 				t.Errorf("%s: one move too few: %v", name, err)
 			}
 		}
@@ -97,7 +97,7 @@
 
 // walk plays a schedule and checks that no node is ever asked for more than it bears. It
 // shares no code with Waves. It returns where all is at the end.
-func walk(t *testing.T, p *Problem, s *Schedule, end map[string][]string) map[string][]string {
+func replaySchedule(t *testing.T, p *Problem, s *Schedule, end map[string][]string) map[string][]string {
 	t.Helper()
 	reserve := map[string]int64{}
 	for _, x := range p.Plans {
@@ -144,23 +144,23 @@
 			if mv.From == "" { // its source, if any, is gone
 				for _, n := range now[mv.Volume] {
 					if _, listed := usable[n]; gone[n] || !listed {
-						now = After(now, []Move{{Volume: mv.Volume, From: n, To: mv.To}})
+						now = ApplyMoves(now, []Move{{Volume: mv.Volume, From: n, To: mv.To}})
 						break
 					}
 				}
 			}
 		}
-		now = After(now, wave)
+		now = ApplyMoves(now, wave)
 	}
 	return now
 }
 
 // TestWavesOverloadNobody walks the schedules of drawn migrations: no node bears more at
 // any time than it may, and all ends where it was to.
-func TestWavesOverloadNobody(t *testing.T) {
-	whole := 0
+func TestWavesNeverOverloadNodes(t *testing.T) {
+	complete := 0
 	for seed := range uint64(60) {
-		p := placed(t, Draw{Volumes: 60, Nodes: 8, Zones: 3, Seed: seed, Skew: 0.6, Load: 0.85, Unequal: 3, Spread: 2})
+		p := placedProblem(t, Draw{Volumes: 60, Nodes: 8, Zones: 3, Seed: seed, Skew: 0.6, Load: 0.85, Unequal: 3, Spread: 2})
 		rng := rand.New(rand.NewSource(int64(seed)))
 		for range 1 + rng.Intn(2) {
 			p.Nodes[rng.Intn(len(p.Nodes))].State = []string{"draining", "gone"}[rng.Intn(2)]
@@ -172,32 +172,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := walk(t, p, s, f.Placement)
+		end := replaySchedule(t, p, s, f.Placement)
 		if len(s.Stuck) > 0 {
 			continue
 		}
-		whole++
+		complete++
 		for v, nodes := range f.Placement {
 			if !slices.Equal(end[v], nodes) {
 				t.Fatalf("seed %d: %s ends on %v, not %v", seed, v, end[v], nodes)
 			}
 		}
 	}
-	if whole < 40 {
-		t.Errorf("only %d of 60 schedules are whole", whole)
+	if complete < 40 {
+		t.Errorf("only %d of 60 schedules are whole", complete)
 	}
 }
 
 // TestWavesBreakARing: two full nodes exchange their volumes by way of a third.
-func TestWavesBreakARing(t *testing.T) {
-	p := plain([]Node{{ID: "a", Capacity: 1000}, {ID: "b", Capacity: 1000}, {ID: "c", Capacity: 1000}}, []Volume{
+func TestWavesBreakCycleByDetour(t *testing.T) {
+	p := readyProblem([]Node{{ID: "a", Capacity: 1000}, {ID: "b", Capacity: 1000}, {ID: "c", Capacity: 1000}}, []Volume{
 		{ID: "u", Plan: "p", Demand: 900, Spread: 1, On: []string{"a"}}, {ID: "v", Plan: "p", Demand: 800, Spread: 1, On: []string{"b"}}})
 	end := map[string][]string{"u": {"b"}, "v": {"a"}}
 	s, err := Waves(p, end, 0)
 	if err != nil || len(s.Stuck) > 0 {
 		t.Fatal(s, err)
 	}
-	if got := walk(t, p, s, end); got["u"][0] != "b" || got["v"][0] != "a" {
+	if got := replaySchedule(t, p, s, end); got["u"][0] != "b" || got["v"][0] != "a" {
 		t.Errorf("ends at %v: %+v", got, s)
 	}
 	p.Nodes[2].Capacity = 100 // nowhere to stop
@@ -208,8 +208,8 @@
 
 // TestWaveFails: in the middle of a wave a node is lost, with it what was moving there;
 // the rest is worked out anew from where things are, and again with a second loss.
-func TestWaveFails(t *testing.T) {
-	p := placed(t, Draw{Volumes: 80, Nodes: 9, Zones: 3, Seed: 11, Skew: 0.5, Load: 0.6, Unequal: 2, Spread: 2})
+func TestResolveAfterFailedWave(t *testing.T) {
+	p := placedProblem(t, Draw{Volumes: 80, Nodes: 9, Zones: 3, Seed: 11, Skew: 0.5, Load: 0.6, Unequal: 2, Spread: 2})
 	p.Nodes[0].State = "draining"
 	for _, lost := range []int{4, 7} {
 		f, err := Resolve(p, Again{Seed: 1, Steps: 100, MostMoves: -1})
@@ -220,10 +220,10 @@
 		if err != nil || len(s.Waves) < 2 || len(s.Stuck) > 0 {
 			t.Fatalf("%d waves, %v, %v", len(s.Waves), s.Stuck, err)
 		}
-		now := After(placementOf(p), s.Waves[0])
+		now := ApplyMoves(placementOf(p), s.Waves[0])
 		half := s.Waves[1][:len(s.Waves[1])/2]
 		half = slices.DeleteFunc(slices.Clone(half), func(m Move) bool { return m.To == p.Nodes[lost].ID })
-		p = Now(p, After(now, half))
+		p = Now(p, ApplyMoves(now, half))
 		p.Nodes = slices.Clone(p.Nodes)
 		p.Nodes[lost].State = "gone"
 	}
@@ -235,7 +235,7 @@
 	if err != nil || len(s.Stuck) > 0 {
 		t.Fatal(s, err)
 	}
-	end := walk(t, p, s, f.Placement)
+	end := replaySchedule(t, p, s, f.Placement)
 	for v, nodes := range f.Placement {
 		if !slices.Equal(end[v], nodes) || slices.Contains(nodes, "n0") || slices.Contains(nodes, "n4") || slices.Contains(nodes, "n7") {
 			t.Fatalf("%s ends on %v, wanted %v", v, end[v], nodes)
@@ -253,7 +253,7 @@
 // TestRelax: what is left out is the cheapest, as few as the order by price allows, and
 // what is taken in is worth what the exact search says.
 func TestRelax(t *testing.T) {
-	p := plain([]Node{{ID: "a", Capacity: 1000}, {ID: "b", Capacity: 1000}}, []Volume{
+	p := readyProblem([]Node{{ID: "a", Capacity: 1000}, {ID: "b", Capacity: 1000}}, []Volume{
 		{ID: "u", Plan: "cheap", Demand: 100, Spread: 1}, {ID: "v", Plan: "dear", Demand: 100, Spread: 1},
 		{ID: "w", Plan: "dear", Demand: 100, Spread: 1}, {ID: "x", Plan: "cheap", Demand: 100, Spread: 1},
 		{ID: "y", Plan: "free", Demand: 5, Spread: 1}},
@@ -270,7 +270,7 @@
 	}
 	agree, all := 0, 0
 	for seed := range int64(600) {
-		p := draw(rand.New(rand.NewSource(seed)))
+		p := randomProblem(rand.New(rand.NewSource(seed)))
 		if _, err := Exact(p, 0); !errors.Is(err, ErrNone) {
 			continue
 		}
@@ -280,7 +280,7 @@
 		}
 		for _, id := range left { // any one more that is at least as dear as those kept cannot be met with them
 			keep := append(slices.Collect(maps.Keys(f.Placement)), id)
-			if _, err := Exact(only(p, keep), 0); !errors.Is(err, ErrNone) {
+			if _, err := Exact(withVolumes(p, keep), 0); !errors.Is(err, ErrNone) {
 				t.Fatalf("seed %d: %s could be taken in", seed, id)
 			}
 		}
@@ -298,7 +298,7 @@
 // TestExplain: the changes told are those that evaluating the changed placement gives.
 func TestExplain(t *testing.T) {
 	for seed := range uint64(20) {
-		p := placed(t, Draw{Volumes: 20, Nodes: 6, Zones: 2, Seed: seed, Skew: 1, Load: 1.1, Unequal: 5, Spread: 2, Costs: true})
+		p := placedProblem(t, Draw{Volumes: 20, Nodes: 6, Zones: 2, Seed: seed, Skew: 1, Load: 1.1, Unequal: 5, Spread: 2, Costs: true})
 		p.Nodes[1].State = "draining"
 		f, err := Resolve(p, Again{Seed: 1, Steps: 200, MostMoves: -1})
 		if err != nil {
@@ -326,7 +326,7 @@
 			}
 		}
 	}
-	if _, err := Explain(plain(nil, nil), nil, "v"); err == nil {
+	if _, err := Explain(readyProblem(nil, nil), nil, "v"); err == nil {
 		t.Error("a volume that is not there is explained")
 	}
 }
--- a/shares/search.go
+++ b/shares/search.go
@@ -8,94 +8,95 @@
 	"sort"
 )
 
-// ErrNotFound says that no placement was found that meets all constraints. There may be
-// one: only Exact can say that there is none.
+// ErrNotFound is returned when the search found no placement that meets all constraints. One may
+// exist: only Exact can prove that there is none.
 var ErrNotFound = errors.New("shares: no placement was found that meets all constraints; the exact search may tell whether there is one")
 
-// Options of a search.
+// Options holds the options of Search and Relax.
 type Options struct {
 	Seed  uint64
 	Steps int // changes tried after the first placement; 0: only the first placement
 }
 
-// Found is what a search came to: the answer and an upper bound that no placement
-// passes.
+// Found is the result of a search: an answer and an upper bound on the value of any placement.
 type Found struct {
 	*Answer
 	Bound Value
 }
 
-// Solver searches in portions: an answer can be had after any of them.
+// Solver is an incremental search. Its current answer is available between any two calls of Step.
 type Solver struct {
-	in *instance
-	s  *state
+	in    *instance
+	state *searchState
 }
 
-// NewSolver finds a first placement, by what the whole gains or the greedy one if that is
-// worth more, which the steps then change. It returns ErrNotFound if it finds none.
+// NewSolver returns a solver with an initial placement: the one constructed by estimated gain
+// or, for large problems, the greedy one if its value is higher. It returns ErrNotFound if it
+// finds none.
 func NewSolver(p *Problem, seed uint64) (*Solver, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
-	in := p.resolve()
-	s := newState(in, seed)
-	built := s.construct()
-	if built && len(in.volumes)*len(in.nodes) < aloneWork/10 {
-		return &Solver{in, s}, nil // steps make up for it at once
+	in := p.instance()
+	s := newSearchState(in, seed)
+	constructed := s.construct()
+	if constructed && len(in.volumes)*len(in.nodes) < maxIndependentPairs/10 {
+		return &Solver{in, s}, nil // small problem: a few steps make up for a poor start
 	}
-	plain := newState(in, seed)
-	for v, set := range in.greedy() {
-		if in.may(v, set) != nil {
-			plain = nil
+	greedy := newSearchState(in, seed)
+	for v, set := range in.greedySets() {
+		if in.checkSet(v, set) != nil {
+			greedy = nil
 			break
 		}
-		plain.put(v, set)
+		greedy.assign(v, set)
 	}
-	if plain != nil && plain.settle() && (!built || plain.total().Cmp(s.total()) > 0) {
-		return &Solver{in, plain}, nil
+	if greedy != nil && greedy.evaluateNodes() && (!constructed || greedy.totalValue().Cmp(s.totalValue()) > 0) {
+		return &Solver{in, greedy}, nil
 	}
-	if !built {
+	if !constructed {
 		return nil, ErrNotFound
 	}
 	return &Solver{in, s}, nil
 }
 
-// Step tries so many changes. The value never falls.
+// Step tries n changes. It never lowers the value.
 func (s *Solver) Step(n int) {
 	for range n {
-		s.s.step()
+		s.state.tryStep()
 	}
 }
 
-// Value is what the present placement is worth.
-func (s *Solver) Value() Value { return s.s.total() }
+// Value returns the value of the present placement.
+func (s *Solver) Value() Value { return s.state.totalValue() }
 
-// total is what the whole is worth; all is placed and settled.
-func (s *state) total() Value {
+// totalValue returns the value of the placement. All volumes must be placed and all nodes
+// evaluated.
+func (s *searchState) totalValue() Value {
 	sum := Value{}
-	for _, w := range s.worth {
+	for _, w := range s.nodeValues {
 		sum = sum.Add(w)
 	}
 	for v := range s.sets {
-		sum = sum.Add(s.moves(v))
+		sum = sum.Add(s.moveValue(v))
 	}
 	return sum
 }
 
-// Found is the present answer, evaluated anew, and the bound.
+// Found returns the present placement, evaluated from scratch, and its upper bound.
 func (s *Solver) Found() (*Found, error) {
-	a, err := s.in.evaluate(s.s.sets)
+	a, err := s.in.evaluate(s.state.sets)
 	if err != nil {
 		return nil, err
 	}
 	return &Found{Answer: a, Bound: s.in.bound(a.Value)}, nil
 }
 
-// Search finds a good placement of a problem of any size: it constructs one, largest
-// parts first, each where the whole gains most, and changes it in small steps that do not
-// make it worse: a volume to another node, two volumes exchanged, a few taken out and put
-// in again. The same problem, seed and number of steps give the same answer; more steps
-// never give a lower value.
+// Search finds a good placement of a problem of any size by local search. It constructs a
+// placement, largest parts first, each where the estimated gain is highest. Then it tries small
+// changes and keeps those that do not lower the value: moving a volume to another node, swapping
+// two volumes, or removing a few volumes and placing them again. The same problem, seed and
+// number of steps give the same answer; more steps never give a lower value.
 func Search(p *Problem, opt Options) (*Found, error) {
 	s, err := NewSolver(p, opt.Seed)
 	if err != nil {
@@ -105,29 +106,29 @@
 	return s.Found()
 }
 
-// state is a placement that is being changed.
-type state struct {
-	in     *instance
-	rng    *rand.Rand
-	at     [][]load  // by node, in order of volumes
-	worth  []Value   // of each node
-	want   []int64   // demand there
-	weight []float64 // weights there
-	price  []float64 // weights times prices
-	sets   [][]int   // nil: not placed
-	ready  []int
-
-	moved int  // nodes that volumes are newly placed on
-	most  int  // most of them, if not negative
-	few   bool // what is placed stays where it is, as far as it can
-
-	shares, spares []int64 // room to work in
+// searchState is a placement under construction or improvement.
+type searchState struct {
+	in            *instance
+	rng           *rand.Rand
+	loads         [][]load  // by node, in order of volumes
+	nodeValues    []Value   // of each node
+	demand        []int64   // sum of the loads' demands, by node
+	weight        []float64 // sum of the loads' weights, by node
+	weightedPrice []float64 // sum of the loads' weights times prices, by node
+	sets          [][]int   // by volume; nil: not placed
+	ready         []int
+
+	moveCount  int  // number of nodes that volumes are newly placed on
+	maxMoves   int  // limit of moveCount; negative: no limit
+	keepPlaced bool // volumes stay on their present nodes where possible
+
+	shares, spares []int64 // scratch space of evaluateNode
 }
 
-func newState(in *instance, seed uint64) *state {
-	s := &state{in: in, rng: rand.New(rand.NewPCG(seed, 1)), at: make([][]load, len(in.nodes)),
-		worth: make([]Value, len(in.nodes)), want: make([]int64, len(in.nodes)),
-		weight: make([]float64, len(in.nodes)), price: make([]float64, len(in.nodes)), sets: make([][]int, len(in.volumes)), most: -1}
+func newSearchState(in *instance, seed uint64) *searchState {
+	s := &searchState{in: in, rng: rand.New(rand.NewPCG(seed, 1)), loads: make([][]load, len(in.nodes)),
+		nodeValues: make([]Value, len(in.nodes)), demand: make([]int64, len(in.nodes)),
+		weight: make([]float64, len(in.nodes)), weightedPrice: make([]float64, len(in.nodes)), sets: make([][]int, len(in.volumes)), maxMoves: -1}
 	for i, n := range in.nodes {
 		if n.ready {
 			s.ready = append(s.ready, i)
@@ -136,45 +137,46 @@
 	return s
 }
 
-// put places a volume on a set, or nowhere for nil, without asking whether it may.
-func (s *state) put(v int, set []int) {
+// assign places a volume on a set, or removes it if set is nil. It checks no constraints and
+// does not update nodeValues.
+func (s *searchState) assign(v int, set []int) {
 	x := &s.in.volumes[v]
 	for rank, n := range s.sets[v] {
-		i := sort.Search(len(s.at[n]), func(i int) bool { return s.at[n][i].volume >= v })
-		s.at[n] = slices.Delete(s.at[n], i, i+1)
+		i := sort.Search(len(s.loads[n]), func(i int) bool { return s.loads[n][i].volume >= v })
+		s.loads[n] = slices.Delete(s.loads[n], i, i+1)
 		d, _ := s.in.part(s.in.loadOf(v, rank))
-		s.want[n] -= d
+		s.demand[n] -= d
 		s.weight[n] -= float64(x.weight)
-		s.price[n] -= float64(x.weight) * float64(x.price)
-		if x.anywhere && !x.on[n] {
-			s.moved--
+		s.weightedPrice[n] -= float64(x.weight) * float64(x.price)
+		if x.placed && !x.on[n] {
+			s.moveCount--
 		}
 	}
 	s.sets[v] = set
 	for rank, n := range set {
 		l := s.in.loadOf(v, rank)
-		i := sort.Search(len(s.at[n]), func(i int) bool { return s.at[n][i].volume >= v })
-		s.at[n] = slices.Insert(s.at[n], i, l)
+		i := sort.Search(len(s.loads[n]), func(i int) bool { return s.loads[n][i].volume >= v })
+		s.loads[n] = slices.Insert(s.loads[n], i, l)
 		d, _ := s.in.part(l)
-		s.want[n] += d
+		s.demand[n] += d
 		s.weight[n] += float64(x.weight)
-		s.price[n] += float64(x.weight) * float64(x.price)
-		if x.anywhere && !x.on[n] {
-			s.moved++
+		s.weightedPrice[n] += float64(x.weight) * float64(x.price)
+		if x.placed && !x.on[n] {
+			s.moveCount++
 		}
 	}
 }
 
-// value is what a node's loads earn; false if they do not fit there.
-func (s *state) value(n int) (Value, bool) {
-	in, loads := s.in, s.at[n]
-	if len(loads) > in.nodes[n].most {
+// evaluateNode returns the worth of a node's loads, or false if they do not fit.
+func (s *searchState) evaluateNode(n int) (Value, bool) {
+	in, loads := s.in, s.loads[n]
+	if len(loads) > in.nodes[n].maxVolumes {
 		return Value{}, false
 	}
 	s.shares = slices.Grow(s.shares[:0], len(loads))[:len(loads)]
 	s.spares = slices.Grow(s.spares[:0], len(loads))[:len(loads)]
 	shares, spares := s.shares, s.spares
-	if !in.fill(&in.nodes[n], loads, shares, spares) {
+	if !in.allocate(&in.nodes[n], loads, shares, spares) {
 		return Value{}, false
 	}
 	sum := Value{}
@@ -184,72 +186,72 @@
 	return sum, true
 }
 
-// moves is what a volume pays to be where it is.
-func (s *state) moves(v int) Value {
+// moveValue returns the cost of a volume's moves, as a negative value.
+func (s *searchState) moveValue(v int) Value {
 	x, sum := &s.in.volumes[v], Value{}
 	for _, n := range s.sets[v] {
-		if x.anywhere && !x.on[n] {
+		if x.placed && !x.on[n] {
 			sum = sum.Sub(s.in.moveCost(x))
 		}
 	}
 	return sum
 }
 
-// change is one volume that goes to another set.
+// change is the placement of one volume on another set.
 type change struct {
 	volume int
 	set    []int
 }
 
-// apply makes changes if the whole is not worth less after them, and as much only
-// without more moves, and says whether.
-func (s *state) apply(changes ...change) bool {
+// tryChanges makes changes and keeps them if they raise the value, or leave it equal without
+// more moves; otherwise it undoes them. It reports whether it kept them.
+func (s *searchState) tryChanges(changes ...change) bool {
 	touched := map[int]bool{}
-	before, after, moved := Value{}, Value{}, s.moved
+	before, after, movesBefore := Value{}, Value{}, s.moveCount
 	old := make([][]int, len(changes))
 	for i, c := range changes {
-		if c.set != nil && s.in.may(c.volume, c.set) != nil {
+		if c.set != nil && s.in.checkSet(c.volume, c.set) != nil {
 			return false
 		}
 		old[i] = s.sets[c.volume]
 		for _, n := range append(slices.Clone(old[i]), c.set...) {
 			touched[n] = true
 		}
-		before = before.Add(s.moves(c.volume))
+		before = before.Add(s.moveValue(c.volume))
 	}
 	for i, c := range changes {
-		s.put(c.volume, changes[i].set)
-		after = after.Add(s.moves(c.volume))
+		s.assign(c.volume, changes[i].set)
+		after = after.Add(s.moveValue(c.volume))
 	}
 	values := map[int]Value{}
-	ok := s.most < 0 || s.moved <= max(s.most, moved)
-	for n := range touched { // sums do not depend on the order
+	ok := s.maxMoves < 0 || s.moveCount <= max(s.maxMoves, movesBefore)
+	for n := range touched { // the map's order does not matter for the sums
 		if !ok {
 			break
 		}
 		var w Value
-		if w, ok = s.value(n); !ok {
+		if w, ok = s.evaluateNode(n); !ok {
 			break
 		}
 		values[n] = w
-		before, after = before.Add(s.worth[n]), after.Add(w)
+		before, after = before.Add(s.nodeValues[n]), after.Add(w)
 	}
-	if c := after.Cmp(before); !ok || c < 0 || c == 0 && s.moved > moved {
+	if c := after.Cmp(before); !ok || c < 0 || c == 0 && s.moveCount > movesBefore {
 		for i := len(changes) - 1; i >= 0; i-- {
-			s.put(changes[i].volume, old[i])
+			s.assign(changes[i].volume, old[i])
 		}
 		return false
 	}
 	for n, w := range values {
-		s.worth[n] = w
+		s.nodeValues[n] = w
 	}
 	return true
 }
 
-// pick chooses a set for a volume by what the whole gains; nil if there is none that
-// fits. It holds the nodes to keep, as far as they fit; loose passes over what other
-// volumes take of ceilings and reserves.
-func (s *state) pick(v int, loose bool, keep ...int) []int {
+// chooseSet chooses a set of nodes for a volume by estimated gain, or returns nil if none fits.
+// The set includes the nodes in keep as far as they fit. If ignoreOthers is set, what other
+// volumes use of the nodes' volume limits and reserves is ignored.
+func (s *searchState) chooseSet(v int, ignoreOthers bool, keep ...int) []int {
 	in, x := s.in, &s.in.volumes[v]
 	var set []int
 	zones := map[int]bool{}
@@ -261,15 +263,15 @@
 		if !x.allowed[n] || slices.Contains(set, n) {
 			return false
 		}
-		if loose {
+		if ignoreOthers {
 			return in.nodes[n].usable >= x.reserve/int64(x.spread)
 		}
 		sum := int64(0)
-		for _, l := range s.at[n] {
+		for _, l := range s.loads[n] {
 			_, r := in.part(l)
 			sum += r
 		}
-		return len(s.at[n]) < in.nodes[n].most && sum+(x.reserve+int64(x.spread)-1)/int64(x.spread) <= in.nodes[n].usable
+		return len(s.loads[n]) < in.nodes[n].maxVolumes && sum+(x.reserve+int64(x.spread)-1)/int64(x.spread) <= in.nodes[n].usable
 	}
 	for n, must := range x.required {
 		if must {
@@ -285,18 +287,18 @@
 		}
 	}
 	for len(set) < x.spread {
-		fresh := x.zones-len(zones) >= x.spread-len(set) // each that is left must bring a zone
-		best, gain, room := -1, 0.0, int64(0)
+		needNewZone := x.minZones-len(zones) >= x.spread-len(set) // each remaining node must add a zone
+		best, bestGain, bestLeft := -1, 0.0, int64(0)
 		offset := s.rng.IntN(max(1, len(s.ready)))
 		for i := range s.ready {
 			n := s.ready[(i+offset)%len(s.ready)]
-			left := in.nodes[n].usable - s.want[n]
-			if fresh && zones[in.nodes[n].zone] {
+			left := in.nodes[n].usable - s.demand[n]
+			if needNewZone && zones[in.nodes[n].zone] {
 				continue
 			}
-			if g := s.gain(x, n, left); best < 0 || g > gain || g == gain && left > room {
+			if g := s.estimateGain(x, n, left); best < 0 || g > bestGain || g == bestGain && left > bestLeft {
 				if fits(n) {
-					best, gain, room = n, g, left
+					best, bestGain, bestLeft = n, g, left
 				}
 			}
 		}
@@ -305,17 +307,17 @@
 		}
 		take(best)
 	}
-	if len(set) > x.spread || len(zones) < x.zones {
+	if len(set) > x.spread || len(zones) < x.minZones {
 		return nil
 	}
 	slices.Sort(set)
 	return set
 }
 
-// gain is about what the whole gains by a part of a volume at a node with so much of
-// what is usable left: it guides the search, no value depends on it. What does not fit
-// takes its part from the others, by weight.
-func (s *state) gain(x *volume, n int, left int64) float64 {
+// estimateGain estimates how much a part of a volume adds to the total value on a node with left
+// usable capacity. The estimate guides the search; no value depends on it. Demand beyond
+// what is left takes capacity from the other loads by weight.
+func (s *searchState) estimateGain(x *volume, n int, left int64) float64 {
 	in := s.in
 	part := float64(x.demand) / float64(x.spread)
 	fits := min(part, float64(max(0, left)))
@@ -324,23 +326,23 @@
 	if over := part - fits; over > 0 {
 		others := max(s.weight[n], 1)
 		took := min(over, float64(in.nodes[n].usable)*float64(x.weight)/(others+float64(x.weight)))
-		sum += float64(float64(worth-s.price[n]/others) * took)
-		sum += float64(float64(worth*float64(in.spare.Num)/float64(in.spare.Den)) * max(0, over-took) / 8)
+		sum += float64(float64(worth-s.weightedPrice[n]/others) * took)
+		sum += float64(float64(worth*float64(in.spareWorth.Num)/float64(in.spareWorth.Den)) * max(0, over-took) / 8)
 	}
-	if x.anywhere && !x.on[n] {
-		sum -= float64(x.move) * 1000
+	if x.placed && !x.on[n] {
+		sum -= float64(x.moveCost) * 1000
 	}
 	return sum
 }
 
-const ejections = 50 // volumes put out again for each that did not fit, at most
+const maxEjections = 50 // of volumes that do not fit without removing others, for each volume to place
 
-// construct places all volumes: those with the fewest nodes to choose from first, then
-// those with the largest parts.
-func (s *state) construct() bool { return s.insert(s.ordered()) && s.settle() }
+// construct places all volumes, first those with the fewest allowed nodes, then those with the
+// largest parts.
+func (s *searchState) construct() bool { return s.placeAll(s.placementOrder()) && s.evaluateNodes() }
 
-// ordered is the order in which volumes are placed.
-func (s *state) ordered() []int {
+// placementOrder returns the order in which volumes are placed.
+func (s *searchState) placementOrder() []int {
 	in := s.in
 	choices := make([]int, len(in.volumes))
 	order := make([]int, len(in.volumes))
@@ -362,49 +364,50 @@
 	return order
 }
 
-// insert places volumes in order. One that does not fit puts others out, which come
-// again at the end.
-func (s *state) insert(order []int) bool {
-	left := ejections*len(order) + 1
+// placeAll places volumes in order. A volume that does not fit removes others, which are
+// appended to the order.
+func (s *searchState) placeAll(order []int) bool {
+	left := maxEjections*len(order) + 1
 	for len(order) > 0 {
 		v := order[0]
 		order = order[1:]
-		set := s.pick(v, false, s.stay(v)...)
+		set := s.chooseSet(v, false, s.keptNodes(v)...)
 		if set == nil {
-			set = s.pick(v, false)
+			set = s.chooseSet(v, false)
 		}
 		if set == nil {
 			if left--; left < 0 {
 				return false
 			}
-			if set = s.pick(v, true); set == nil {
+			if set = s.chooseSet(v, true); set == nil {
 				return false
 			}
-			for _, n := range set { // make room: others go until it fits
-				for len(s.at[n]) > 0 {
-					s.put(v, set)
-					_, ok := s.value(n)
-					s.put(v, nil)
+			for _, n := range set { // remove other volumes until this one fits
+				for len(s.loads[n]) > 0 {
+					s.assign(v, set)
+					_, ok := s.evaluateNode(n)
+					s.assign(v, nil)
 					if ok {
 						break
 					}
-					out := s.at[n][s.rng.IntN(len(s.at[n]))].volume
-					s.put(out, nil)
+					out := s.loads[n][s.rng.IntN(len(s.loads[n]))].volume
+					s.assign(out, nil)
 					order = append(order, out)
 				}
 			}
 		}
-		if s.in.may(v, set) != nil {
+		if s.in.checkSet(v, set) != nil {
 			return false
 		}
-		s.put(v, set)
+		s.assign(v, set)
 	}
 	return true
 }
 
-// stay are the nodes that a volume is on and may be on further, where moves are to be few.
-func (s *state) stay(v int) (nodes []int) {
-	if !s.few {
+// keptNodes returns the present nodes of a volume that it may stay on, or none if keepPlaced is
+// not set.
+func (s *searchState) keptNodes(v int) (nodes []int) {
+	if !s.keepPlaced {
 		return nil
 	}
 	x := &s.in.volumes[v]
@@ -416,77 +419,78 @@
 	return nodes
 }
 
-// settle works out what all nodes are worth; false if one cannot be as it is.
-func (s *state) settle() (ok bool) {
+// evaluateNodes sets nodeValues. It returns false if the loads of a node do not fit.
+func (s *searchState) evaluateNodes() (ok bool) {
 	for n := range s.in.nodes {
-		if s.worth[n], ok = s.value(n); !ok {
+		if s.nodeValues[n], ok = s.evaluateNode(n); !ok {
 			return false
 		}
 	}
 	return true
 }
 
-// step tries one change.
-func (s *state) step() {
+// tryStep tries one random change.
+func (s *searchState) tryStep() {
 	if len(s.sets) == 0 || len(s.ready) == 0 {
 		return
 	}
-	full, roomy := s.two()
+	fullest, emptiest := s.drawNodePair()
 	switch k := s.rng.IntN(16); {
-	case k < 5: // a volume from a node that is short to one with room
-		if loads := s.at[full]; len(loads) > 0 && full != roomy {
+	case k < 5: // move a volume from a full node to one with room
+		if loads := s.loads[fullest]; len(loads) > 0 && fullest != emptiest {
 			v := loads[s.rng.IntN(len(loads))].volume
-			if set := s.sets[v]; !slices.Contains(set, roomy) {
-				s.apply(change{v, s.with(set, full, roomy)})
+			if set := s.sets[v]; !slices.Contains(set, emptiest) {
+				s.tryChanges(change{v, s.replaceNode(set, fullest, emptiest)})
 			}
 		}
-	case k < 9: // two of them exchange a volume
-		a, b := s.at[full], s.at[roomy]
-		if len(a) > 0 && len(b) > 0 && full != roomy {
-			s.exchange(a[s.rng.IntN(len(a))].volume, b[s.rng.IntN(len(b))].volume, full, roomy)
+	case k < 9: // swap volumes between the two
+		a, b := s.loads[fullest], s.loads[emptiest]
+		if len(a) > 0 && len(b) > 0 && fullest != emptiest {
+			s.trySwap(a[s.rng.IntN(len(a))].volume, b[s.rng.IntN(len(b))].volume, fullest, emptiest)
 		}
-	case k < 11: // any volume to any node
+	case k < 11: // move any volume to any node
 		v, n := s.rng.IntN(len(s.sets)), s.ready[s.rng.IntN(len(s.ready))]
 		if set := s.sets[v]; !slices.Contains(set, n) {
-			s.apply(change{v, s.with(set, set[s.rng.IntN(len(set))], n)})
+			s.tryChanges(change{v, s.replaceNode(set, set[s.rng.IntN(len(set))], n)})
 		}
-	case k < 13: // any two exchange a node
+	case k < 13: // swap nodes between any two volumes
 		u, v := s.rng.IntN(len(s.sets)), s.rng.IntN(len(s.sets))
-		s.exchange(u, v, s.sets[u][s.rng.IntN(len(s.sets[u]))], s.sets[v][s.rng.IntN(len(s.sets[v]))])
-	default: // a few taken out and put in again
-		s.again(full, roomy)
+		s.trySwap(u, v, s.sets[u][s.rng.IntN(len(s.sets[u]))], s.sets[v][s.rng.IntN(len(s.sets[v]))])
+	default: // remove a few volumes and place them again
+		s.ruinAndRecreate(fullest, emptiest)
 	}
 }
 
-// two are the shortest and the roomiest of a few nodes drawn, by what is left of what
-// is usable, for each of it.
-func (s *state) two() (full, roomy int) {
-	less := func(a, b int) bool { // a has less left than b
+// drawNodePair draws a few random nodes and returns the fullest and the emptiest, by the ratio
+// of demand to usable capacity.
+func (s *searchState) drawNodePair() (fullest, emptiest int) {
+	less := func(a, b int) bool { // a is fuller than b
 		x, y := &s.in.nodes[a], &s.in.nodes[b]
-		return float64(s.want[a])*float64(max(1, y.usable)) > float64(s.want[b])*float64(max(1, x.usable))
+		return float64(s.demand[a])*float64(max(1, y.usable)) > float64(s.demand[b])*float64(max(1, x.usable))
 	}
-	full, roomy = s.ready[s.rng.IntN(len(s.ready))], s.ready[s.rng.IntN(len(s.ready))]
-	crowd := 4*len(s.sets)/len(s.ready) + 8 // a node that all are put off to is slow to value, and little is gained there
+	fullest, emptiest = s.ready[s.rng.IntN(len(s.ready))], s.ready[s.rng.IntN(len(s.ready))]
+	// Nodes with very many loads are slow to evaluate, and changes there gain little.
+	maxLoads := 4*len(s.sets)/len(s.ready) + 8
 	for range 3 {
-		if n := s.ready[s.rng.IntN(len(s.ready))]; less(n, full) && len(s.at[n]) <= crowd || len(s.at[full]) > crowd {
-			full = n
+		if n := s.ready[s.rng.IntN(len(s.ready))]; less(n, fullest) && len(s.loads[n]) <= maxLoads || len(s.loads[fullest]) > maxLoads {
+			fullest = n
 		}
-		if n := s.ready[s.rng.IntN(len(s.ready))]; less(roomy, n) {
-			roomy = n
+		if n := s.ready[s.rng.IntN(len(s.ready))]; less(emptiest, n) {
+			emptiest = n
 		}
 	}
-	return full, roomy
+	return fullest, emptiest
 }
 
-// exchange has volume u leave node a for b, and v the other way.
-func (s *state) exchange(u, v, a, b int) {
+// trySwap tries to move volume u from node a to b and volume v from b to a.
+func (s *searchState) trySwap(u, v, a, b int) {
 	if u != v && a != b && !slices.Contains(s.sets[u], b) && !slices.Contains(s.sets[v], a) {
-		s.apply(change{u, s.with(s.sets[u], a, b)}, change{v, s.with(s.sets[v], b, a)})
+		s.tryChanges(change{u, s.replaceNode(s.sets[u], a, b)}, change{v, s.replaceNode(s.sets[v], b, a)})
 	}
 }
 
-// with is a set in which one node stands for another.
-func (s *state) with(set []int, out, in int) []int {
+// replaceNode returns a copy of set with node in instead of node out.
+func (s *searchState) replaceNode(set []int, out, in int) []int {
 	next := make([]int, 0, len(set))
 	for _, n := range set {
 		if n != out {
@@ -498,16 +502,16 @@
 	return next
 }
 
-const mostAgain = 5 // volumes put in again in one step
+const maxRecreated = 5 // bounds the volumes that ruinAndRecreate draws from each of two nodes
 
-// again takes a few volumes out of two nodes and places them by what they gain, largest
-// parts first: a small ruin and recreate (G. Schrimpf and others, "Record breaking
-// optimization results using the ruin and recreate principle", J. Comp. Physics 159, 2000).
-func (s *state) again(a, b int) {
+// ruinAndRecreate removes a few volumes from two nodes and places them by estimated gain, largest
+// parts first (G. Schrimpf and others, "Record breaking optimization results using the ruin and
+// recreate principle", J. Comp. Physics 159, 2000).
+func (s *searchState) ruinAndRecreate(a, b int) {
 	var out []int
 	for _, n := range []int{a, b} {
-		for range 1 + s.rng.IntN(mostAgain/2) {
-			if loads := s.at[n]; len(loads) > 0 {
+		for range 1 + s.rng.IntN(maxRecreated/2) {
+			if loads := s.loads[n]; len(loads) > 0 {
 				if v := loads[s.rng.IntN(len(loads))].volume; !slices.Contains(out, v) {
 					out = append(out, v)
 				}
@@ -521,23 +525,23 @@
 	old := make([][]int, len(out))
 	for i, v := range out {
 		old[i] = s.sets[v]
-		s.put(v, nil)
+		s.assign(v, nil)
 	}
 	changes := make([]change, 0, len(out))
-	whole, same := true, true
+	allFit, same := true, true
 	for i, v := range out {
-		set := s.pick(v, false)
-		if whole = whole && set != nil; !whole {
+		set := s.chooseSet(v, false)
+		if allFit = allFit && set != nil; !allFit {
 			break
 		}
 		same = same && slices.Equal(set, old[i])
-		s.put(v, set)
+		s.assign(v, set)
 		changes = append(changes, change{v, set})
 	}
 	for i, v := range out {
-		s.put(v, old[i])
+		s.assign(v, old[i])
 	}
-	if whole && !same {
-		s.apply(changes...)
+	if allFit && !same {
+		s.tryChanges(changes...)
 	}
 }
--- a/shares/search_test.go
+++ b/shares/search_test.go
@@ -10,10 +10,10 @@
 
 // TestSearchOnSmallOnes: on what the exact search solves, the answer is feasible, its
 // value is at most the best and the bound at least, and most of them are the best.
-func TestSearchOnSmallOnes(t *testing.T) {
+func TestSearchAgainstExact(t *testing.T) {
 	best, found, missed, solved := 0, 0, 0, 0
 	for seed := range int64(1500) {
-		p := draw(rand.New(rand.NewSource(seed)))
+		p := randomProblem(rand.New(rand.NewSource(seed)))
 		want, err := Exact(p, 0)
 		got, serr := Search(p, Options{Seed: 1, Steps: 400})
 		if errors.Is(err, ErrNone) {
@@ -48,7 +48,7 @@
 }
 
 // fleet draws a problem of a size, with a twentieth more demand than is usable.
-func fleet(volumes, nodes int, seed int64) *Problem {
+func overloadedProblem(volumes, nodes int, seed int64) *Problem {
 	rng := rand.New(rand.NewSource(seed))
 	p := &Problem{ShareOfCapacity: Ratio{9, 10}, SpareWorth: Ratio{5, 100}, Plans: []Plan{
 		{Name: "standard", Weight: 1, Price: 720_000}, {Name: "priority", Weight: 3, Price: 900_000, Reserve: 500}}}
@@ -72,9 +72,9 @@
 
 // TestSearchImproves: the same seed and steps give the same answer, and more steps never
 // a lower value.
-func TestSearchImproves(t *testing.T) {
-	p := fleet(200, 12, 1)
-	last := least
+func TestSearchIsDeterministicAndMonotone(t *testing.T) {
+	p := overloadedProblem(200, 12, 1)
+	last := minValue
 	for _, steps := range []int{0, 100, 1000, 5000} {
 		a, err := Search(p, Options{Seed: 3, Steps: steps})
 		b, err2 := Search(p, Options{Seed: 3, Steps: steps})
@@ -89,19 +89,19 @@
 }
 
 // sizes of the benchmarks: volumes, nodes, steps.
-var sizes = []struct{ volumes, nodes, steps int }{{50, 8, 50_000}, {500, 42, 50_000}, {10_000, 300, 8000}}
+var benchmarkSizes = []struct{ volumes, nodes, steps int }{{50, 8, 50_000}, {500, 42, 50_000}, {10_000, 300, 8000}}
 
-func sized(b *testing.B, volumes, nodes int, load float64) *Problem {
+func benchmarkProblem(b *testing.B, volumes, nodes int, load float64) *Problem {
 	return mustGenerate(b, Draw{Volumes: volumes, Nodes: nodes, Zones: 3, Seed: 1, Skew: 0.7, Load: load, Unequal: 10, Spread: 3, Costs: true})
 }
 
 // BenchmarkAgainstPlain is the time and the gap to the bound, in percent, of the search
 // without and with its steps, and of the plain ways, on the same problems. A plain way whose
 // placement breaks a constraint reports a gap of 100.
-func BenchmarkAgainstPlain(b *testing.B) {
-	for _, size := range sizes {
+func BenchmarkAgainstBaselines(b *testing.B) {
+	for _, size := range benchmarkSizes {
 		for _, load := range []float64{0.8, 1.05, 1.5} {
-			p := sized(b, size.volumes, size.nodes, load)
+			p := benchmarkProblem(b, size.volumes, size.nodes, load)
 			best, err := Search(p, Options{Seed: 1, Steps: size.steps})
 			if err != nil {
 				b.Fatal(err)
@@ -145,9 +145,9 @@
 // included, and what it moves, beside the parts that were lost and what solving from nothing
 // would move.
 func BenchmarkResolve(b *testing.B) {
-	for _, size := range sizes {
+	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("%dx%d", size.volumes, size.nodes), func(b *testing.B) {
-			p := sized(b, size.volumes, size.nodes, 0.8)
+			p := benchmarkProblem(b, size.volumes, size.nodes, 0.8)
 			f, err := Search(p, Options{Seed: 1, Steps: size.steps / 10})
 			if err != nil {
 				b.Fatal(err)
@@ -177,7 +177,7 @@
 			}
 			moved := 0
 			for _, v := range p.Volumes {
-				moved += len(minus(fresh.Placement[v.ID], v.On))
+				moved += len(difference(fresh.Placement[v.ID], v.On))
 			}
 			b.ReportMetric(float64(moved), "moves-from-nothing")
 		})
--- a/shares/solution.go
+++ b/shares/solution.go
@@ -16,34 +16,33 @@
 	"eiderhold/internal/sealed"
 )
 
-// SolutionFormat is the version of the format that Encode writes: a frame of package
-// sealed around JSON whose object keys are in order, so that the same solution has the
-// same bytes.
 const (
+	// SolutionFormat is the version of the format that Encode writes: JSON in a frame of package
+	// sealed. Object keys are in order, so that equal solutions have equal bytes.
 	SolutionFormat = 1
 	solutionMagic  = "eiderhold-shares"
-	// MostSolution is the most bytes that a solution may have.
+	// MostSolution is the maximum size of an encoded solution in bytes.
 	MostSolution = 256 << 20
 )
 
-// Solution is an answer made to last: what gateways are told.
+// Solution is a versioned answer that is stored and distributed to gateways.
 type Solution struct {
-	Version uint64    `json:"version"` // grows with each that is handed out, from 1
+	Version uint64    `json:"version"` // increases with each solution that is distributed, from 1
 	Inputs  string    `json:"inputs"`  // Digest of the problem
 	By      string    `json:"by"`
 	At      time.Time `json:"at"`
-	For     string    `json:"for"` // how long it may be trusted, as Go writes durations; then it fades
+	For     string    `json:"for"` // a Go duration: how long it is trusted in full; after that its influence decreases
 	Value   string    `json:"value"`
 	Bound   string    `json:"bound"`
 
-	Nodes     []string                    `json:"nodes"`     // all that it counts with, in order
+	Nodes     []string                    `json:"nodes"`     // all nodes that hold a volume, in order
 	Placement map[string][]string         `json:"placement"` // volume -> nodes, in order
 	Shares    map[string]map[string]int64 `json:"shares"`    // volume -> node -> milli-units a second
 	Weights   map[string]int64            `json:"weights"`   // volume -> weight
-	Met       []string                    `json:"met"`       // volumes whose shares come to all their demand, in order
+	Met       []string                    `json:"met"`       // volumes whose shares cover all their demand, in order
 }
 
-// Digest is that of a problem: the order of its tables does not matter.
+// Digest returns the digest of a problem. It does not depend on the order of the tables' entries.
 func Digest(p *Problem) string {
 	q := *p
 	q.Plans, q.Nodes, q.Volumes = slices.Clone(p.Plans), slices.Clone(p.Nodes), slices.Clone(p.Volumes)
@@ -52,14 +51,14 @@
 	slices.SortFunc(q.Volumes, func(a, b Volume) int { return cmp.Compare(a.ID, b.ID) })
 	b, err := json.Marshal(&q)
 	if err != nil {
-		panic("shares: a problem that JSON cannot hold: " + err.Error()) // it is strings and integers only
+		panic("shares: cannot encode a problem as JSON: " + err.Error()) // cannot happen: strings and integers only
 	}
 	sum := blake3.Sum256(b)
 	return hex.EncodeToString(sum[:])
 }
 
-// NewSolution makes an answer of a problem into a solution. version, by, at and trust are
-// the caller's: this package reads no clock.
+// NewSolution returns the solution of an answer of p. The caller supplies the time at, since this
+// package reads no clock.
 func NewSolution(p *Problem, f *Found, version uint64, by string, at time.Time, trust time.Duration) *Solution {
 	s := &Solution{Version: version, Inputs: Digest(p), By: by, At: at.UTC(), For: trust.String(),
 		Value: f.Value.String(), Bound: f.Bound.String(), Placement: f.Placement,
@@ -92,45 +91,44 @@
 	return s
 }
 
-// Trust is how long a solution may be trusted in full. Check has seen to it that it can
-// be read.
+// Trust returns how long a solution is trusted in full. For is valid once Check has passed.
 func (s *Solution) Trust() time.Duration {
 	d, _ := time.ParseDuration(s.For)
 	return d
 }
 
-// Check names the first thing in a solution that cannot be.
+// Check returns an error for the first invalid value of a solution.
 func (s *Solution) Check() error {
 	if s.Version == 0 {
-		return errors.New("version = 0: from 1 on")
+		return errors.New("version = 0: expected 1 or more")
 	}
 	if d, err := time.ParseDuration(s.For); err != nil || d <= 0 {
-		return fmt.Errorf("for = %q: a duration like 24h, more than 0", s.For)
+		return fmt.Errorf("for = %q: expected a duration like 24h, more than 0", s.For)
 	}
 	if s.At.IsZero() {
-		return errors.New("at: when it was worked out is missing")
+		return errors.New("at: the time of the solution is missing")
 	}
-	if len(s.Placement) > MostVolumes || len(s.Nodes) > MostNodes {
-		return fmt.Errorf("%d volumes on %d nodes: at most %d and %d", len(s.Placement), len(s.Nodes), MostVolumes, MostNodes)
+	if len(s.Placement) > MaxVolumes || len(s.Nodes) > MaxNodes {
+		return fmt.Errorf("%d volumes on %d nodes: expected at most %d and %d", len(s.Placement), len(s.Nodes), MaxVolumes, MaxNodes)
 	}
 	if !slices.IsSorted(s.Nodes) || len(slices.Compact(slices.Clone(s.Nodes))) != len(s.Nodes) {
-		return errors.New("nodes: in order, each once")
+		return errors.New("nodes: expected in order, each once")
 	}
 	for _, v := range slices.Sorted(maps.Keys(s.Placement)) {
 		nodes := s.Placement[v]
 		if len(nodes) == 0 || !slices.IsSorted(nodes) || len(slices.Compact(slices.Clone(nodes))) != len(nodes) {
-			return fmt.Errorf("placement of volume %q: some nodes, in order, each once", v)
+			return fmt.Errorf("placement of volume %q: expected one or more nodes, in order, each once", v)
 		}
 		if s.Weights[v] < 1 {
-			return fmt.Errorf("weights: volume %q: at least 1", v)
+			return fmt.Errorf("weights: volume %q: expected at least 1", v)
 		}
 		if len(s.Shares[v]) != len(nodes) {
-			return fmt.Errorf("shares: volume %q: one for each of its %d nodes, not %d", v, len(nodes), len(s.Shares[v]))
+			return fmt.Errorf("shares: volume %q: expected one for each of its %d nodes, found %d", v, len(nodes), len(s.Shares[v]))
 		}
 		for _, n := range nodes {
 			share, ok := s.Shares[v][n]
 			if !ok || share < 0 || share > MostFlow {
-				return fmt.Errorf("shares: volume %q at node %q: 0 to %d milli-units a second (told: %v)", v, n, int64(MostFlow), ok)
+				return fmt.Errorf("shares: volume %q at node %q: expected 0 to %d milli-units a second (present: %v)", v, n, int64(MostFlow), ok)
 			}
 			if _, known := slices.BinarySearch(s.Nodes, n); !known {
 				return fmt.Errorf("placement of volume %q: node %q is not among the solution's nodes", v, n)
@@ -139,16 +137,16 @@
 	}
 	for i, v := range s.Met {
 		if _, ok := s.Placement[v]; !ok || i > 0 && s.Met[i-1] >= v {
-			return fmt.Errorf("met: volume %q: in order, each placed", v)
+			return fmt.Errorf("met: volume %q: expected in order, each placed", v)
 		}
 	}
 	if len(s.Shares) != len(s.Placement) || len(s.Weights) != len(s.Placement) {
-		return fmt.Errorf("%d placements, %d volumes with shares, %d with weights: the same volumes", len(s.Placement), len(s.Shares), len(s.Weights))
+		return fmt.Errorf("%d placements, %d volumes with shares, %d with weights: expected the same volumes", len(s.Placement), len(s.Shares), len(s.Weights))
 	}
 	return nil
 }
 
-// Encode writes a solution.
+// Encode returns the encoding of a solution that passes Check.
 func (s *Solution) Encode() ([]byte, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("shares: solution: %w", err)
@@ -161,9 +159,8 @@
 	return sealed.Seal(solutionMagic, SolutionFormat, body), nil
 }
 
-// ReadSolution reads a solution and checks it whole. An error names what is wrong; a
-// file that was cut, at whatever byte, is never taken for a whole one. One of a newer format
-// is sealed.ErrNewer.
+// ReadSolution decodes and checks a solution. A file truncated at any byte is rejected. The error
+// is sealed.ErrNewer for a newer format.
 func ReadSolution(b []byte) (*Solution, error) {
 	body, err := sealed.Open(solutionMagic, SolutionFormat, MostSolution, b)
 	if err != nil {
@@ -181,11 +178,11 @@
 	return s, nil
 }
 
-// ErrInputs says that a solution is of another problem.
+// ErrInputs is returned for a solution of another problem.
 var ErrInputs = errors.New("shares: the solution was worked out of another problem")
 
-// Of says whether a solution is one of a problem with this digest.
-func (s *Solution) Of(digest string) error {
+// CheckInputs returns ErrInputs if the solution is not of the problem with this digest.
+func (s *Solution) CheckInputs(digest string) error {
 	if digest != s.Inputs {
 		return fmt.Errorf("%w: digest %.16s..., not %.16s...", ErrInputs, s.Inputs, digest)
 	}
@@ -195,30 +192,30 @@
 // VolumeChange is how one volume differs between two solutions.
 type VolumeChange struct {
 	Volume  string   `json:"volume"`
-	Came    []string `json:"came,omitempty"` // nodes that it is newly on
-	Went    []string `json:"went,omitempty"` // and no more
-	Before  int64    `json:"before"`         // its shares, milli-units a second
+	Came    []string `json:"came,omitempty"` // nodes added to its placement
+	Went    []string `json:"went,omitempty"` // nodes removed from its placement
+	Before  int64    `json:"before"`         // sum of its shares, milli-units a second
 	After   int64    `json:"after"`
 	Weights [2]int64 `json:"weights"`
 }
 
-// Difference is what differs between two solutions.
+// Difference is the difference between two solutions.
 type Difference struct {
 	From, To     uint64 // versions
-	Inputs       bool   // the problems differ
+	Inputs       bool   // whether the problems differ
 	Value        [2]string
 	Added        []string       `json:",omitempty"` // volumes
 	Removed      []string       `json:",omitempty"`
 	Changed      []VolumeChange `json:",omitempty"`
-	Moves        int            // nodes newly placed on, of volumes in both
+	Moves        int            // number of nodes added to the placements of volumes in both
 	NodesAdded   []string       `json:",omitempty"`
 	NodesRemoved []string       `json:",omitempty"`
 }
 
-// Diff compares two solutions.
+// Diff returns the difference between solutions a and b.
 func Diff(a, b *Solution) *Difference {
 	d := &Difference{From: a.Version, To: b.Version, Inputs: a.Inputs != b.Inputs, Value: [2]string{a.Value, b.Value},
-		NodesAdded: minus(b.Nodes, a.Nodes), NodesRemoved: minus(a.Nodes, b.Nodes)}
+		NodesAdded: difference(b.Nodes, a.Nodes), NodesRemoved: difference(a.Nodes, b.Nodes)}
 	for _, v := range slices.Sorted(maps.Keys(b.Placement)) {
 		if _, ok := a.Placement[v]; !ok {
 			d.Added = append(d.Added, v)
@@ -229,8 +226,8 @@
 			d.Removed = append(d.Removed, v)
 			continue
 		}
-		c := VolumeChange{Volume: v, Came: minus(b.Placement[v], a.Placement[v]), Went: minus(a.Placement[v], b.Placement[v]),
-			Before: total(a.Shares[v]), After: total(b.Shares[v]), Weights: [2]int64{a.Weights[v], b.Weights[v]}}
+		c := VolumeChange{Volume: v, Came: difference(b.Placement[v], a.Placement[v]), Went: difference(a.Placement[v], b.Placement[v]),
+			Before: sumShares(a.Shares[v]), After: sumShares(b.Shares[v]), Weights: [2]int64{a.Weights[v], b.Weights[v]}}
 		d.Moves += len(c.Came)
 		if len(c.Came)+len(c.Went) > 0 || c.Weights[0] != c.Weights[1] || !maps.Equal(a.Shares[v], b.Shares[v]) {
 			d.Changed = append(d.Changed, c)
@@ -239,16 +236,18 @@
 	return d
 }
 
-func minus(a, b []string) (rest []string) {
+// difference returns the elements of a that are not in b.
+func difference(a, b []string) (only []string) {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
-			rest = append(rest, x)
+			only = append(only, x)
 		}
 	}
-	return rest
+	return only
 }
 
-func total(m map[string]int64) (sum int64) {
+// sumShares returns the sum of the shares in m.
+func sumShares(m map[string]int64) (sum int64) {
 	for _, x := range m {
 		sum += x
 	}
--- a/shares/solution_test.go
+++ b/shares/solution_test.go
@@ -13,7 +13,7 @@
 	"eiderhold/internal/sealed"
 )
 
-func solution(t testing.TB) (*Problem, *Solution) {
+func testSolution(t testing.TB) (*Problem, *Solution) {
 	t.Helper()
 	p := mustGenerate(t, Draw{Volumes: 12, Nodes: 4, Zones: 2, Seed: 1, Skew: 1, Load: 1, Unequal: 3, Spread: 2})
 	f, err := Search(p, Options{Seed: 1, Steps: 200})
@@ -25,8 +25,8 @@
 
 // TestSolutionCut: a solution cut at every byte, with any byte changed, from a newer
 // version, or with other inputs is refused with the reason.
-func TestSolutionCut(t *testing.T) {
-	p, s := solution(t)
+func TestReadSolutionRejectsDamage(t *testing.T) {
+	p, s := testSolution(t)
 	b, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -55,11 +55,11 @@
 	if _, err := ReadSolution(newer); !errors.Is(err, sealed.ErrNewer) || !strings.Contains(err.Error(), "format 2") {
 		t.Errorf("a newer format: %v", err)
 	}
-	if err := s.Of(Digest(p)); err != nil {
+	if err := s.CheckInputs(Digest(p)); err != nil {
 		t.Error(err)
 	}
 	p.Volumes[3].Demand++
-	if err := s.Of(Digest(p)); !errors.Is(err, ErrInputs) {
+	if err := s.CheckInputs(Digest(p)); !errors.Is(err, ErrInputs) {
 		t.Errorf("other inputs: %v", err)
 	}
 	q := *p
@@ -70,21 +70,21 @@
 }
 
 // TestSolutionsThatCannotBe: what is whole but wrong is named.
-func TestSolutionsThatCannotBe(t *testing.T) {
+func TestInvalidSolutions(t *testing.T) {
 	for want, change := range map[string]func(*Solution){
-		"version = 0":                        func(s *Solution) { s.Version = 0 },
-		"a duration like 24h":                func(s *Solution) { s.For = "day" },
-		"at: when":                           func(s *Solution) { s.At = time.Time{} },
-		"nodes: in order":                    func(s *Solution) { s.Nodes[0], s.Nodes[1] = s.Nodes[1], s.Nodes[0] },
-		"is not among the solution's nodes":  func(s *Solution) { s.Nodes = s.Nodes[1:] },
-		`weights: volume "v00"`:              func(s *Solution) { delete(s.Weights, "v00") },
-		`shares: volume "v00": one for each`: func(s *Solution) { delete(s.Shares, "v00") },
-		`shares: volume "v01" at`:            func(s *Solution) { s.Shares["v01"][s.Placement["v01"][0]] = -1 },
-		`placement of volume "v02": some`:    func(s *Solution) { s.Placement["v02"] = nil },
-		"met: volume":                        func(s *Solution) { s.Met = []string{"v99"} },
-		"the same volumes":                   func(s *Solution) { delete(s.Placement, "v03"); s.Met = nil },
+		"version = 0":                                           func(s *Solution) { s.Version = 0 },
+		"a duration like 24h":                                   func(s *Solution) { s.For = "day" },
+		"at: the time":                                          func(s *Solution) { s.At = time.Time{} },
+		"nodes: expected in order":                              func(s *Solution) { s.Nodes[0], s.Nodes[1] = s.Nodes[1], s.Nodes[0] },
+		"is not among the solution's nodes":                     func(s *Solution) { s.Nodes = s.Nodes[1:] },
+		`weights: volume "v00"`:                                 func(s *Solution) { delete(s.Weights, "v00") },
+		`shares: volume "v00": expected one for each`:           func(s *Solution) { delete(s.Shares, "v00") },
+		`shares: volume "v01" at`:                               func(s *Solution) { s.Shares["v01"][s.Placement["v01"][0]] = -1 },
+		`placement of volume "v02": expected one or more nodes`: func(s *Solution) { s.Placement["v02"] = nil },
+		"met: volume":                                           func(s *Solution) { s.Met = []string{"v99"} },
+		"the same volumes":                                      func(s *Solution) { delete(s.Placement, "v03"); s.Met = nil },
 	} {
-		_, s := solution(t)
+		_, s := testSolution(t)
 		change(s)
 		if _, err := s.Encode(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
@@ -93,7 +93,7 @@
 }
 
 func TestDiff(t *testing.T) {
-	_, a := solution(t)
+	_, a := testSolution(t)
 	if d := Diff(a, a); len(d.Changed)+len(d.Added)+len(d.Removed)+d.Moves != 0 {
 		t.Errorf("of the same: %+v", d)
 	}
@@ -113,7 +113,7 @@
 
 // FuzzReadSolution: whatever comes, an error or a solution that passes its own check.
 func FuzzReadSolution(f *testing.F) {
-	_, s := solution(f)
+	_, s := testSolution(f)
 	b, _ := s.Encode()
 	f.Add(b)
 	f.Add([]byte("eiderhold-shares 1 0 00\n"))
