--- a/shares/bound.go
+++ b/shares/bound.go
@@ -120,20 +120,20 @@
 	// Start from the price that the marginal volume pays for usable capacity.
 	in.setMarginalPrices(groups)
 	best := upper
-	stuck, scale := 0, 1.0
+	stalled, scale := 0, 1.0
 	gradL, gradM := make([]float64, len(groups)), make([]float64, len(groups))
 	for range rounds {
 		l := in.relaxedValue(groups, slots, gradL, gradM)
-		stuck++
+		stalled++
 		if l.Cmp(best) < 0 {
-			best, stuck = l, 0
+			best, stalled = l, 0
 		}
-		if stuck == 8 {
-			scale, stuck = scale/2, 0
+		if stalled == 8 {
+			scale, stalled = scale/2, 0
 		}
-		gap := toFloat(l.Sub(value))
+		gap := toFloat64(l.Sub(value))
 		if value == minValue {
-			gap = toFloat(l) / 100
+			gap = toFloat64(l) / 100
 		}
 		norm := 0.0
 		for i := range groups {
@@ -153,11 +153,11 @@
 
 const maxMultiplier = MaxPrice * MaxRatioTerm / 1000 // highest Lagrangian price; sums of it fit in 128 bits
 
-func stepMultiplier(price int64, by float64) int64 {
-	return int64(math.Min(maxMultiplier, math.Max(0, math.Round(float64(price)-by))))
+func stepMultiplier(price int64, step float64) int64 {
+	return int64(math.Min(maxMultiplier, math.Max(0, math.Round(float64(price)-step))))
 }
 
-func toFloat(v Value) float64 { return float64(v.hi)*0x1p64 + float64(v.lo) }
+func toFloat64(v Value) float64 { return float64(v.hi)*0x1p64 + float64(v.lo) }
 
 // setMarginalPrices sets the prices of all groups to the value of the marginal volume: the one
 // at which usable (or total) capacity runs out when volumes take it in descending order of price.
--- a/shares/brute_test.go
+++ b/shares/brute_test.go
@@ -10,28 +10,28 @@
 	"testing"
 )
 
-// The brute force below shares no code with the solver: it reads the problem as the
-// users wrote it down, tries every placement, and counts in numbers of any size.
+// The brute force solver below shares no code with the package's solvers: it works on the
+// problem as written in the file, tries every placement, and computes with math/big.
 
-// bruteNode parts one node by the rule's own words. It returns nil if the reserves do not
-// fit; else worth times the denominator of spare_worth.
+// bruteNode allocates one node's capacity according to the specification. It returns nil if the
+// reserves do not fit, else the worth times the denominator of spare_worth.
 func bruteNode(p *Problem, n Node, here []Volume, demand, reserve []int64) *big.Int {
 	plan := map[string]Plan{}
 	for _, x := range p.Plans {
 		plan[x.Name] = x
 	}
-	u := new(big.Int).Div(new(big.Int).Mul(big.NewInt(n.Capacity), big.NewInt(p.ShareOfCapacity.Num)), big.NewInt(p.ShareOfCapacity.Den)).Int64()
+	usable := new(big.Int).Div(new(big.Int).Mul(big.NewInt(n.Capacity), big.NewInt(p.ShareOfCapacity.Num)), big.NewInt(p.ShareOfCapacity.Den)).Int64()
 	share := make([]int64, len(here))
-	reserves, left := int64(0), u
+	reserves, left := int64(0), usable
 	for i := range here {
 		reserves += reserve[i]
 		share[i] = min(reserve[i], demand[i])
 		left -= share[i]
 	}
-	if reserves > u {
+	if reserves > usable {
 		return nil
 	}
-	// the level: the lowest at which what is left is used up or all is met
+	// The level is the lowest at which the remaining capacity is used up or all demand is met.
 	unmet := func(i int) int64 { return demand[i] - share[i] }
 	base := slices.Clone(share)
 	level := new(big.Rat)
@@ -105,7 +105,7 @@
 	return sum
 }
 
-// brute tries every placement in order and keeps the first of the best.
+// brute tries every placement in order and returns the first one of the highest value.
 func brute(p *Problem) (best *big.Int, placement map[string][]string) {
 	volumes := slices.Clone(p.Volumes)
 	sort.Slice(volumes, func(i, j int) bool { return volumes[i].ID < volumes[j].ID })
@@ -120,7 +120,7 @@
 		for bits := range 1 << len(nodes) {
 			var set []int
 			zones := map[string]bool{}
-			good := true
+			allowed := true
 			for n := range nodes {
 				in := bits&(1<<n) != 0
 				if in {
@@ -129,20 +129,20 @@
 				}
 				if in && (nodes[n].State != "ready" || slices.Contains(v.Forbid, nodes[n].ID) || len(v.Zones) > 0 && !slices.Contains(v.Zones, nodes[n].Zone)) ||
 					!in && slices.Contains(v.Require, nodes[n].ID) {
-					good = false
+					allowed = false
 				}
 			}
-			if good && len(set) == v.Spread && len(zones) >= v.LeastZones {
+			if allowed && len(set) == v.Spread && len(zones) >= v.LeastZones {
 				options[i] = append(options[i], set)
 			}
 		}
 		slices.SortFunc(options[i], slices.Compare)
 	}
 	type key struct {
-		node int
-		who  string
+		node  int
+		loads string
 	}
-	known := map[key]*big.Int{}
+	cache := map[key]*big.Int{}
 	chosen := make([][]int, len(volumes))
 	var try func(v int)
 	try = func(v int) {
@@ -157,7 +157,7 @@
 		for n := range nodes {
 			var here []Volume
 			var demand, reserve []int64
-			who := ""
+			loads := ""
 			for i, x := range volumes {
 				rank := slices.Index(chosen[i], n)
 				if rank < 0 {
@@ -172,7 +172,7 @@
 				}
 				here = append(here, x)
 				demand, reserve = append(demand, part(x.Demand)), append(reserve, part(reserveOf[x.Plan]))
-				who += fmt.Sprint(i, ":", rank, " ")
+				loads += fmt.Sprint(i, ":", rank, " ")
 				if len(x.On) > 0 && !slices.Contains(x.On, nodes[n].ID) {
 					cost := new(big.Int).Mul(big.NewInt(x.MoveCost), big.NewInt(1000*p.SpareWorth.Den))
 					sum.Sub(sum, cost)
@@ -181,11 +181,11 @@
 			if nodes[n].MostVolumes > 0 && len(here) > nodes[n].MostVolumes {
 				return
 			}
-			k := key{n, who}
-			w, ok := known[k]
+			k := key{n, loads}
+			w, ok := cache[k]
 			if !ok {
 				w = bruteNode(p, nodes[n], here, demand, reserve)
-				known[k] = w
+				cache[k] = w
 			}
 			if w == nil {
 				return
@@ -206,7 +206,7 @@
 	return best, placement
 }
 
-// draw makes a small instance. Its placements are few enough for the brute force.
+// randomProblem makes a small problem with few enough placements for the brute force.
 func randomProblem(rng *rand.Rand) *Problem {
 	pick := func(list ...int64) int64 { return list[rng.Intn(len(list))] }
 	for {
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestAgainstBruteForce compares value and placement with those of the brute force,
-// exactly, on small instances with zones, reserves, unequal capacities, ties, draining
-// nodes and ceilings.
+// TestAgainstBruteForce checks that Exact gives the same value and placement as the brute force
+// on small problems with zones, reserves, unequal capacities, ties, draining nodes and volume
+// limits.
 func TestAgainstBruteForce(t *testing.T) {
 	solved, none := 0, 0
 	for seed := range int64(4500) {
@@ -277,11 +277,11 @@
 		}
 	}
 	if solved < 2000 || none < 500 {
-		t.Errorf("%d solved, %d without a placement: the draw is one-sided", solved, none)
+		t.Errorf("%d solved, %d without a placement: the random problems are unbalanced", solved, none)
 	}
 }
 
-// TestValueArithmetic compares 128 bits with numbers of any size.
+// TestValueArithmetic compares the 128-bit arithmetic of Value with math/big.
 func TestValueArithmetic(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
 	for range 10_000 {
--- a/shares/cases_test.go
+++ b/shares/cases_test.go
@@ -6,6 +6,8 @@
 	"testing"
 )
 
+// readyProblem returns a problem of the given nodes, all ready, and volumes, with a default plan
+// if none is given.
 func readyProblem(nodes []Node, volumes []Volume, plans ...Plan) *Problem {
 	if len(plans) == 0 {
 		plans = []Plan{{Name: "p", Weight: 1, Price: 1_000_000}}
@@ -16,7 +18,7 @@
 	return &Problem{ShareOfCapacity: Ratio{9, 10}, SpareWorth: Ratio{1, 2}, Plans: plans, Nodes: nodes, Volumes: volumes}
 }
 
-// TestSharesByHand has parts that can be worked out on paper.
+// TestSharesWorkedExample checks shares and spare of an example computed by hand.
 func TestSharesWorkedExample(t *testing.T) {
 	p := readyProblem([]Node{{ID: "n", Capacity: 1000}}, []Volume{
 		{ID: "a", Plan: "one", Demand: 5000, Spread: 1}, {ID: "b", Plan: "three", Demand: 5000, Spread: 1},
@@ -26,8 +28,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// usable 900: b's reserve 100 first; c is met with 50; of the 750 left a has 187.5, b 562.5:
-	// equal fractions, so the one milli-unit over goes to a, the lower id; spare 100 to b, the dearer
+	// Usable is 900. b's reserve takes 100, c's demand is met with 50. Of the 750 left a gets 187.5
+	// and b 562.5; the fractions are equal, so the remaining milli-unit goes to a, the lower id.
+	// The spare 100 goes to b, which has the higher price.
 	want := []Part{{"a", "n", 5000, 188, 0}, {"b", "n", 5000, 662, 100}, {"c", "n", 50, 50, 0}}
 	for i, x := range a.Parts {
 		if x != want[i] {
@@ -39,8 +42,8 @@
 	}
 }
 
-// TestEdges: a node with nearly all capacity, one of capacity 1, no demand, one volume,
-// all equal, and prices that overflow 64 bits.
+// TestExactEdgeCases covers very unequal capacities, a node of capacity 1, a volume without
+// demand, equal nodes and volumes, an empty problem, and values that overflow 64 bits.
 func TestExactEdgeCases(t *testing.T) {
 	a, err := Exact(readyProblem([]Node{{ID: "a", Capacity: 1}, {ID: "b", Capacity: 900_000}, {ID: "c", Capacity: 99_999}},
 		[]Volume{{ID: "v", Plan: "p", Demand: 500_000, Spread: 1}, {ID: "w", Plan: "p", Demand: 80_000, Spread: 1}}), 0)
@@ -49,7 +52,7 @@
 	}
 	a, err = Exact(readyProblem([]Node{{ID: "a", Capacity: 1}}, []Volume{{ID: "v", Plan: "p", Demand: 7, Spread: 1}}), 0)
 	if err != nil || a.Parts[0].Share != 0 || a.Parts[0].Spare != 1 {
-		t.Errorf("capacity 1, nine tenths of which are none: %+v %v", a, err)
+		t.Errorf("capacity 1, usable 0: %+v %v", a, err)
 	}
 	a, err = Exact(readyProblem([]Node{{ID: "b", Capacity: 5}, {ID: "a", Capacity: 5}}, []Volume{{ID: "v", Plan: "p", Spread: 2}}), 0)
 	if err != nil || a.Value != (Value{}) || strings.Join(a.Placement["v"], "") != "ab" {
@@ -67,7 +70,7 @@
 		}
 		return s
 	}(); err != nil || got != "aabbcc" {
-		t.Errorf("all equal: %s %v: the least of the best is wanted", got, err)
+		t.Errorf("all equal: %s, %v, want the lexicographically least optimum", got, err)
 	}
 	big := readyProblem([]Node{{ID: "a", Capacity: MostFlow}}, []Volume{{ID: "v", Plan: "p", Demand: MostFlow, Spread: 1}},
 		Plan{Name: "p", Weight: MaxRatioTerm, Price: MaxPrice})
@@ -77,11 +80,12 @@
 		t.Errorf("largest prices: %v %v", a, err)
 	}
 	if a, err := Exact(readyProblem(nil, nil), 0); err != nil || a.Value != (Value{}) {
-		t.Errorf("nothing at all: %+v %v", a, err)
+		t.Errorf("empty problem: %+v %v", a, err)
 	}
 }
 
-// TestWhatCannotBeMet: each kind of constraint by itself.
+// TestExactReportsUnsatisfiableConstraints makes a feasible problem infeasible by one kind of
+// constraint at a time.
 func TestExactReportsUnsatisfiableConstraints(t *testing.T) {
 	one := func() *Problem {
 		return readyProblem([]Node{{ID: "a", Capacity: 1000, Zone: "x"}, {ID: "b", Capacity: 1000, Zone: "x"}},
@@ -105,7 +109,7 @@
 	} {
 		p := one()
 		if _, err := Exact(p, 0); err != nil {
-			t.Fatalf("before: %v", err)
+			t.Fatalf("feasible problem: %v", err)
 		}
 		change(p)
 		if a, err := Exact(p, 0); !errors.Is(err, ErrNone) {
--- a/shares/conflict_test.go
+++ b/shares/conflict_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestConflictsAreMinimal: alone the named constraints cannot be met, and any one less
-// can. The problems are small ones without a placement, and one of each kind.
+// TestConflictsAreMinimal checks on small infeasible problems that the constraints of a conflict
+// cannot be met together, that they can without any one of them, and that every kind of
+// constraint occurs.
 func TestConflictsAreMinimal(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range int64(1200) {
@@ -19,12 +20,12 @@
 		}
 		if !errors.Is(err, ErrNone) {
 			if conflict != nil {
-				t.Fatalf("seed %d: there is a placement, and a conflict %v", seed, conflict)
+				t.Fatalf("seed %d: conflict %v for a feasible problem", seed, conflict)
 			}
 			continue
 		}
 		if len(conflict) == 0 {
-			t.Fatalf("seed %d: no conflict is named", seed)
+			t.Fatalf("seed %d: no conflict for an infeasible problem", seed)
 		}
 		left := map[Constraint]bool{}
 		for _, c := range constraints(p) {
@@ -40,7 +41,7 @@
 			kinds[c.Kind]++
 			left[c] = true
 			if _, err := Exact(withoutConstraints(p, left), 0); err != nil {
-				t.Fatalf("seed %d: without %v the rest of %v: %v", seed, c, conflict, err)
+				t.Fatalf("seed %d: infeasible without %v of %v: %v", seed, c, conflict, err)
 			}
 			left[c] = false
 		}
--- a/shares/explain.go
+++ b/shares/explain.go
@@ -86,8 +86,8 @@
 func (s *searchState) evaluateChoice(v, n int) Choice {
 	in, x, set := s.in, &s.in.volumes[v], s.sets[v]
 	best := Choice{Node: in.nodes[n].id, Change: minValue}
-	for _, out := range set {
-		next := s.replaceNode(set, out, n)
+	for _, replaced := range set {
+		next := s.replaceNode(set, replaced, n)
 		why := ""
 		if err := in.checkSet(v, next); err != nil {
 			why = err.Error()
@@ -107,7 +107,7 @@
 			s.assign(v, set)
 		}
 		if why == "" && change.Cmp(best.Change) > 0 {
-			best.Change, best.Instead, best.Why = change, in.nodes[out].id, ""
+			best.Change, best.Instead, best.Why = change, in.nodes[replaced].id, ""
 		} else if best.Instead == "" && why != "" {
 			best.Why = why
 		}
--- a/shares/resolve.go
+++ b/shares/resolve.go
@@ -45,15 +45,15 @@
 	// Remove the volumes with the largest reserves from nodes whose loads do not fit.
 	for n := range in.nodes {
 		for _, ok := s.evaluateNode(n); !ok && len(s.loads[n]) > 0; _, ok = s.evaluateNode(n) {
-			out := s.loads[n][0]
+			largest := s.loads[n][0]
 			for _, l := range s.loads[n] {
 				_, r := in.part(l)
-				if _, most := in.part(out); r > most {
-					out = l
+				if _, reserve := in.part(largest); r > reserve {
+					largest = l
 				}
 			}
-			s.assign(out.volume, nil)
-			displaced = append(displaced, out.volume)
+			s.assign(largest.volume, nil)
+			displaced = append(displaced, largest.volume)
 		}
 	}
 	if !s.placeAll(displaced) || !s.evaluateNodes() {
--- a/shares/resolve_test.go
+++ b/shares/resolve_test.go
@@ -18,7 +18,7 @@
 	return p
 }
 
-// placed is a drawn fleet whose volumes lie where a first search puts them.
+// placedProblem generates a problem whose present placement is the result of a search.
 func placedProblem(t testing.TB, d Draw) *Problem {
 	t.Helper()
 	p := mustGenerate(t, d)
@@ -29,9 +29,9 @@
 	return Now(p, f.Placement)
 }
 
-// TestResolveMovesLittle: a node lost, two lost, one drained, one halved, one added, a
-// volume's old home gone: the answer is feasible, what could stay stayed, and a ceiling of
-// moves holds.
+// TestResolveMakesFewMoves changes the nodes of a placed problem: lost, drained, no longer
+// listed, halved, added, or limited in volumes. Resolve must find a feasible answer and respect
+// a limit of moves equal to the moves that the change forces; with a lower limit it must fail.
 func TestResolveMakesFewMoves(t *testing.T) {
 	base := placedProblem(t, Draw{Volumes: 120, Nodes: 10, Zones: 3, Seed: 4, Skew: 0.7, Load: 0.7, Unequal: 4, Spread: 3})
 	on := func(p *Problem, ids ...string) (n int) {
@@ -70,7 +70,7 @@
 		forced := on(p, c.forced...)
 		least, err := Resolve(p, Again{Seed: 1, Steps: 200, MostMoves: forced})
 		if name == "ceiling" || name == "halved" {
-			continue // what is forced there is for the solver to find
+			continue // the number of forced moves is not known in advance
 		}
 		if err != nil || least.Moves > forced {
 			t.Errorf("%s: %d moves are forced; with no more allowed: %+v, %v", name, forced, least, err)
@@ -81,7 +81,7 @@
 		if forced > 0 {
 			var limitErr *MoveLimitError
 			if _, err := Resolve(p, Again{MostMoves: forced - 1}); !errors.As(err, &limitErr) || limitErr.Needed != forced {
-				t.Errorf("%s: one move too few: %v", name, err)
+				t.Errorf("%s: limit one below the forced moves: %v", name, err)
 			}
 		}
 	}
@@ -95,8 +95,8 @@
 	return m
 }
 
-// walk plays a schedule and checks that no node is ever asked for more than it bears. It
-// shares no code with Waves. It returns where all is at the end.
+// replaySchedule applies a schedule and checks that it never overloads a node. It shares no code
+// with Waves. It returns the final placement.
 func replaySchedule(t *testing.T, p *Problem, s *Schedule, end map[string][]string) map[string][]string {
 	t.Helper()
 	reserve := map[string]int64{}
@@ -141,7 +141,7 @@
 			gone[n.ID] = n.State == "gone"
 		}
 		for _, mv := range wave {
-			if mv.From == "" { // its source, if any, is gone
+			if mv.From == "" { // the source, if any, is gone
 				for _, n := range now[mv.Volume] {
 					if _, listed := usable[n]; gone[n] || !listed {
 						now = ApplyMoves(now, []Move{{Volume: mv.Volume, From: n, To: mv.To}})
@@ -155,8 +155,8 @@
 	return now
 }
 
-// TestWavesOverloadNobody walks the schedules of drawn migrations: no node bears more at
-// any time than it may, and all ends where it was to.
+// TestWavesNeverOverloadNodes replays schedules of random migrations: no node exceeds its limits
+// at any time, and every volume ends on its target nodes.
 func TestWavesNeverOverloadNodes(t *testing.T) {
 	complete := 0
 	for seed := range uint64(60) {
@@ -184,11 +184,12 @@
 		}
 	}
 	if complete < 40 {
-		t.Errorf("only %d of 60 schedules are whole", complete)
+		t.Errorf("only %d of 60 schedules are complete", complete)
 	}
 }
 
-// TestWavesBreakARing: two full nodes exchange their volumes by way of a third.
+// TestWavesBreakCycleByDetour checks that two full nodes swap their volumes by a detour over a
+// third, and that the moves are stuck if the third has no room.
 func TestWavesBreakCycleByDetour(t *testing.T) {
 	p := readyProblem([]Node{{ID: "a", Capacity: 1000}, {ID: "b", Capacity: 1000}, {ID: "c", Capacity: 1000}}, []Volume{
 		{ID: "u", Plan: "p", Demand: 900, Spread: 1, On: []string{"a"}}, {ID: "v", Plan: "p", Demand: 800, Spread: 1, On: []string{"b"}}})
@@ -200,14 +201,14 @@
 	if got := replaySchedule(t, p, s, end); got["u"][0] != "b" || got["v"][0] != "a" {
 		t.Errorf("ends at %v: %+v", got, s)
 	}
-	p.Nodes[2].Capacity = 100 // nowhere to stop
+	p.Nodes[2].Capacity = 100 // no room for either volume
 	if s, err = Waves(p, end, 0); err != nil || len(s.Stuck) != 2 || len(s.Waves) != 0 {
 		t.Errorf("no room for a detour: %+v %v", s, err)
 	}
 }
 
-// TestWaveFails: in the middle of a wave a node is lost, with it what was moving there;
-// the rest is worked out anew from where things are, and again with a second loss.
+// TestResolveAfterFailedWave loses a node in the middle of a wave, with the parts that were
+// moving to it, solves again from the state reached, and repeats this with a second node.
 func TestResolveAfterFailedWave(t *testing.T) {
 	p := placedProblem(t, Draw{Volumes: 80, Nodes: 9, Zones: 3, Seed: 11, Skew: 0.5, Load: 0.6, Unequal: 2, Spread: 2})
 	p.Nodes[0].State = "draining"
@@ -250,8 +251,8 @@
 	}
 }
 
-// TestRelax: what is left out is the cheapest, as few as the order by price allows, and
-// what is taken in is worth what the exact search says.
+// TestRelax checks that Relax omits the volumes with the lowest prices, that no omitted volume
+// could be placed with those kept, and that the heuristic mostly agrees with the exact search.
 func TestRelax(t *testing.T) {
 	p := readyProblem([]Node{{ID: "a", Capacity: 1000}, {ID: "b", Capacity: 1000}}, []Volume{
 		{ID: "u", Plan: "cheap", Demand: 100, Spread: 1}, {ID: "v", Plan: "dear", Demand: 100, Spread: 1},
@@ -268,7 +269,7 @@
 			t.Errorf("exact %v: left out %v, %+v, %v", exact, left, f, err)
 		}
 	}
-	agree, all := 0, 0
+	agree, infeasible := 0, 0
 	for seed := range int64(600) {
 		p := randomProblem(rand.New(rand.NewSource(seed)))
 		if _, err := Exact(p, 0); !errors.Is(err, ErrNone) {
@@ -278,24 +279,25 @@
 		if err != nil || len(left) == 0 || len(f.Placement)+len(left) != len(p.Volumes) {
 			t.Fatalf("seed %d: %v left, %v", seed, left, err)
 		}
-		for _, id := range left { // any one more that is at least as dear as those kept cannot be met with them
+		for _, id := range left { // no omitted volume can be placed with those kept
 			keep := append(slices.Collect(maps.Keys(f.Placement)), id)
 			if _, err := Exact(withVolumes(p, keep), 0); !errors.Is(err, ErrNone) {
-				t.Fatalf("seed %d: %s could be taken in", seed, id)
+				t.Fatalf("seed %d: %s could be placed too", seed, id)
 			}
 		}
-		_, quick, err := Relax(p, false, Options{Seed: 1, Steps: 20})
-		all++
-		if err == nil && slices.Equal(quick, left) {
+		_, heuristic, err := Relax(p, false, Options{Seed: 1, Steps: 20})
+		infeasible++
+		if err == nil && slices.Equal(heuristic, left) {
 			agree++
 		}
 	}
-	if agree*10 < all*9 {
-		t.Errorf("the quick way agrees with the exact one in %d of %d", agree, all)
+	if agree*10 < infeasible*9 {
+		t.Errorf("the heuristic agrees with the exact search in %d of %d", agree, infeasible)
 	}
 }
 
-// TestExplain: the changes told are those that evaluating the changed placement gives.
+// TestExplain checks that the change of each choice is what evaluating the changed placement
+// gives, and that draining nodes and unknown volumes are rejected.
 func TestExplain(t *testing.T) {
 	for seed := range uint64(20) {
 		p := placedProblem(t, Draw{Volumes: 20, Nodes: 6, Zones: 2, Seed: seed, Skew: 1, Load: 1.1, Unequal: 5, Spread: 2, Costs: true})
@@ -327,6 +329,6 @@
 		}
 	}
 	if _, err := Explain(readyProblem(nil, nil), nil, "v"); err == nil {
-		t.Error("a volume that is not there is explained")
+		t.Error("no error for an unknown volume")
 	}
 }
--- a/shares/search.go
+++ b/shares/search.go
@@ -206,7 +206,7 @@
 // tryChanges makes changes and keeps them if they raise the value, or leave it equal without
 // more moves; otherwise it undoes them. It reports whether it kept them.
 func (s *searchState) tryChanges(changes ...change) bool {
-	touched := map[int]bool{}
+	affected := map[int]bool{}
 	before, after, movesBefore := Value{}, Value{}, s.moveCount
 	old := make([][]int, len(changes))
 	for i, c := range changes {
@@ -215,7 +215,7 @@
 		}
 		old[i] = s.sets[c.volume]
 		for _, n := range append(slices.Clone(old[i]), c.set...) {
-			touched[n] = true
+			affected[n] = true
 		}
 		before = before.Add(s.moveValue(c.volume))
 	}
@@ -225,7 +225,7 @@
 	}
 	values := map[int]Value{}
 	ok := s.maxMoves < 0 || s.moveCount <= max(s.maxMoves, movesBefore)
-	for n := range touched { // the map's order does not matter for the sums
+	for n := range affected { // the map's order does not matter for the sums
 		if !ok {
 			break
 		}
@@ -325,9 +325,9 @@
 	sum := float64(float64(worth-float64(in.nodes[n].cost)) * fits)
 	if over := part - fits; over > 0 {
 		others := max(s.weight[n], 1)
-		took := min(over, float64(in.nodes[n].usable)*float64(x.weight)/(others+float64(x.weight)))
-		sum += float64(float64(worth-s.weightedPrice[n]/others) * took)
-		sum += float64(float64(worth*float64(in.spareWorth.Num)/float64(in.spareWorth.Den)) * max(0, over-took) / 8)
+		taken := min(over, float64(in.nodes[n].usable)*float64(x.weight)/(others+float64(x.weight)))
+		sum += float64(float64(worth-s.weightedPrice[n]/others) * taken)
+		sum += float64(float64(worth*float64(in.spareWorth.Num)/float64(in.spareWorth.Den)) * max(0, over-taken) / 8)
 	}
 	if x.placed && !x.on[n] {
 		sum -= float64(x.moveCost) * 1000
--- a/shares/search_test.go
+++ b/shares/search_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestSearchOnSmallOnes: on what the exact search solves, the answer is feasible, its
-// value is at most the best and the bound at least, and most of them are the best.
+// TestSearchAgainstExact compares Search with Exact on small problems: the answer is feasible, its
+// value is at most the optimum and its bound at least the optimum, and most answers are optimal.
 func TestSearchAgainstExact(t *testing.T) {
 	best, found, missed, solved := 0, 0, 0, 0
 	for seed := range int64(1500) {
@@ -18,7 +18,7 @@
 		got, serr := Search(p, Options{Seed: 1, Steps: 400})
 		if errors.Is(err, ErrNone) {
 			if !errors.Is(serr, ErrNotFound) {
-				t.Fatalf("seed %d: there is none, and %+v, %v was found", seed, got, serr)
+				t.Fatalf("seed %d: infeasible, but the search returned %+v, %v", seed, got, serr)
 			}
 			continue
 		}
@@ -41,13 +41,13 @@
 			t.Fatalf("seed %d: evaluated %+v, %v", seed, again, err)
 		}
 	}
-	t.Logf("%d solved: %d found, %d of them the best, %d missed", solved, found, best, missed)
+	t.Logf("%d feasible: %d found, %d of them optimal, %d missed", solved, found, best, missed)
 	if missed*20 > solved || best*10 < found*8 {
-		t.Errorf("of %d with an answer %d were missed; %d of %d are the best", solved, missed, best, found)
+		t.Errorf("of %d feasible problems %d were missed; %d of %d answers are optimal", solved, missed, best, found)
 	}
 }
 
-// fleet draws a problem of a size, with a twentieth more demand than is usable.
+// overloadedProblem makes a random problem with about 5% more demand than usable capacity.
 func overloadedProblem(volumes, nodes int, seed int64) *Problem {
 	rng := rand.New(rand.NewSource(seed))
 	p := &Problem{ShareOfCapacity: Ratio{9, 10}, SpareWorth: Ratio{5, 100}, Plans: []Plan{
@@ -70,8 +70,8 @@
 	return p
 }
 
-// TestSearchImproves: the same seed and steps give the same answer, and more steps never
-// a lower value.
+// TestSearchIsDeterministicAndMonotone checks that the same seed and steps give the same answer,
+// and that more steps never give a lower value.
 func TestSearchIsDeterministicAndMonotone(t *testing.T) {
 	p := overloadedProblem(200, 12, 1)
 	last := minValue
@@ -88,16 +88,16 @@
 	}
 }
 
-// sizes of the benchmarks: volumes, nodes, steps.
+// benchmarkSizes holds the sizes and search steps of the benchmarks.
 var benchmarkSizes = []struct{ volumes, nodes, steps int }{{50, 8, 50_000}, {500, 42, 50_000}, {10_000, 300, 8000}}
 
 func benchmarkProblem(b *testing.B, volumes, nodes int, load float64) *Problem {
 	return mustGenerate(b, Draw{Volumes: volumes, Nodes: nodes, Zones: 3, Seed: 1, Skew: 0.7, Load: load, Unequal: 10, Spread: 3, Costs: true})
 }
 
-// BenchmarkAgainstPlain is the time and the gap to the bound, in percent, of the search
-// without and with its steps, and of the plain ways, on the same problems. A plain way whose
-// placement breaks a constraint reports a gap of 100.
+// BenchmarkAgainstBaselines measures the time and the gap to the bound, in percent, of the search
+// without and with steps, and of the baselines, on the same problems. A baseline whose placement
+// violates a constraint reports a gap of 100.
 func BenchmarkAgainstBaselines(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		for _, load := range []float64{0.8, 1.05, 1.5} {
@@ -114,7 +114,7 @@
 				value, _ := a.Value.Big().Float64()
 				return 100 * (bound - value) / bound
 			}
-			for name, way := range map[string]func() (*Answer, error){
+			for name, solve := range map[string]func() (*Answer, error){
 				"hashing": func() (*Answer, error) { return Hashing(p) },
 				"greedy":  func() (*Answer, error) { return Greedy(p) },
 				"construct": func() (*Answer, error) {
@@ -130,7 +130,7 @@
 					var a *Answer
 					for range b.N {
 						var err error
-						if a, err = way(); err != nil && !errors.As(err, new(*Infeasible)) {
+						if a, err = solve(); err != nil && !errors.As(err, new(*Infeasible)) {
 							b.Fatal(err)
 						}
 					}
@@ -141,9 +141,8 @@
 	}
 }
 
-// BenchmarkResolve is the time in which the loss of a node is worked out anew, its waves
-// included, and what it moves, beside the parts that were lost and what solving from nothing
-// would move.
+// BenchmarkResolve measures the time to solve again after the loss of a node, waves included. It
+// reports the moves next to the number of lost parts and the moves of solving from scratch.
 func BenchmarkResolve(b *testing.B) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("%dx%d", size.volumes, size.nodes), func(b *testing.B) {
@@ -160,15 +159,15 @@
 					lost++
 				}
 			}
-			var again *Found
+			var resolved *Found
 			var waves *Schedule
 			for b.Loop() {
-				if again, waves, err = Migrate(p, Again{Seed: 1, Steps: 500, MostMoves: -1}, 4); err != nil {
+				if resolved, waves, err = Migrate(p, Again{Seed: 1, Steps: 500, MostMoves: -1}, 4); err != nil {
 					b.Fatal(err)
 				}
 			}
 			b.ReportMetric(float64(lost), "lost")
-			b.ReportMetric(float64(again.Moves), "moves")
+			b.ReportMetric(float64(resolved.Moves), "moves")
 			b.ReportMetric(float64(len(waves.Waves)), "waves")
 			b.ReportMetric(float64(len(waves.Stuck)), "stuck")
 			fresh, err := Search(Now(p, map[string][]string{}), Options{Seed: 2, Steps: 500})
--- a/shares/solution_test.go
+++ b/shares/solution_test.go
@@ -13,6 +13,7 @@
 	"eiderhold/internal/sealed"
 )
 
+// testSolution returns a generated problem and a solution of it.
 func testSolution(t testing.TB) (*Problem, *Solution) {
 	t.Helper()
 	p := mustGenerate(t, Draw{Volumes: 12, Nodes: 4, Zones: 2, Seed: 1, Skew: 1, Load: 1, Unequal: 3, Spread: 2})
@@ -23,8 +24,9 @@
 	return p, NewSolution(p, f, 7, "test", time.Unix(1_800_000_000, 0), 24*time.Hour)
 }
 
-// TestSolutionCut: a solution cut at every byte, with any byte changed, from a newer
-// version, or with other inputs is refused with the reason.
+// TestReadSolutionRejectsDamage checks that a solution truncated at any byte, with any byte
+// changed, with a byte added or of a newer format is rejected, and that CheckInputs rejects
+// another problem.
 func TestReadSolutionRejectsDamage(t *testing.T) {
 	p, s := testSolution(t)
 	b, err := s.Encode()
@@ -36,20 +38,20 @@
 		t.Fatalf("read back: %+v, %v", again, err)
 	}
 	if b2, _ := again.Encode(); !bytes.Equal(b, b2) {
-		t.Error("the same solution has other bytes")
+		t.Error("the same solution has a different encoding")
 	}
 	for n := range b {
 		if got, err := ReadSolution(b[:n]); err == nil || got != nil {
-			t.Fatalf("cut at byte %d it is read: %+v", n, got)
+			t.Fatalf("cut at byte %d: no error: %+v", n, got)
 		}
 		changed := bytes.Clone(b)
 		changed[n] ^= 0x20
 		if _, err := ReadSolution(changed); err == nil {
-			t.Fatalf("with byte %d changed it is read", n)
+			t.Fatalf("byte %d changed: no error", n)
 		}
 	}
 	if _, err := ReadSolution(append(bytes.Clone(b), 'x')); err == nil || !strings.Contains(err.Error(), "added to") {
-		t.Errorf("with a byte more: %v", err)
+		t.Errorf("byte added: %v", err)
 	}
 	newer := bytes.Replace(b, []byte("eiderhold-shares 1 "), []byte("eiderhold-shares 2 "), 1)
 	if _, err := ReadSolution(newer); !errors.Is(err, sealed.ErrNewer) || !strings.Contains(err.Error(), "format 2") {
@@ -65,11 +67,11 @@
 	q := *p
 	q.Volumes = append(p.Volumes[5:len(p.Volumes):len(p.Volumes)], p.Volumes[:5]...)
 	if Digest(&q) != Digest(p) {
-		t.Error("the order of volumes in the file makes another digest")
+		t.Error("the digest depends on the order of volumes in the file")
 	}
 }
 
-// TestSolutionsThatCannotBe: what is whole but wrong is named.
+// TestInvalidSolutions checks the errors for solutions with invalid values.
 func TestInvalidSolutions(t *testing.T) {
 	for want, change := range map[string]func(*Solution){
 		"version = 0":                                           func(s *Solution) { s.Version = 0 },
@@ -95,7 +97,7 @@
 func TestDiff(t *testing.T) {
 	_, a := testSolution(t)
 	if d := Diff(a, a); len(d.Changed)+len(d.Added)+len(d.Removed)+d.Moves != 0 {
-		t.Errorf("of the same: %+v", d)
+		t.Errorf("of equal solutions: %+v", d)
 	}
 	b := *a
 	b.Version = 8
@@ -111,7 +113,7 @@
 	}
 }
 
-// FuzzReadSolution: whatever comes, an error or a solution that passes its own check.
+// FuzzReadSolution checks that any input gives an error or a solution that can be encoded.
 func FuzzReadSolution(f *testing.F) {
 	_, s := testSolution(f)
 	b, _ := s.Encode()
@@ -121,7 +123,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ReadSolution(b); err == nil {
 			if _, err := s.Encode(); err != nil {
-				t.Fatalf("read, but it cannot be written: %v", err)
+				t.Fatalf("decoded, but cannot be encoded: %v", err)
 			}
 		}
 	})
