--- a/internal/chart/chart.go
+++ b/internal/chart/chart.go
@@ -1,5 +1,5 @@
-// Package chart draws the figures that commands report, as SVG. It holds no figure of its
-// own: callers hand in names and numbers.
+// Package chart draws bar and line charts as SVG files. The commands of cmd/eiderhold use it for
+// their reports.
 package chart
 
 import (
@@ -15,15 +15,16 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Series is one row of numbers; in a chart of lines X says where, else by name.
+// Series is a named sequence of values. X holds the horizontal positions in a line chart; bar
+// charts do not use it.
 type Series struct {
 	Name string
 	X, Y []float64
 }
 
-const maxLabels = 60 // on one axis; of more, every k-th is written
+const maxLabels = 60 // approximate limit per axis; of more, only every k-th is drawn
 
-// Bars writes a chart of grouped bars: for each name one bar of each series.
+// Bars writes a grouped bar chart to file: for each name, one bar per series.
 func Bars(file, title, unit string, names []string, series ...Series) error {
 	p := plot.New()
 	p.Title.Text, p.Y.Label.Text = title, unit
@@ -49,12 +50,12 @@
 	p.NominalX(shown...)
 	p.X.Tick.Label.Rotation = 0.9
 	p.X.Tick.Label.XAlign = -1
-	p.Y.Min, p.Y.Max = min(0, p.Y.Min), 1.25*p.Y.Max // the legend needs room
+	p.Y.Min, p.Y.Max = min(0, p.Y.Min), 1.25*p.Y.Max // leaves room for the legend
 	p.X.Min, p.X.Max = -0.7, float64(len(names))-0.3
 	return save(p, file)
 }
 
-// Lines writes a chart of lines.
+// Lines writes a line chart to file, one line per series.
 func Lines(file, title, x, y string, series ...Series) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -77,9 +78,10 @@
 	return save(p, file)
 }
 
+// save writes p to file as SVG and creates the folder if necessary.
 func save(p *plot.Plot, file string) error {
 	if strings.ToLower(filepath.Ext(file)) != ".svg" {
-		return fmt.Errorf("chart: %s: charts are .svg files", file)
+		return fmt.Errorf("chart: %s: expected a file name ending in .svg", file)
 	}
 	p.BackgroundColor = color.White
 	p.Title.Padding, p.X.Padding, p.Legend.XOffs = vg.Points(8), vg.Points(4), -vg.Points(10)
--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -1,7 +1,7 @@
-// Package solution is what a gateway does with solutions of package shares: it takes them
-// from the register's feed or a file, checks each whole, keeps the last few on disk, and
-// hands one to the host in a single piece. It works nothing out and decides nothing about a
-// request. internal/gateway makes it.
+// Package solution receives solutions of package shares for a gateway, from the register's feed
+// or from a file. It validates each solution, stores the last few on disk, and passes the
+// accepted one to the host in a single call. It computes no shares and takes no part in
+// decisions about requests. Package gateway uses it.
 package solution
 
 import (
@@ -22,39 +22,39 @@
 	"eiderhold/shares"
 )
 
-// Why a solution is not taken; the one in use stays.
+// Reasons for refusing a solution. The one in use stays.
 var (
 	ErrStaleVersion    = errors.New("solution: its version is not above that of the one in use: solve again, with a higher --version")
-	ErrVersionConflict = errors.New("solution: its version is in use, with other content: hand it out under a version of its own")
-	ErrUnknown         = errors.New("solution: it names nodes that the register does not list: solve again for the nodes there are")
+	ErrVersionConflict = errors.New("solution: its version is in use, with other content: distribute it under a version of its own")
+	ErrUnknown         = errors.New("solution: it names nodes that the register does not list: solve again for the present nodes")
 )
 
-// Settings of a keeper.
+// Settings holds the settings of a keeper.
 type Settings struct {
-	Dir    string // of kept solutions; it must last
-	Keep   int    // solutions kept on disk, the one in use included
-	Inputs string // digest of the only problem of which solutions are taken; empty: any
-	File   string // followed for new solutions; empty: none
+	Dir    string // of stored solutions; its content must survive restarts
+	Keep   int    // number of solutions kept on disk, including the one in use
+	Inputs string // digest of the only problem whose solutions are accepted; empty: any
+	File   string // polled for new solutions; empty: none
 	Poll   time.Duration
 }
 
-// Host takes shares, and the placement (volume -> nodes) that they are of.
+// Host receives shares and the placement (volume -> nodes) that they belong to.
 type Host interface {
 	Shares(s control.Shares, placement map[string][]string)
 }
 
-// State is what an operator sees.
+// State is the state of a keeper as shown to operators.
 type State struct {
 	Version uint64    // in use; 0: none
-	At      time.Time // when it was worked out
-	Until   time.Time // trusted in full until then
+	At      time.Time // time of its computation
+	Until   time.Time // end of the time in which it is trusted in full
 	Volumes int
-	Taken   uint64 // since the start
-	Refused uint64
-	Err     string // why the last one was refused; empty: it was taken
+	Taken   uint64 // solutions accepted since the start
+	Refused uint64 // solutions refused since the start
+	Err     string // reason for the last refusal; empty if a solution was accepted since
 }
 
-// Keeper holds the solution in use.
+// Keeper holds the solution in use and accepts new ones.
 type Keeper struct {
 	settings Settings
 	host     Host
@@ -62,21 +62,22 @@
 	now      func() time.Time
 
 	mu       sync.Mutex
-	nodes    map[string]bool // listed; nil: not known yet
+	nodes    map[string]bool // listed by the register; nil: no list received yet
 	current  *shares.Solution
 	bytes    []byte
-	deferred *candidate // whole, but its nodes were not all listed when it came
+	deferred *candidate // valid, but names nodes that are not listed
 	state    State
 }
 
+// candidate is a decoded solution that may be accepted.
 type candidate struct {
 	source   string
 	bytes    []byte
 	solution *shares.Solution
 }
 
-// New makes a keeper and takes the newest good solution of its folder up again as soon as
-// the nodes are known. now is the wall clock.
+// New returns a keeper. The newest valid solution in its folder takes effect as soon as the nodes
+// are known. now returns the wall clock time.
 func New(set Settings, h Host, log *slog.Logger, now func() time.Time) (*Keeper, error) {
 	if err := os.MkdirAll(set.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("solution: %w", err)
@@ -98,14 +99,14 @@
 				break
 			}
 		}
-		log.Warn("solution: a kept one cannot be used, the one before it is tried", "file", name, "err", err)
+		log.Warn("solution: a stored solution cannot be used; trying the one before it", "file", name, "err", err)
 	}
 	return k, nil
 }
 
 const filePrefix = "solution-"
 
-// kept are the names of the solutions in the folder, by version.
+// fileNames returns the names of the solutions in the folder, in order of version.
 func (k *Keeper) fileNames() (names []string, err error) {
 	entries, err := os.ReadDir(k.settings.Dir)
 	if err != nil {
@@ -116,13 +117,13 @@
 			names = append(names, e.Name())
 		}
 	}
-	slices.Sort(names) // versions have all digits
+	slices.Sort(names) // versions are zero-padded
 	return names, nil
 }
 
-// Offer checks a solution whole and takes it, or says why not. One that is in use
-// already is passed over. One that only names nodes which are not listed is refused too, but
-// looked at again when the list changes, until a newer one comes.
+// Offer validates an encoded solution and accepts it, or returns why it is refused. A solution
+// that is already in use is ignored. One that is refused only because it names nodes that are
+// not listed is tried again when the list changes, unless a newer one arrives first.
 func (k *Keeper) Offer(source string, b []byte) error {
 	s, err := shares.ReadSolution(b)
 	if err == nil && k.settings.Inputs != "" {
@@ -141,7 +142,7 @@
 	return err
 }
 
-// try takes an offer that is whole; the lock is held.
+// accept puts a decoded solution into use or returns why it is refused. The caller holds k.mu.
 func (k *Keeper) accept(c *candidate) error {
 	if k.current != nil && c.solution.Version <= k.current.Version {
 		switch {
@@ -178,7 +179,7 @@
 	return nil
 }
 
-// save keeps a solution, whole or not at all, and drops the oldest.
+// save stores a solution atomically and removes the oldest ones beyond the number to keep.
 func (k *Keeper) save(c *candidate) {
 	name := filepath.Join(k.settings.Dir, fmt.Sprintf("%s%020d", filePrefix, c.solution.Version))
 	err := renameio.WriteFile(name, c.bytes, 0o644)
@@ -188,12 +189,12 @@
 		names = names[1:]
 	}
 	if err = errors.Join(err, lerr); err != nil {
-		k.log.Warn("solution: it is in use, but could not be kept; a restart will begin with an older one, or none", "err", err)
+		k.log.Warn("solution: it is in use, but could not be stored; a restart will begin with an older one, or none", "err", err)
 	}
 }
 
-// Listed takes the nodes that the register lists now, in whatever state but gone. The one in
-// use stays when nodes of it go: nothing is sent to them.
+// Listed sets the nodes that the register lists in any state but gone. The solution in use stays
+// when some of its nodes are no longer listed, since nothing is sent to them.
 func (k *Keeper) Listed(ids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -208,15 +209,15 @@
 	}
 }
 
-// State is the keeper's.
+// State returns the present state of the keeper.
 func (k *Keeper) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state
 }
 
-// Follow offers what stands in the file, at once and whenever it changes, until stop is
-// closed. A file that is not there (yet) is no error.
+// Follow offers the content of the file, immediately and whenever the file changes, until stop
+// is closed. A file that does not exist (yet) is not an error.
 func (k *Keeper) Follow(stop <-chan struct{}) {
 	if k.settings.File == "" {
 		return
@@ -232,7 +233,7 @@
 			if err != nil {
 				k.log.Warn("solution: the file cannot be read", "file", k.settings.File, "err", err)
 			} else {
-				_ = k.Offer("file "+k.settings.File, b) // it has said why
+				_ = k.Offer("file "+k.settings.File, b) // Offer has logged the error
 			}
 		}
 		select {
@@ -243,10 +244,11 @@
 	}
 }
 
+// readFile reads a file of at most shares.MostSolution bytes.
 func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err == nil && info.Size() > shares.MostSolution {
-		err = fmt.Errorf("%d bytes: at most %d", info.Size(), shares.MostSolution)
+		err = fmt.Errorf("file has %d bytes: expected at most %d", info.Size(), shares.MostSolution)
 	}
 	if err != nil {
 		return nil, err
@@ -254,8 +256,8 @@
 	return os.ReadFile(name)
 }
 
-// Told is what a controller is told of a solution at a time. One that is dated in the future,
-// by a clock that is ahead, counts as new.
+// Told returns a solution as the shares of a controller at time now. A solution dated in the
+// future, by a clock that is ahead, has age 0.
 func Told(s *shares.Solution, now time.Time) control.Shares {
 	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
 		Volumes: make(map[string]control.VolumeShare, len(s.Shares))}
--- a/internal/solution/keeper_test.go
+++ b/internal/solution/keeper_test.go
@@ -18,7 +18,7 @@
 
 var noon = time.Date(2026, 8, 13, 12, 0, 0, 0, time.UTC)
 
-// hearer notes what the host is told.
+// recordingHost records the shares it receives.
 type recordingHost struct {
 	mu       sync.Mutex
 	received []control.Shares
@@ -39,6 +39,7 @@
 	return list
 }
 
+// encodeSolution returns an encoded solution that places one volume on nodes.
 func encodeSolution(t *testing.T, version uint64, nodes ...string) []byte {
 	t.Helper()
 	s := &shares.Solution{Version: version, Inputs: strings.Repeat("ab", 32), By: "test", At: noon.Add(-time.Hour), For: "24h",
@@ -67,8 +68,9 @@
 	return k, h
 }
 
-// TestRefusedWithTheReason: cut at every byte, newer, of other inputs, older, the same version
-// with other content, of unknown nodes: the one in use stays.
+// TestOfferRefusesInvalidSolutions checks that a solution is refused with the right error, and the
+// one in use stays, if it is truncated, of a newer format, of another problem, of an older
+// version, of the version in use with other content, or names unknown nodes.
 func TestOfferRefusesInvalidSolutions(t *testing.T) {
 	k, h := newTestKeeper(t, Settings{Inputs: strings.Repeat("ab", 32)})
 	k.Listed([]string{"a", "b"})
@@ -79,7 +81,7 @@
 	next := encodeSolution(t, 6, "a")
 	for n := range next {
 		if err := k.Offer("test", next[:n]); err == nil {
-			t.Fatalf("cut at byte %d it is taken", n)
+			t.Fatalf("cut at byte %d: accepted", n)
 		}
 	}
 	newer := bytes.Replace(next, []byte("shares 1 "), []byte("shares 9 "), 1)
@@ -105,18 +107,19 @@
 		t.Errorf("unknown node: %v", err)
 	}
 	if got := h.versions(); len(got) != 1 || got[0] != 5 {
-		t.Fatalf("told: %v", got)
+		t.Fatalf("received: %v", got)
 	}
 	if x := h.received[0].Volumes["v"]; x.Rate != 2 || x.At["b"] != 1.5 || h.received[0].Age != time.Hour || h.received[0].Trust != 24*time.Hour {
-		t.Errorf("told %+v", h.received[0])
+		t.Errorf("received %+v", h.received[0])
 	}
 	if st := k.State(); st.Version != 5 || st.Refused < 6 || st.Err == "" {
 		t.Errorf("%+v", st)
 	}
 }
 
-// TestTakenWhenTheNodesAreKnown: before the first list nothing is taken; one refused for a
-// node is taken once that is listed, unless a newer one came.
+// TestDeferredUntilNodesAreListed checks that no solution is accepted before the first node list,
+// and that one refused for an unknown node is accepted once the node is listed, unless a newer
+// one has arrived.
 func TestDeferredUntilNodesAreListed(t *testing.T) {
 	k, h := newTestKeeper(t, Settings{})
 	if err := k.Offer("test", encodeSolution(t, 1, "a")); !errors.Is(err, ErrUnknown) {
@@ -127,14 +130,14 @@
 	_ = k.Offer("test", encodeSolution(t, 3, "a", "c"))
 	k.Listed([]string{"a", "b"})
 	k.Listed([]string{"a", "b", "c"})
-	k.Listed([]string{"a"}) // the one in use stays when nodes go
+	k.Listed([]string{"a"}) // the solution in use stays when nodes are removed
 	if got := h.versions(); len(got) != 2 || got[0] != 1 || got[1] != 3 {
-		t.Errorf("told: %v", got)
+		t.Errorf("received: %v", got)
 	}
 }
 
-// TestKeptOverRestarts: the last few are kept, the newest good one is taken up again, a
-// damaged one is passed over.
+// TestSolutionsSurviveRestart checks that the last few solutions are stored, and that a new keeper
+// uses the newest valid one and skips a damaged one.
 func TestSolutionsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	k, _ := newTestKeeper(t, Settings{Dir: dir})
@@ -153,15 +156,16 @@
 	}
 	k, h := newTestKeeper(t, Settings{Dir: dir})
 	if len(h.versions()) != 0 {
-		t.Fatal("told before the nodes were known")
+		t.Fatal("shares received before the nodes were known")
 	}
 	k.Listed([]string{"a"})
 	if got := h.versions(); len(got) != 1 || got[0] != 11 {
-		t.Errorf("told: %v", got)
+		t.Errorf("received: %v", got)
 	}
 }
 
-// TestFollowsAFile: what stands in the file is taken, also when it is replaced.
+// TestFollowReadsReplacedFile checks that Follow offers the content of the file and offers it again
+// each time the file is replaced.
 func TestFollowReadsReplacedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "solution")
 	k, h := newTestKeeper(t, Settings{File: file})
@@ -179,7 +183,7 @@
 		}
 		for limit := time.Now().Add(20 * time.Second); len(h.versions()) <= int(v); time.Sleep(time.Millisecond) {
 			if time.Now().After(limit) {
-				t.Fatalf("version %d was not taken: %v", v+1, h.versions())
+				t.Fatalf("version %d was not accepted: %v", v+1, h.versions())
 			}
 		}
 	}
