--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -261,16 +261,16 @@
 func Told(s *shares.Solution, now time.Time) control.Shares {
 	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
 		Volumes: make(map[string]control.VolumeShare, len(s.Shares))}
-	for v, at := range s.Shares {
-		x := control.VolumeShare{At: make(map[string]float64, len(at))}
+	for v, byNode := range s.Shares {
+		volumeShare := control.VolumeShare{At: make(map[string]float64, len(byNode))}
 		milli := int64(0)
-		for n, share := range at {
-			x.At[n] = float64(share) / 1000
+		for n, share := range byNode {
+			volumeShare.At[n] = float64(share) / 1000
 			milli += share
 		}
-		x.Rate = float64(milli) / 1000
-		_, x.Met = slices.BinarySearch(s.Met, v)
-		told.Volumes[v] = x
+		volumeShare.Rate = float64(milli) / 1000
+		_, volumeShare.Met = slices.BinarySearch(s.Met, v)
+		told.Volumes[v] = volumeShare
 	}
 	return told
 }
--- a/shares/bound.go
+++ b/shares/bound.go
@@ -23,7 +23,8 @@
 // or minValue; it only sets the step size of the prices in the relaxation.
 func (in *instance) bound(value Value) Value {
 	best := in.pooledBound()
-	if len(in.volumes)*len(in.nodes) <= maxIndependentPairs { // for larger problems the Lagrangian bound is close to this one
+	// For larger problems the Lagrangian bound is close to this one.
+	if len(in.volumes)*len(in.nodes) <= maxIndependentPairs {
 		s := &exactSearch{in: in}
 		s.boundRest()
 		if s.restBounds[0].Cmp(best) < 0 {
--- a/shares/evaluate.go
+++ b/shares/evaluate.go
@@ -27,6 +27,7 @@
 // Infeasible is the error for a placement that violates a constraint. Text names the constraint.
 type Infeasible struct{ Text string }
 
+// Error implements error.
 func (e *Infeasible) Error() string { return "infeasible: " + e.Text }
 
 // load is one volume's part on one node.
--- a/shares/resolve.go
+++ b/shares/resolve.go
@@ -123,7 +123,7 @@
 	reserved    []int64
 	maxDemand   []int64
 	maxCount    []int
-	maxReserved []int64 // reserves
+	maxReserved []int64
 	perNode     int
 }
 
@@ -208,7 +208,7 @@
 	for _, n := range p.Nodes {
 		states[n.ID] = n.State
 	}
-	priority := func(x pendingMove) int { // parts on nodes that are not ready go first
+	priority := func(x pendingMove) int { // moves without a source, or from a node that is not ready, go first
 		if x.from >= 0 && states[m.in.nodes[x.from].id] != "ready" || x.from < 0 {
 			return 0
 		}
