--- a/shares/search.go
+++ b/shares/search.go
@@ -335,7 +335,7 @@
 	return sum
 }
 
-const maxEjections = 50 // of volumes that do not fit without removing others, for each volume to place
+const maxEjections = 50 // limit on placements that remove other volumes, times the number of volumes to place
 
 // construct places all volumes, first those with the fewest allowed nodes, then those with the
 // largest parts.
@@ -464,7 +464,7 @@
 // drawNodePair draws a few random nodes and returns the fullest and the emptiest, by the ratio
 // of demand to usable capacity.
 func (s *searchState) drawNodePair() (fullest, emptiest int) {
-	less := func(a, b int) bool { // a is fuller than b
+	fuller := func(a, b int) bool {
 		x, y := &s.in.nodes[a], &s.in.nodes[b]
 		return float64(s.demand[a])*float64(max(1, y.usable)) > float64(s.demand[b])*float64(max(1, x.usable))
 	}
@@ -472,10 +472,10 @@
 	// Nodes with very many loads are slow to evaluate, and changes there gain little.
 	maxLoads := 4*len(s.sets)/len(s.ready) + 8
 	for range 3 {
-		if n := s.ready[s.rng.IntN(len(s.ready))]; less(n, fullest) && len(s.loads[n]) <= maxLoads || len(s.loads[fullest]) > maxLoads {
+		if n := s.ready[s.rng.IntN(len(s.ready))]; fuller(n, fullest) && len(s.loads[n]) <= maxLoads || len(s.loads[fullest]) > maxLoads {
 			fullest = n
 		}
-		if n := s.ready[s.rng.IntN(len(s.ready))]; less(emptiest, n) {
+		if n := s.ready[s.rng.IntN(len(s.ready))]; fuller(emptiest, n) {
 			emptiest = n
 		}
 	}
