--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -1,7 +1,7 @@
-// Package solution is what a gateway does with solutions of package shares: it takes them
-// from the register's feed or a file, checks each whole, keeps the last few on disk, and
-// hands one to the host in a single piece. It works nothing out and decides nothing about a
-// request. internal/gateway makes it.
+// Package solution receives solutions of package shares for a gateway, from the register's feed
+// or from a file. It validates each solution, stores the last few on disk, and passes the
+// accepted one to the host in a single call. It computes no shares and takes no part in
+// decisions about requests. Package gateway uses it.
 package solution
 
 import (
@@ -22,67 +22,68 @@
 	"eiderhold/shares"
 )
 
-// Why a solution is not taken; the one in use stays.
+// Reasons for refusing a solution. The one in use stays.
 var (
-	ErrOld     = errors.New("solution: its version is not above that of the one in use: solve again, with a higher --version")
-	ErrOther   = errors.New("solution: its version is in use, with other content: hand it out under a version of its own")
-	ErrUnknown = errors.New("solution: it names nodes that the register does not list: solve again for the nodes there are")
+	ErrStaleVersion    = errors.New("solution: its version is not above that of the one in use: solve again, with a higher --version")
+	ErrVersionConflict = errors.New("solution: its version is in use, with other content: distribute it under a version of its own")
+	ErrUnknown         = errors.New("solution: it names nodes that the register does not list: solve again for the present nodes")
 )
 
-// Settings of a keeper.
+// Settings holds the settings of a keeper.
 type Settings struct {
-	Dir    string // of kept solutions; it must last
-	Keep   int    // solutions kept on disk, the one in use included
-	Inputs string // digest of the only problem of which solutions are taken; empty: any
-	File   string // followed for new solutions; empty: none
+	Dir    string // of stored solutions; its content must survive restarts
+	Keep   int    // number of solutions kept on disk, including the one in use
+	Inputs string // digest of the only problem whose solutions are accepted; empty: any
+	File   string // polled for new solutions; empty: none
 	Poll   time.Duration
 }
 
-// Host takes shares, and the placement (volume -> nodes) that they are of.
+// Host receives shares and the placement (volume -> nodes) that they belong to.
 type Host interface {
 	Shares(s control.Shares, placement map[string][]string)
 }
 
-// State is what an operator sees.
+// State is the state of a keeper as shown to operators.
 type State struct {
 	Version uint64    // in use; 0: none
-	At      time.Time // when it was worked out
-	Until   time.Time // trusted in full until then
+	At      time.Time // time of its computation
+	Until   time.Time // end of the time in which it is trusted in full
 	Volumes int
-	Taken   uint64 // since the start
-	Refused uint64
-	Err     string // why the last one was refused; empty: it was taken
+	Taken   uint64 // solutions accepted since the start
+	Refused uint64 // solutions refused since the start
+	Err     string // reason for the last refusal; empty if a solution was accepted since
 }
 
-// Keeper holds the solution in use.
+// Keeper holds the solution in use and accepts new ones.
 type Keeper struct {
-	set  Settings
-	host Host
-	log  *slog.Logger
-	now  func() time.Time
+	settings Settings
+	host     Host
+	log      *slog.Logger
+	now      func() time.Time
 
-	mu      sync.Mutex
-	nodes   map[string]bool // listed; nil: not known yet
-	current *shares.Solution
-	bytes   []byte
-	waiting *offer // whole, but its nodes were not all listed when it came
-	state   State
+	mu       sync.Mutex
+	nodes    map[string]bool // listed by the register; nil: no list received yet
+	current  *shares.Solution
+	bytes    []byte
+	deferred *candidate // valid, but names nodes that are not listed
+	state    State
 }
 
-type offer struct {
-	source string
-	bytes  []byte
-	s      *shares.Solution
+// candidate is a decoded solution that may be accepted.
+type candidate struct {
+	source   string
+	bytes    []byte
+	solution *shares.Solution
 }
 
-// New makes a keeper and takes the newest good solution of its folder up again as soon as
-// the nodes are known. now is the wall clock.
+// New returns a keeper. The newest valid solution in its folder takes effect as soon as the nodes
+// are known. now returns the wall clock time.
 func New(set Settings, h Host, log *slog.Logger, now func() time.Time) (*Keeper, error) {
 	if err := os.MkdirAll(set.Dir, 0o755); err != nil {
 		return nil, fmt.Errorf("solution: %w", err)
 	}
-	k := &Keeper{set: set, host: h, log: log, now: now}
-	names, err := k.kept()
+	k := &Keeper{settings: set, host: h, log: log, now: now}
+	names, err := k.fileNames()
 	if err != nil {
 		return nil, err
 	}
@@ -91,47 +92,47 @@
 		if err == nil {
 			var s *shares.Solution
 			if s, err = shares.ReadSolution(b); err == nil && set.Inputs != "" {
-				err = s.Of(set.Inputs)
+				err = s.CheckInputs(set.Inputs)
 			}
 			if err == nil {
-				k.waiting = &offer{"kept " + name, b, s}
+				k.deferred = &candidate{"kept " + name, b, s}
 				break
 			}
 		}
-		log.Warn("solution: a kept one cannot be used, the one before it is tried", "file", name, "err", err)
+		log.Warn("solution: a stored solution cannot be used; trying the one before it", "file", name, "err", err)
 	}
 	return k, nil
 }
 
-const prefix = "solution-"
+const filePrefix = "solution-"
 
-// kept are the names of the solutions in the folder, by version.
-func (k *Keeper) kept() (names []string, err error) {
-	entries, err := os.ReadDir(k.set.Dir)
+// fileNames returns the names of the solutions in the folder, in order of version.
+func (k *Keeper) fileNames() (names []string, err error) {
+	entries, err := os.ReadDir(k.settings.Dir)
 	if err != nil {
 		return nil, fmt.Errorf("solution: %w", err)
 	}
 	for _, e := range entries {
-		if strings.HasPrefix(e.Name(), prefix) && e.Type().IsRegular() {
+		if strings.HasPrefix(e.Name(), filePrefix) && e.Type().IsRegular() {
 			names = append(names, e.Name())
 		}
 	}
-	slices.Sort(names) // versions have all digits
+	slices.Sort(names) // versions are zero-padded
 	return names, nil
 }
 
-// Offer checks a solution whole and takes it, or says why not. One that is in use
-// already is passed over. One that only names nodes which are not listed is refused too, but
-// looked at again when the list changes, until a newer one comes.
+// Offer validates an encoded solution and accepts it, or returns why it is refused. A solution
+// that is already in use is ignored. One that is refused only because it names nodes that are
+// not listed is tried again when the list changes, unless a newer one arrives first.
 func (k *Keeper) Offer(source string, b []byte) error {
 	s, err := shares.ReadSolution(b)
-	if err == nil && k.set.Inputs != "" {
-		err = s.Of(k.set.Inputs)
+	if err == nil && k.settings.Inputs != "" {
+		err = s.CheckInputs(k.settings.Inputs)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if err == nil {
-		err = k.try(&offer{source, b, s})
+		err = k.accept(&candidate{source, b, s})
 	}
 	if err != nil {
 		k.state.Refused++
@@ -141,59 +142,59 @@
 	return err
 }
 
-// try takes an offer that is whole; the lock is held.
-func (k *Keeper) try(o *offer) error {
-	if k.current != nil && o.s.Version <= k.current.Version {
+// accept puts a decoded solution into use or returns why it is refused. The caller holds k.mu.
+func (k *Keeper) accept(c *candidate) error {
+	if k.current != nil && c.solution.Version <= k.current.Version {
 		switch {
-		case o.s.Version < k.current.Version:
-			return fmt.Errorf("%w (%d, in use %d)", ErrOld, o.s.Version, k.current.Version)
-		case !bytes.Equal(o.bytes, k.bytes):
-			return fmt.Errorf("%w (version %d)", ErrOther, o.s.Version)
+		case c.solution.Version < k.current.Version:
+			return fmt.Errorf("%w (%d, in use %d)", ErrStaleVersion, c.solution.Version, k.current.Version)
+		case !bytes.Equal(c.bytes, k.bytes):
+			return fmt.Errorf("%w (version %d)", ErrVersionConflict, c.solution.Version)
 		}
 		return nil
 	}
 	var unknown []string
-	for _, n := range o.s.Nodes {
+	for _, n := range c.solution.Nodes {
 		if !k.nodes[n] {
 			unknown = append(unknown, n)
 		}
 	}
 	if len(unknown) > 0 {
-		if k.waiting == nil || o.s.Version >= k.waiting.s.Version {
-			k.waiting = o
+		if k.deferred == nil || c.solution.Version >= k.deferred.solution.Version {
+			k.deferred = c
 		}
-		return fmt.Errorf("%w (%d of %d: %s)", ErrUnknown, len(unknown), len(o.s.Nodes), strings.Join(unknown[:min(5, len(unknown))], ", "))
+		return fmt.Errorf("%w (%d of %d: %s)", ErrUnknown, len(unknown), len(c.solution.Nodes), strings.Join(unknown[:min(5, len(unknown))], ", "))
 	}
-	if k.waiting != nil && k.waiting.s.Version <= o.s.Version {
-		k.waiting = nil
+	if k.deferred != nil && k.deferred.solution.Version <= c.solution.Version {
+		k.deferred = nil
 	}
-	k.current, k.bytes = o.s, o.bytes
-	k.host.Shares(Told(o.s, k.now()), o.s.Placement)
-	k.state.Version, k.state.At, k.state.Until = o.s.Version, o.s.At, o.s.At.Add(o.s.Trust())
-	k.state.Volumes, k.state.Err = len(o.s.Placement), ""
+	k.current, k.bytes = c.solution, c.bytes
+	k.host.Shares(Told(c.solution, k.now()), c.solution.Placement)
+	k.state.Version, k.state.At, k.state.Until = c.solution.Version, c.solution.At, c.solution.At.Add(c.solution.Trust())
+	k.state.Volumes, k.state.Err = len(c.solution.Placement), ""
 	k.state.Taken++
-	k.log.Info("solution: in use", "from", o.source, "version", o.s.Version, "by", o.s.By, "at", o.s.At,
-		"trusted_until", k.state.Until, "volumes", len(o.s.Placement), "nodes", len(o.s.Nodes))
-	k.save(o)
+	k.log.Info("solution: in use", "from", c.source, "version", c.solution.Version, "by", c.solution.By, "at", c.solution.At,
+		"trusted_until", k.state.Until, "volumes", len(c.solution.Placement), "nodes", len(c.solution.Nodes))
+	k.save(c)
 	return nil
 }
 
-// save keeps a solution, whole or not at all, and drops the oldest.
-func (k *Keeper) save(o *offer) {
-	name := filepath.Join(k.set.Dir, fmt.Sprintf("%s%020d", prefix, o.s.Version))
-	err := renameio.WriteFile(name, o.bytes, 0o644)
-	names, lerr := k.kept()
-	for len(names) > k.set.Keep {
-		lerr = errors.Join(lerr, os.Remove(filepath.Join(k.set.Dir, names[0])))
+// save stores a solution atomically and removes the oldest ones beyond the number to keep.
+func (k *Keeper) save(c *candidate) {
+	name := filepath.Join(k.settings.Dir, fmt.Sprintf("%s%020d", filePrefix, c.solution.Version))
+	err := renameio.WriteFile(name, c.bytes, 0o644)
+	names, lerr := k.fileNames()
+	for len(names) > k.settings.Keep {
+		lerr = errors.Join(lerr, os.Remove(filepath.Join(k.settings.Dir, names[0])))
 		names = names[1:]
 	}
 	if err = errors.Join(err, lerr); err != nil {
-		k.log.Warn("solution: it is in use, but could not be kept; a restart will begin with an older one, or none", "err", err)
+		k.log.Warn("solution: it is in use, but could not be stored; a restart will begin with an older one, or none", "err", err)
 	}
 }
 
-// Listed takes the nodes that the register lists now, in whatever state but gone. The one in
-// use stays when nodes of it go: nothing is sent to them.
+// Listed sets the nodes that the register lists in any state but gone. The solution in use stays
+// when some of its nodes are no longer listed, since nothing is sent to them.
 func (k *Keeper) Listed(ids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -201,38 +202,38 @@
 	for _, id := range ids {
 		k.nodes[id] = true
 	}
-	if o := k.waiting; o != nil {
-		if err := k.try(o); err != nil && !errors.Is(err, ErrUnknown) {
-			k.waiting = nil
+	if c := k.deferred; c != nil {
+		if err := k.accept(c); err != nil && !errors.Is(err, ErrUnknown) {
+			k.deferred = nil
 		}
 	}
 }
 
-// State is the keeper's.
+// State returns the present state of the keeper.
 func (k *Keeper) State() State {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.state
 }
 
-// Follow offers what stands in the file, at once and whenever it changes, until stop is
-// closed. A file that is not there (yet) is no error.
+// Follow offers the content of the file, immediately and whenever the file changes, until stop
+// is closed. A file that does not exist (yet) is not an error.
 func (k *Keeper) Follow(stop <-chan struct{}) {
-	if k.set.File == "" {
+	if k.settings.File == "" {
 		return
 	}
 	var last os.FileInfo
-	tick := time.NewTicker(k.set.Poll)
+	tick := time.NewTicker(k.settings.Poll)
 	defer tick.Stop()
 	for {
-		if info, err := os.Stat(k.set.File); err == nil && (last == nil || !info.ModTime().Equal(last.ModTime()) ||
+		if info, err := os.Stat(k.settings.File); err == nil && (last == nil || !info.ModTime().Equal(last.ModTime()) ||
 			info.Size() != last.Size() || !os.SameFile(info, last)) {
 			last = info
-			b, err := readFile(k.set.File)
+			b, err := readFile(k.settings.File)
 			if err != nil {
-				k.log.Warn("solution: the file cannot be read", "file", k.set.File, "err", err)
+				k.log.Warn("solution: the file cannot be read", "file", k.settings.File, "err", err)
 			} else {
-				_ = k.Offer("file "+k.set.File, b) // it has said why
+				_ = k.Offer("file "+k.settings.File, b) // Offer has logged the error
 			}
 		}
 		select {
@@ -243,10 +244,11 @@
 	}
 }
 
+// readFile reads a file of at most shares.MostSolution bytes.
 func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err == nil && info.Size() > shares.MostSolution {
-		err = fmt.Errorf("%d bytes: at most %d", info.Size(), shares.MostSolution)
+		err = fmt.Errorf("file has %d bytes: expected at most %d", info.Size(), shares.MostSolution)
 	}
 	if err != nil {
 		return nil, err
@@ -254,21 +256,21 @@
 	return os.ReadFile(name)
 }
 
-// Told is what a controller is told of a solution at a time. One that is dated in the future,
-// by a clock that is ahead, counts as new.
+// Told returns a solution as the shares of a controller at time now. A solution dated in the
+// future, by a clock that is ahead, has age 0.
 func Told(s *shares.Solution, now time.Time) control.Shares {
-	t := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
+	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
 		Volumes: make(map[string]control.VolumeShare, len(s.Shares))}
-	for v, at := range s.Shares {
-		x := control.VolumeShare{At: make(map[string]float64, len(at))}
+	for v, byNode := range s.Shares {
+		volumeShare := control.VolumeShare{At: make(map[string]float64, len(byNode))}
 		milli := int64(0)
-		for n, share := range at {
-			x.At[n] = float64(share) / 1000
+		for n, share := range byNode {
+			volumeShare.At[n] = float64(share) / 1000
 			milli += share
 		}
-		x.Rate = float64(milli) / 1000
-		_, x.Met = slices.BinarySearch(s.Met, v)
-		t.Volumes[v] = x
+		volumeShare.Rate = float64(milli) / 1000
+		_, volumeShare.Met = slices.BinarySearch(s.Met, v)
+		told.Volumes[v] = volumeShare
 	}
-	return t
+	return told
 }
--- a/shares/solution_test.go
+++ b/shares/solution_test.go
@@ -13,7 +13,8 @@
 	"eiderhold/internal/sealed"
 )
 
-func solution(t testing.TB) (*Problem, *Solution) {
+// testSolution returns a generated problem and a solution of it.
+func testSolution(t testing.TB) (*Problem, *Solution) {
 	t.Helper()
 	p := mustGenerate(t, Draw{Volumes: 12, Nodes: 4, Zones: 2, Seed: 1, Skew: 1, Load: 1, Unequal: 3, Spread: 2})
 	f, err := Search(p, Options{Seed: 1, Steps: 200})
@@ -23,10 +24,11 @@
 	return p, NewSolution(p, f, 7, "test", time.Unix(1_800_000_000, 0), 24*time.Hour)
 }
 
-// TestSolutionCut: a solution cut at every byte, with any byte changed, from a newer
-// version, or with other inputs is refused with the reason.
-func TestSolutionCut(t *testing.T) {
-	p, s := solution(t)
+// TestReadSolutionRejectsDamage checks that a solution truncated at any byte, with any byte
+// changed, with a byte added or of a newer format is rejected, and that CheckInputs rejects
+// another problem.
+func TestReadSolutionRejectsDamage(t *testing.T) {
+	p, s := testSolution(t)
 	b, err := s.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -36,55 +38,55 @@
 		t.Fatalf("read back: %+v, %v", again, err)
 	}
 	if b2, _ := again.Encode(); !bytes.Equal(b, b2) {
-		t.Error("the same solution has other bytes")
+		t.Error("the same solution has a different encoding")
 	}
 	for n := range b {
 		if got, err := ReadSolution(b[:n]); err == nil || got != nil {
-			t.Fatalf("cut at byte %d it is read: %+v", n, got)
+			t.Fatalf("cut at byte %d: no error: %+v", n, got)
 		}
 		changed := bytes.Clone(b)
 		changed[n] ^= 0x20
 		if _, err := ReadSolution(changed); err == nil {
-			t.Fatalf("with byte %d changed it is read", n)
+			t.Fatalf("byte %d changed: no error", n)
 		}
 	}
 	if _, err := ReadSolution(append(bytes.Clone(b), 'x')); err == nil || !strings.Contains(err.Error(), "added to") {
-		t.Errorf("with a byte more: %v", err)
+		t.Errorf("byte added: %v", err)
 	}
 	newer := bytes.Replace(b, []byte("eiderhold-shares 1 "), []byte("eiderhold-shares 2 "), 1)
 	if _, err := ReadSolution(newer); !errors.Is(err, sealed.ErrNewer) || !strings.Contains(err.Error(), "format 2") {
 		t.Errorf("a newer format: %v", err)
 	}
-	if err := s.Of(Digest(p)); err != nil {
+	if err := s.CheckInputs(Digest(p)); err != nil {
 		t.Error(err)
 	}
 	p.Volumes[3].Demand++
-	if err := s.Of(Digest(p)); !errors.Is(err, ErrInputs) {
+	if err := s.CheckInputs(Digest(p)); !errors.Is(err, ErrInputs) {
 		t.Errorf("other inputs: %v", err)
 	}
 	q := *p
 	q.Volumes = append(p.Volumes[5:len(p.Volumes):len(p.Volumes)], p.Volumes[:5]...)
 	if Digest(&q) != Digest(p) {
-		t.Error("the order of volumes in the file makes another digest")
+		t.Error("the digest depends on the order of volumes in the file")
 	}
 }
 
-// TestSolutionsThatCannotBe: what is whole but wrong is named.
-func TestSolutionsThatCannotBe(t *testing.T) {
+// TestInvalidSolutions checks the errors for solutions with invalid values.
+func TestInvalidSolutions(t *testing.T) {
 	for want, change := range map[string]func(*Solution){
-		"version = 0":                        func(s *Solution) { s.Version = 0 },
-		"a duration like 24h":                func(s *Solution) { s.For = "day" },
-		"at: when":                           func(s *Solution) { s.At = time.Time{} },
-		"nodes: in order":                    func(s *Solution) { s.Nodes[0], s.Nodes[1] = s.Nodes[1], s.Nodes[0] },
-		"is not among the solution's nodes":  func(s *Solution) { s.Nodes = s.Nodes[1:] },
-		`weights: volume "v00"`:              func(s *Solution) { delete(s.Weights, "v00") },
-		`shares: volume "v00": one for each`: func(s *Solution) { delete(s.Shares, "v00") },
-		`shares: volume "v01" at`:            func(s *Solution) { s.Shares["v01"][s.Placement["v01"][0]] = -1 },
-		`placement of volume "v02": some`:    func(s *Solution) { s.Placement["v02"] = nil },
-		"met: volume":                        func(s *Solution) { s.Met = []string{"v99"} },
-		"the same volumes":                   func(s *Solution) { delete(s.Placement, "v03"); s.Met = nil },
+		"version = 0":                                           func(s *Solution) { s.Version = 0 },
+		"a duration like 24h":                                   func(s *Solution) { s.For = "day" },
+		"at: the time":                                          func(s *Solution) { s.At = time.Time{} },
+		"nodes: expected in order":                              func(s *Solution) { s.Nodes[0], s.Nodes[1] = s.Nodes[1], s.Nodes[0] },
+		"is not among the solution's nodes":                     func(s *Solution) { s.Nodes = s.Nodes[1:] },
+		`weights: volume "v00"`:                                 func(s *Solution) { delete(s.Weights, "v00") },
+		`shares: volume "v00": expected one for each`:           func(s *Solution) { delete(s.Shares, "v00") },
+		`shares: volume "v01" at`:                               func(s *Solution) { s.Shares["v01"][s.Placement["v01"][0]] = -1 },
+		`placement of volume "v02": expected one or more nodes`: func(s *Solution) { s.Placement["v02"] = nil },
+		"met: volume":                                           func(s *Solution) { s.Met = []string{"v99"} },
+		"the same volumes":                                      func(s *Solution) { delete(s.Placement, "v03"); s.Met = nil },
 	} {
-		_, s := solution(t)
+		_, s := testSolution(t)
 		change(s)
 		if _, err := s.Encode(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
@@ -93,9 +95,9 @@
 }
 
 func TestDiff(t *testing.T) {
-	_, a := solution(t)
+	_, a := testSolution(t)
 	if d := Diff(a, a); len(d.Changed)+len(d.Added)+len(d.Removed)+d.Moves != 0 {
-		t.Errorf("of the same: %+v", d)
+		t.Errorf("of equal solutions: %+v", d)
 	}
 	b := *a
 	b.Version = 8
@@ -111,9 +113,9 @@
 	}
 }
 
-// FuzzReadSolution: whatever comes, an error or a solution that passes its own check.
+// FuzzReadSolution checks that any input gives an error or a solution that can be encoded.
 func FuzzReadSolution(f *testing.F) {
-	_, s := solution(f)
+	_, s := testSolution(f)
 	b, _ := s.Encode()
 	f.Add(b)
 	f.Add([]byte("eiderhold-shares 1 0 00\n"))
@@ -121,7 +123,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if s, err := ReadSolution(b); err == nil {
 			if _, err := s.Encode(); err != nil {
-				t.Fatalf("read, but it cannot be written: %v", err)
+				t.Fatalf("decoded, but cannot be encoded: %v", err)
 			}
 		}
 	})
