--- a/internal/front/rsync/conn.go
+++ b/internal/front/rsync/conn.go
@@ -17,381 +17,380 @@
 	"eiderhold/internal/wheel"
 )
 
-// conn is one client. Everything but its mailbox belongs to its event loop.
+// conn is one client connection. Except for the mailbox and active, only its event loop may use it.
 type conn struct {
-	f        *Front
-	g        gnet.Conn
-	loop     gnet.EventLoop
-	remote   string
-	session  *proto.Session
-	transfer *transfer
-	module   string // entered; empty: none
-	listed   int    // entries of file lists booked, under the front\'s lock
-	active   atomic.Bool
-	began    time.Duration
+	front       *Front
+	socket      gnet.Conn
+	loop        gnet.EventLoop
+	remote      string
+	session     *proto.Session
+	transfer    *transfer
+	moduleName  string // module whose connection count includes this one; empty: none
+	listEntries int    // reserved file list entries; guarded by front.mu
+	active      atomic.Bool
+	startedAt   time.Duration
 
-	mu     sync.Mutex // guards the mailbox
-	box    []func()
-	rung   bool
-	inTurn bool
+	mu           sync.Mutex // guards the next two fields
+	mailbox      []func()
+	runScheduled bool
+	processing   bool
 
-	shake   *wheel.Timer[timer]
-	watch   *wheel.Timer[timer]
-	polling bool
-	moved   time.Duration // when bytes last went either way
-	lastOut int
+	handshakeTimer *wheel.Timer[timer]
+	stallTimer     *wheel.Timer[timer]
+	pollPending    bool
+	lastProgress   time.Duration // when bytes last moved in either direction
+	lastOutbound   int
 
-	aside bool   // the socket is being set aside, or is
-	fd    int    // of a socket set aside; -1: none
-	carry []byte // what had been read from it
-	dead  bool
-	why   error
+	detached      bool   // the socket is outside the event loop, or about to be
+	detachedFD    int    // duplicate descriptor of the detached socket; -1: none
+	detachedInput []byte // input that was read before the socket was detached
+	ended         bool
+	closeReason   error
 
-	closeBy   time.Duration // of a connection that parts
-	shutWrite bool
+	closeAt     time.Duration // when a lingering connection is closed; 0: not lingering
+	writeClosed bool
 }
 
-const turnMost = 8 // times a session goes on before others have their turn
+const maxRoundsPerTurn = 8 // rounds of input and output before other connections of the loop run
 
-const partTime = 2 * time.Second // a connection whose session is over is closed after it
+const lingerTimeout = 2 * time.Second // how long a connection stays open after its session has ended
 
 func newConn(f *Front, g gnet.Conn) *conn {
-	c := &conn{f: f, g: g, loop: g.EventLoop(), remote: hostOf(g.RemoteAddr()), fd: -1, began: f.opt.Host.Now()}
-	c.moved = c.began
+	c := &conn{front: f, socket: g, loop: g.EventLoop(), remote: addrHost(g.RemoteAddr()), detachedFD: -1, startedAt: f.opt.Host.Now()}
+	c.lastProgress = c.startedAt
 	return c
 }
 
-// begin starts the session and the time for its handshake.
-func (c *conn) begin() {
-	c.session = proto.NewSession(&gateway{c.f, c})
-	c.shake = c.f.after(c.began+c.f.opt.Handshake, c, func() {
+// start creates the session and starts the timers for its handshake and for stalls.
+func (c *conn) start() {
+	c.session = proto.NewSession(&gateway{c.front, c})
+	c.handshakeTimer = c.front.after(c.startedAt+c.front.opt.Handshake, c, func() {
 		if !c.active.Load() {
-			c.shed("the handshake took too long")
+			c.disconnect("the handshake took too long")
 		}
 	})
-	c.watch = c.f.after(c.began+stallBit, c, c.look)
+	c.stallTimer = c.front.after(c.startedAt+stallCheckInterval, c, c.checkStall)
 }
 
-func (c *conn) cancelHandshake() { c.f.cancelTimer(c.shake) }
+func (c *conn) cancelHandshake() { c.front.cancelTimer(c.handshakeTimer) }
 
-// post has f run on the connection's loop, also after the client has gone.
+// post runs f on the connection's loop, also after the connection has ended.
 func (c *conn) post(f func()) {
 	c.mu.Lock()
-	c.box = append(c.box, f)
-	rung := c.rung
-	c.rung = true
+	c.mailbox = append(c.mailbox, f)
+	scheduled := c.runScheduled
+	c.runScheduled = true
 	c.mu.Unlock()
-	if !rung {
-		if err := c.loop.Execute(context.Background(), runnable(c.run)); err != nil {
+	if !scheduled {
+		if err := c.loop.Execute(context.Background(), runnableFunc(c.runMailbox)); err != nil {
 			c.mu.Lock()
-			c.rung = false // the loops have ended
+			c.runScheduled = false // the event loops have stopped
 			c.mu.Unlock()
 		}
 	}
 }
 
-type runnable func()
+type runnableFunc func()
 
-func (r runnable) Run(context.Context) error { r(); return nil }
+func (r runnableFunc) Run(context.Context) error { r(); return nil }
 
-// run does what was posted, then a turn.
-func (c *conn) run() {
+// runMailbox runs the posted functions, then processes the connection.
+func (c *conn) runMailbox() {
 	c.mu.Lock()
-	box := c.box
-	c.box, c.rung = nil, false
+	calls := c.mailbox
+	c.mailbox, c.runScheduled = nil, false
 	c.mu.Unlock()
-	for _, f := range box {
+	for _, f := range calls {
 		f()
 	}
-	if c.dead {
+	if c.ended {
 		return
 	}
-	if c.turn() == gnet.Close {
-		_ = c.loop.Close(c.g) // at once: nothing more is read from it
+	if c.process() == gnet.Close {
+		_ = c.loop.Close(c.socket) // closes immediately, so that no more input is read
 	}
 }
 
-// shut ends the connection.
-func (c *conn) shut(why error) {
-	if c.dead {
+// closeSession ends the session; process closes the connection afterwards.
+func (c *conn) closeSession(why error) {
+	if c.ended {
 		return
 	}
-	c.why = why
+	c.closeReason = why
 	c.session.Close(why)
 }
 
-// shed closes a connection that costs more than it may.
-func (c *conn) shed(why string) {
-	if over, _ := c.session.Over(); over || c.dead {
+// disconnect ends a connection that exceeds a limit, and counts it as shed.
+func (c *conn) disconnect(why string) {
+	if over, _ := c.session.Ended(); over || c.ended {
 		return
 	}
-	c.f.mu.Lock()
-	c.f.stats.Shed++
-	c.f.mu.Unlock()
-	c.f.opt.Log.Info("a client is sent away", "client", c.remote, "phase", c.session.Phase(), "why", why)
-	c.shut(errors.New(why))
+	c.front.mu.Lock()
+	c.front.stats.Shed++
+	c.front.mu.Unlock()
+	c.front.opt.Log.Info("a client is sent away", "client", c.remote, "phase", c.session.Phase(), "why", why)
+	c.closeSession(errors.New(why))
 }
 
-// look closes a connection on which nothing moves.
-func (c *conn) look() {
-	if c.dead {
+// checkStall ends a connection that has made no progress for the stall time.
+func (c *conn) checkStall() {
+	if c.ended {
 		return
 	}
-	now := c.f.opt.Host.Now()
-	if over, _ := c.session.Over(); over && c.aside && c.fd < 0 {
-		c.gone(c.why) // its socket could not be enrolled again
+	now := c.front.opt.Host.Now()
+	if over, _ := c.session.Ended(); over && c.detached && c.detachedFD < 0 {
+		c.teardown(c.closeReason) // the socket could not be registered again
 		return
 	}
-	if c.aside {
-		c.moved = now // it is this side that does not read
+	if c.detached {
+		c.lastProgress = now // this side has paused reading
 	} else {
-		if out := c.g.OutboundBuffered(); out < c.lastOut {
-			c.moved = now
-			c.lastOut = out
+		if out := c.socket.OutboundBuffered(); out < c.lastOutbound {
+			c.lastProgress = now
+			c.lastOutbound = out
 		}
 	}
-	if now-c.moved > c.f.opt.Stall {
-		c.shed(fmt.Sprintf("nothing moved for %v", c.f.opt.Stall))
+	if now-c.lastProgress > c.front.opt.Stall {
+		c.disconnect(fmt.Sprintf("nothing moved for %v", c.front.opt.Stall))
 	}
-	c.watch = c.f.after(now+stallBit, c, c.look)
+	c.stallTimer = c.front.after(now+stallCheckInterval, c, c.checkStall)
 }
 
-// turn feeds the session what has come, and the client what is for it, as long as
-// either goes on, but no longer than a few times: one client with much to do must not
-// keep the loop from the others.
-func (c *conn) turn() gnet.Action {
-	if c.dead || c.inTurn {
+// process passes input to the session and output to the client while either makes progress, for at
+// most maxRoundsPerTurn rounds, so that a busy client cannot starve the others of its loop.
+func (c *conn) process() gnet.Action {
+	if c.ended || c.processing {
 		return gnet.None
 	}
-	c.inTurn = true
-	defer func() { c.inTurn = false }()
+	c.processing = true
+	defer func() { c.processing = false }()
 	for i := 0; ; i++ {
-		if i == turnMost { // others of this loop have their turn
+		if i == maxRoundsPerTurn { // continue after the other connections of this loop
 			c.post(func() {})
 			break
 		}
-		went := c.feed()
-		if c.output() {
-			went = true
+		progress := c.feedInput()
+		if c.writeOutput() {
+			progress = true
 		}
-		if over, err := c.session.Over(); over {
-			return c.part(err)
+		if over, err := c.session.Ended(); over {
+			return c.linger(err)
 		}
-		if !went {
+		if !progress {
 			break
 		}
 	}
-	return c.throttle()
+	return c.throttleInput()
 }
 
-// part ends a connection whose session is over: what is for the client goes out
-// first. After an error the client may still be sending; a socket closed over unread
-// bytes would be reset, and the client would lose the text that tells it why. So only
-// this side is shut, and what comes is thrown away for a moment.
-func (c *conn) part(err error) gnet.Action {
-	if c.aside {
-		if c.fd >= 0 {
-			c.resume()
+// linger closes a connection whose session has ended, once its output is sent. After an error the
+// client may still be sending, and closing a socket with unread bytes would reset the connection, so
+// that the client would lose the error text. Therefore only the write side is shut down, and input is
+// discarded for lingerTimeout.
+func (c *conn) linger(err error) gnet.Action {
+	if c.detached {
+		if c.detachedFD >= 0 {
+			c.reattach()
 		}
 		return gnet.None
 	}
-	if out := c.session.Out(); len(out) > 0 && c.g.OutboundBuffered() <= 2*outHigh {
-		_, _ = c.g.Write(out)
+	if out := c.session.Output(); len(out) > 0 && c.socket.OutboundBuffered() <= 2*pauseOutboundBytes {
+		_, _ = c.socket.Write(out)
 		c.session.Sent(len(out))
 	}
-	_, _ = c.g.Discard(-1)
-	waiting := c.g.OutboundBuffered()
+	_, _ = c.socket.Discard(-1)
+	waiting := c.socket.OutboundBuffered()
 	if err == nil && waiting == 0 {
 		return gnet.Close
 	}
-	now := c.f.opt.Host.Now()
-	if c.closeBy == 0 {
-		c.closeBy = now + partTime
-		c.f.after(c.closeBy, c, func() {})
+	now := c.front.opt.Host.Now()
+	if c.closeAt == 0 {
+		c.closeAt = now + lingerTimeout
+		c.front.after(c.closeAt, c, func() {})
 	}
 	switch {
-	case now >= c.closeBy:
+	case now >= c.closeAt:
 		return gnet.Close
 	case waiting > 0:
-		c.poll()
-	case !c.shutWrite:
-		c.shutWrite = true
-		_ = unix.Shutdown(c.g.Fd(), unix.SHUT_WR)
+		c.pollOutbound()
+	case !c.writeClosed:
+		c.writeClosed = true
+		_ = unix.Shutdown(c.socket.Fd(), unix.SHUT_WR)
 	}
 	return gnet.None
 }
 
-// feed hands input to the session as far as it takes it.
-func (c *conn) feed() bool {
-	room := proto.InputHigh - c.session.Held()
-	if c.aside {
-		n := min(room, len(c.carry))
+// feedInput passes as much input to the session as it has room for.
+func (c *conn) feedInput() bool {
+	room := proto.MaxInputBytes - c.session.Buffered()
+	if c.detached {
+		n := min(room, len(c.detachedInput))
 		if n <= 0 {
 			return c.resumeSession()
 		}
-		p := c.carry[:n]
-		c.carry = c.carry[n:]
+		p := c.detachedInput[:n]
+		c.detachedInput = c.detachedInput[n:]
 		c.session.Feed(p)
 		return true
 	}
-	n := min(room, c.g.InboundBuffered())
+	n := min(room, c.socket.InboundBuffered())
 	if n <= 0 {
 		return c.resumeSession()
 	}
-	p, err := c.g.Next(n)
+	p, err := c.socket.Next(n)
 	if err != nil {
 		return false
 	}
-	c.moved = c.f.opt.Host.Now()
+	c.lastProgress = c.front.opt.Host.Now()
 	c.session.Feed(p)
 	return true
 }
 
-// resumeSession lets the session go on with what it holds, and says whether it took
-// any of it, so that there is room for more.
+// resumeSession resumes the session with the input that it has buffered, and reports whether it
+// consumed any of it, so that there is room for more.
 func (c *conn) resumeSession() bool {
-	before := c.session.Held()
+	before := c.session.Buffered()
 	c.session.Resume()
-	return c.session.Held() < before
+	return c.session.Buffered() < before
 }
 
-// output writes what is for the client, unless its socket is full.
-func (c *conn) output() bool {
-	out := c.session.Out()
-	if len(out) == 0 || c.aside {
+// writeOutput writes the session's output to the client, unless too much is buffered already.
+func (c *conn) writeOutput() bool {
+	out := c.session.Output()
+	if len(out) == 0 || c.detached {
 		return false
 	}
-	if c.g.OutboundBuffered() > outHigh {
-		c.poll()
+	if c.socket.OutboundBuffered() > pauseOutboundBytes {
+		c.pollOutbound()
 		return false
 	}
-	n, err := c.g.Write(out)
+	n, err := c.socket.Write(out)
 	if err != nil {
-		return false // OnClose follows
+		return false // gnet calls OnClose
 	}
 	c.session.Sent(n)
-	waiting := c.g.OutboundBuffered()
-	if waiting < c.lastOut+len(out) {
-		c.moved = c.f.opt.Host.Now()
+	waiting := c.socket.OutboundBuffered()
+	if waiting < c.lastOutbound+len(out) {
+		c.lastProgress = c.front.opt.Host.Now()
 	}
-	c.lastOut = waiting
+	c.lastOutbound = waiting
 	c.session.Resume()
 	return true
 }
 
-// poll looks at a full socket again soon: gnet does not tell when it has drained.
-func (c *conn) poll() {
-	if c.polling {
+// pollOutbound schedules another check of a full output buffer, because gnet does not signal when the
+// buffer has drained.
+func (c *conn) pollOutbound() {
+	if c.pollPending {
 		return
 	}
-	c.polling = true
-	c.f.after(c.f.opt.Host.Now()+outPoll, c, func() { c.polling = false })
+	c.pollPending = true
+	c.front.after(c.front.opt.Host.Now()+outboundPollInterval, c, func() { c.pollPending = false })
 }
 
-// throttle stops reading from a client that sends faster than its bytes can be
-// used. gnet reads whatever comes; so the socket is taken out of the loop, kept in a
-// duplicate, and enrolled again once there is room. What the client sends meanwhile
-// fills its own window.
-func (c *conn) throttle() gnet.Action {
-	if c.aside {
-		if c.fd >= 0 && len(c.carry) == 0 && c.session.Held() < proto.InputHigh/2 {
-			c.resume()
+// throttleInput stops reading from a client that sends faster than its input is consumed. gnet has no
+// way to pause reading, so a duplicate of the descriptor is kept, gnet closes its own, and the socket
+// is registered again once there is room. Meanwhile TCP flow control holds the client back.
+func (c *conn) throttleInput() gnet.Action {
+	if c.detached {
+		if c.detachedFD >= 0 && len(c.detachedInput) == 0 && c.session.Buffered() < proto.MaxInputBytes/2 {
+			c.reattach()
 		}
 		return gnet.None
 	}
-	waiting := c.g.InboundBuffered()
-	if waiting < inPause {
+	waiting := c.socket.InboundBuffered()
+	if waiting < pauseInboundBytes {
 		return gnet.None
 	}
-	if c.g.OutboundBuffered() > 0 {
-		if waiting > inShed {
-			c.shed("it sends and does not read")
+	if c.socket.OutboundBuffered() > 0 {
+		if waiting > maxInboundBytes {
+			c.disconnect("it sends and does not read")
 			return gnet.Close
 		}
 		return gnet.None
 	}
-	fd, err := c.g.Dup()
+	fd, err := c.socket.Dup()
 	if err != nil {
-		c.shed("no descriptor to set its socket aside: " + err.Error())
+		c.disconnect("no descriptor to set its socket aside: " + err.Error())
 		return gnet.Close
 	}
-	p, _ := c.g.Next(-1)
-	c.carry = append([]byte(nil), p...)
-	c.fd, c.aside = fd, true
-	c.f.mu.Lock()
-	c.f.stats.Paused++
-	c.f.mu.Unlock()
-	return gnet.Close // of gnet's own descriptor
+	p, _ := c.socket.Next(-1)
+	c.detachedInput = append([]byte(nil), p...)
+	c.detachedFD, c.detached = fd, true
+	c.front.mu.Lock()
+	c.front.stats.Paused++
+	c.front.mu.Unlock()
+	return gnet.Close // closes only gnet's own descriptor
 }
 
-// resume enrols the socket again.
-func (c *conn) resume() {
-	file := os.NewFile(uintptr(c.fd), "client")
-	c.fd = -1
+// reattach registers the detached socket with the event loop again.
+func (c *conn) reattach() {
+	file := os.NewFile(uintptr(c.detachedFD), "client")
+	c.detachedFD = -1
 	nc, err := net.FileConn(file)
 	file.Close()
 	if err == nil {
 		_, err = c.loop.Enroll(gnet.NewContext(context.Background(), c), nc)
 	}
 	if err != nil {
-		c.shut(fmt.Errorf("the client's socket could not be read again: %w", err))
-		c.gone(c.why)
+		c.closeSession(fmt.Errorf("the client's socket could not be read again: %w", err))
+		c.teardown(c.closeReason)
 	}
 }
 
-// back is called on the loop when the socket is enrolled.
-func (c *conn) back(g gnet.Conn) {
-	if c.dead {
+// reattached is called on the loop once the socket is registered again.
+func (c *conn) reattached(g gnet.Conn) {
+	if c.ended {
 		_ = g.Close()
 		return
 	}
-	c.g, c.aside, c.lastOut = g, false, 0
-	c.moved = c.f.opt.Host.Now()
+	c.socket, c.detached, c.lastOutbound = g, false, 0
+	c.lastProgress = c.front.opt.Host.Now()
 	c.post(func() {})
 }
 
-// closed is called when gnet has closed the socket.
-func (c *conn) closed(err error) {
-	if c.aside && !c.dead && c.fd >= 0 {
-		c.post(func() {}) // there may be room already
+// socketClosed is called when gnet has closed the socket.
+func (c *conn) socketClosed(err error) {
+	if c.detached && !c.ended && c.detachedFD >= 0 {
+		c.post(func() {}) // there may be room for input already
 		return
 	}
 	if err == nil {
-		err = c.why
+		err = c.closeReason
 	}
-	if over, _ := c.session.Over(); !over {
-		c.session.EOF() // what it has may be enough to end well
+	if over, _ := c.session.Ended(); !over {
+		c.session.EOF() // the buffered input may be enough to finish successfully
 	}
-	c.gone(err)
+	c.teardown(err)
 }
 
-// gone ends everything of the connection.
-func (c *conn) gone(err error) {
-	if c.dead {
+// teardown ends the session and releases everything that the connection holds.
+func (c *conn) teardown(err error) {
+	if c.ended {
 		return
 	}
-	c.dead = true
+	c.ended = true
 	if err == nil {
 		err = errors.New("the client closed the connection")
 	}
 	c.session.Close(err)
-	if c.fd >= 0 {
-		os.NewFile(uintptr(c.fd), "client").Close()
-		c.fd = -1
+	if c.detachedFD >= 0 {
+		os.NewFile(uintptr(c.detachedFD), "client").Close()
+		c.detachedFD = -1
 	}
-	f := c.f
-	f.cancelTimer(c.shake)
-	f.cancelTimer(c.watch)
+	f := c.front
+	f.cancelTimer(c.handshakeTimer)
+	f.cancelTimer(c.stallTimer)
 	f.mu.Lock()
 	delete(f.conns, c)
-	delete(f.hungry, c)
-	f.listed -= c.listed
-	if c.module != "" {
-		if f.entered[c.module]--; f.entered[c.module] == 0 {
-			delete(f.entered, c.module)
+	delete(f.budgetWaiters, c)
+	f.listEntries -= c.listEntries
+	if c.moduleName != "" {
+		if f.moduleConns[c.moduleName]--; f.moduleConns[c.moduleName] == 0 {
+			delete(f.moduleConns, c.moduleName)
 		}
 	}
 	f.mu.Unlock()
-	_, serr := c.session.Over()
+	_, serr := c.session.Ended()
 	f.opt.Log.Debug("connection ended", "client", c.remote, "phase", c.session.Phase(), "err", serr)
 }
--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -1,7 +1,7 @@
-// Package rsync is the rsync front: clients' sockets on gnet's event loops, one
-// session of internal/rsync a connection, and the way from a transfer to requests.
-// It knows no node, chooses none and repeats nothing on its own account: each extent
-// is a request to the host, and what follows a refusal of one is decided by pacing.
+// Package rsync is the rsync front of the gateway. It serves client connections on gnet's event
+// loops, runs one session of internal/rsync for each connection, and turns the transfers into
+// requests. It does not choose nodes or retry on its own: it submits each extent to the host as a
+// request, and package pacing decides what follows a refusal or a failure. Package gateway uses it.
 package rsync
 
 import (
@@ -31,24 +31,24 @@
 	"eiderhold/placement"
 )
 
-// Module is a module of the front: a volume with a plan.
+// Module is an rsync module that the front serves: a volume and its plan.
 type Module struct {
 	proto.Module
 	Plan    string
-	Quota   int64             // most bytes of its files; 0: no bound
-	Share   float64           // units a second told in advance; 0: none
-	Hosts   int               // gateways that serve the volume
-	MaxConn int               // connections at a time; 0: no ceiling of its own
-	Secrets map[string]string // passwords by user
+	Quota   int64             // maximum total bytes of its files; 0: no limit
+	Share   float64           // announced units per second; 0: none
+	Hosts   int               // number of gateways that serve the volume
+	MaxConn int               // maximum concurrent connections; 0: no limit for the module
+	Secrets map[string]string // passwords by user name
 }
 
-// Spot is where an extent is to go.
+// Spot tells which shards a new extent may be written to.
 type Spot struct {
-	Tiers [][]int // shards that are to take it, the best tier first; none: any may
-	Avoid []int   // shards that take nothing new, ascending
+	Tiers [][]int // preferred shards in descending order of preference; empty: any shard
+	Avoid []int   // shards that accept no new extents, in ascending order
 }
 
-// Options are what a front is made of.
+// Options configure a front.
 type Options struct {
 	Listen      string // host:port
 	Loops       int
@@ -59,86 +59,86 @@
 	Pacing      pacing.Settings
 	Modules     []Module
 	MOTD        string
-	Seed        int64 // of the transfers' pauses
+	Seed        int64 // seeds the random retry delays of transfers
 	ExtentBytes int
-	// Place says where an extent of a file of so many bytes (negative: not known) is to go, or why
-	// nothing takes it. nil: any shard may.
+	// Place returns the shards that an extent of a file of size bytes (negative: unknown) may be written
+	// to, or an error that says why no shard accepts it. nil: any shard may be used.
 	Place func(volume, file string, index int, size int64) (Spot, error)
-	// Lost says that a shard gives no answers, in words, and when it is worth to come back. nil: none
-	// is ever lost.
+	// Lost reports whether a shard has stopped answering, with the reason and the time after which the
+	// client should retry. nil: no shard is ever considered lost.
 	Lost      func(shard int) (why string, back time.Duration, lost bool)
-	MaxConns  int           // connections at a time
-	MaxFiles  int           // entries of file lists, over all transfers
-	Budget    int64         // bytes of extents held over all transfers
-	Handshake time.Duration // time for all before a transfer
-	Stall     time.Duration // a connection on which nothing moves for so long is closed
+	MaxConns  int           // maximum concurrent connections
+	MaxFiles  int           // maximum file list entries, over all transfers
+	Budget    int64         // maximum bytes of extents held in memory, over all transfers
+	Handshake time.Duration // time limit for everything before the transfer
+	Stall     time.Duration // a connection without progress for this time is closed
 	Log       *slog.Logger
 }
 
-// Front is a running front.
+// Front is a running rsync front.
 type Front struct {
-	opt     Options
-	eng     gnet.Engine
-	addr    string
-	booted  chan error
-	ended   chan struct{}
-	classes map[string]control.Class
-	modules map[string]*Module
-	ctx     context.Context
-	cancel  context.CancelFunc
-
-	mu       sync.Mutex // guards what follows
-	conns    map[*conn]bool
-	entered  map[string]int
-	budget   pacing.Budget
-	hungry   map[*conn]bool // wait for room in the budget
-	quotas   map[string]*placement.Quota
-	draining bool
-	seeds    uint64
-	listed   int // entries of file lists that all connections hold
-	parting  int // clients that were turned away and have not gone
-	stats    Stats
-
-	timeMu sync.Mutex
-	wheel  *wheel.Wheel[timer]
-	alarm  chan struct{}
-}
-
-// timer is a call that a connection has asked for.
+	opt      Options
+	eng      gnet.Engine
+	addr     string
+	startErr chan error
+	stopped  chan struct{}
+	classes  map[string]control.Class
+	modules  map[string]*Module
+	ctx      context.Context
+	cancel   context.CancelFunc
+
+	mu            sync.Mutex // guards the fields up to stats
+	conns         map[*conn]bool
+	moduleConns   map[string]int
+	budget        pacing.Budget
+	budgetWaiters map[*conn]bool // connections waiting for room in the budget
+	quotas        map[string]*placement.Quota
+	draining      bool
+	lastSeed      uint64
+	listEntries   int // file list entries reserved by all connections
+	rejectedConns int // rejected connections that are not closed yet
+	stats         Stats
+
+	timerMu    sync.Mutex
+	wheel      *wheel.Wheel[timer]
+	timerAdded chan struct{}
+}
+
+// timer is a function to call on a connection's event loop.
 type timer struct {
-	c *conn
-	f func()
+	conn *conn
+	call func()
 }
 
-// Stats are counts since the start.
+// Stats holds counters since the start; Conns, Active and Budget are current values.
 type Stats struct {
 	Accepted, TurnedAway, Transfers uint64
-	Served, Refused, Failed         uint64 // transfers by how they ended
+	Served, Refused, Failed         uint64 // transfers by result
 	FilesLeftOut                    uint64
 	Shed, Paused, Corrupt           uint64
 	Conns, Active                   int
 	Budget                          int64
-	Deliver                         host.Times // from an outcome's coming in to its bytes' turn at the client's loop
+	Deliver                         host.Times // from the arrival of an outcome to its handling on the connection's loop
 }
 
 const (
-	outHigh  = 1 << 20              // bytes waiting in a socket's buffer before a session pauses
-	outPoll  = 2 * time.Millisecond // how often a full one is looked at
-	inPause  = 512 << 10            // bytes read and not taken, at which a socket is no longer read
-	inShed   = 8 << 20              // and at which it is closed
-	partMost = 256                  // clients turned away that may take their time to go
-	stallBit = 1 * time.Second      // how often stalls are looked for
+	pauseOutboundBytes   = 1 << 20              // buffered output at which writing to the client pauses
+	outboundPollInterval = 2 * time.Millisecond // how often a full output buffer is checked
+	pauseInboundBytes    = 512 << 10            // unconsumed input at which reading from the client pauses
+	maxInboundBytes      = 8 << 20              // unconsumed input at which a connection with blocked output is closed
+	maxRejectedConns     = 256                  // rejected connections that may linger; beyond it they are closed at once
+	stallCheckInterval   = 1 * time.Second      // how often a connection is checked for progress
 )
 
-// Start listens and serves.
+// Start starts a front that listens on opt.Listen, and returns once it accepts connections.
 func Start(opt Options) (*Front, error) {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	f := &Front{opt: opt, booted: make(chan error, 1), ended: make(chan struct{}),
+	f := &Front{opt: opt, startErr: make(chan error, 1), stopped: make(chan struct{}),
 		classes: map[string]control.Class{}, modules: map[string]*Module{}, conns: map[*conn]bool{},
-		entered: map[string]int{}, quotas: map[string]*placement.Quota{}, hungry: map[*conn]bool{}, budget: pacing.Budget{Limit: opt.Budget, Reserve: 0.25},
-		wheel: wheel.New[timer](time.Millisecond, opt.Host.Now()), alarm: make(chan struct{}, 1)}
+		moduleConns: map[string]int{}, quotas: map[string]*placement.Quota{}, budgetWaiters: map[*conn]bool{}, budget: pacing.Budget{Limit: opt.Budget, Reserve: 0.25},
+		wheel: wheel.New[timer](time.Millisecond, opt.Host.Now()), timerAdded: make(chan struct{}, 1)}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for _, c := range opt.Classes {
 		f.classes[c.Name] = c
@@ -147,27 +147,27 @@
 		f.modules[opt.Modules[i].Name] = &opt.Modules[i]
 	}
 	go func() {
-		err := gnet.Run(&handler{f: f}, "tcp://"+opt.Listen, gnet.WithNumEventLoop(max(1, opt.Loops)),
+		err := gnet.Run(&handler{front: f}, "tcp://"+opt.Listen, gnet.WithNumEventLoop(max(1, opt.Loops)),
 			gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(telemetry.Gnet{Log: opt.Log}),
 			gnet.WithReadBufferCap(128<<10), gnet.WithWriteBufferCap(256<<10))
 		select {
-		case f.booted <- fmt.Errorf("rsync front: listen on %s: %w", opt.Listen, err):
+		case f.startErr <- fmt.Errorf("rsync front: listen on %s: %w", opt.Listen, err):
 		default:
 		}
-		close(f.ended)
+		close(f.stopped)
 	}()
-	if err := <-f.booted; err != nil {
+	if err := <-f.startErr; err != nil {
 		f.cancel()
 		return nil, err
 	}
-	go f.keepTime()
+	go f.runTimers()
 	return f, nil
 }
 
-// Addr is where the front listens.
+// Addr returns the address on which the front listens.
 func (f *Front) Addr() string { return f.addr }
 
-// Stats returns the counts.
+// Stats returns a copy of the counters.
 func (f *Front) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,14 +181,14 @@
 	return s
 }
 
-// Drain takes no new connections, sends away those that have no transfer, and waits
-// until the others have ended or ctx has.
+// Drain rejects new connections, closes those without an active transfer, and waits until the others
+// have ended or ctx is done.
 func (f *Front) Drain(ctx context.Context) error {
 	f.mu.Lock()
 	f.draining = true
 	for c := range f.conns {
 		if !c.active.Load() {
-			c.post(func() { c.shut(errors.New("the gateway drains")) })
+			c.post(func() { c.closeSession(errors.New("the gateway drains")) })
 		}
 	}
 	f.mu.Unlock()
@@ -207,7 +207,7 @@
 	}
 }
 
-// Close ends the front and its connections.
+// Close stops the front and closes all of its connections.
 func (f *Front) Close() error {
 	f.mu.Lock()
 	f.draining = true
@@ -216,20 +216,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	err := f.eng.Stop(ctx)
-	<-f.ended
+	<-f.stopped
 	f.mu.Lock()
 	left := make([]*conn, 0, len(f.conns))
 	for c := range f.conns {
-		left = append(left, c) // those whose socket was set aside
+		left = append(left, c) // gnet does not close those whose socket is detached
 	}
 	f.mu.Unlock()
 	for _, c := range left {
-		c.gone(errors.New("the gateway stops"))
+		c.teardown(errors.New("the gateway stops"))
 	}
 	return err
 }
 
-// Reload takes other modules for connections that come from now on.
+// Reload replaces the modules and the message of the day for connections that are accepted from now on.
 func (f *Front) Reload(modules []Module, motd string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,37 +242,37 @@
 
 // ---- timers ----
 
-// after has f called on the connection's loop at a time of the host's clock.
+// after schedules call on the connection's loop at the given time of the host's clock.
 func (f *Front) after(at time.Duration, c *conn, call func()) *wheel.Timer[timer] {
-	f.timeMu.Lock()
+	f.timerMu.Lock()
 	t := f.wheel.Add(at, timer{c, call})
-	f.timeMu.Unlock()
+	f.timerMu.Unlock()
 	select {
-	case f.alarm <- struct{}{}:
+	case f.timerAdded <- struct{}{}:
 	default:
 	}
 	return t
 }
 
 func (f *Front) cancelTimer(t *wheel.Timer[timer]) {
-	f.timeMu.Lock()
+	f.timerMu.Lock()
 	f.wheel.Cancel(t)
-	f.timeMu.Unlock()
+	f.timerMu.Unlock()
 }
 
-// keepTime drives the wheel.
-func (f *Front) keepTime() {
+// runTimers advances the timer wheel until the front stops.
+func (f *Front) runTimers() {
 	sleep := time.NewTimer(0)
 	defer sleep.Stop()
 	for {
 		var due []timer
-		f.timeMu.Lock()
+		f.timerMu.Lock()
 		now := f.opt.Host.Now()
 		f.wheel.Advance(now, func(t timer) { due = append(due, t) })
 		next, ok := f.wheel.Next()
-		f.timeMu.Unlock()
+		f.timerMu.Unlock()
 		for _, t := range due {
-			t.c.post(t.f)
+			t.conn.post(t.call)
 		}
 		wait := time.Hour
 		if ok {
@@ -281,7 +281,7 @@
 		sleep.Reset(wait)
 		select {
 		case <-sleep.C:
-		case <-f.alarm:
+		case <-f.timerAdded:
 		case <-f.ctx.Done():
 			return
 		}
@@ -292,12 +292,12 @@
 
 type handler struct {
 	gnet.BuiltinEventEngine
-	f *Front
+	front *Front
 }
 
-// OnBoot learns where the front listens.
+// OnBoot records the address on which the front listens.
 func (h *handler) OnBoot(eng gnet.Engine) gnet.Action {
-	h.f.eng = eng
+	h.front.eng = eng
 	fd, err := eng.Dup()
 	if err == nil {
 		var sa unix.Sockaddr
@@ -305,24 +305,24 @@
 		unix.Close(fd)
 		switch sa := sa.(type) {
 		case *unix.SockaddrInet4:
-			h.f.addr = net.JoinHostPort(net.IP(sa.Addr[:]).String(), fmt.Sprint(sa.Port))
+			h.front.addr = net.JoinHostPort(net.IP(sa.Addr[:]).String(), fmt.Sprint(sa.Port))
 		case *unix.SockaddrInet6:
-			h.f.addr = net.JoinHostPort(net.IP(sa.Addr[:]).String(), fmt.Sprint(sa.Port))
+			h.front.addr = net.JoinHostPort(net.IP(sa.Addr[:]).String(), fmt.Sprint(sa.Port))
 		}
 	}
 	if err != nil {
-		h.f.booted <- fmt.Errorf("rsync front: listener: %w", err)
+		h.front.startErr <- fmt.Errorf("rsync front: listener: %w", err)
 		return gnet.Shutdown
 	}
-	h.f.booted <- nil
+	h.front.startErr <- nil
 	return gnet.None
 }
 
-// OnOpen takes a new client, or one whose socket had been set aside.
+// OnOpen accepts a new client, or takes back a connection whose socket was detached.
 func (h *handler) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
-	f := h.f
+	f := h.front
 	if c, ok := g.Context().(*conn); ok {
-		c.back(g)
+		c.reattached(g)
 		return nil, gnet.None
 	}
 	f.mu.Lock()
@@ -332,15 +332,15 @@
 		if f.draining {
 			text = "@ERROR: the gateway is shutting down -- try again later\n"
 		}
-		many := f.parting >= partMost
-		if !many {
-			f.parting++
+		overLimit := f.rejectedConns >= maxRejectedConns
+		if !overLimit {
+			f.rejectedConns++
 		}
 		f.mu.Unlock()
-		if many {
+		if overLimit {
 			return []byte(text), gnet.Close
 		}
-		f.turnAway(g, text)
+		f.reject(g, text)
 		return nil, gnet.None
 	}
 	c := newConn(f, g)
@@ -348,25 +348,25 @@
 	f.stats.Accepted++
 	f.mu.Unlock()
 	g.SetContext(c)
-	c.begin()
-	return nil, c.turn()
+	c.start()
+	return nil, c.process()
 }
 
-// turnedAway marks a client that was told to come later.
-type turnedAway struct{}
+// rejectedConn is the context of a socket whose client was told to retry later.
+type rejectedConn struct{}
 
-// turnAway tells a client to come later. What it sends is thrown away for a moment: a
-// socket closed over unread bytes would be reset, and the text lost.
-func (f *Front) turnAway(g gnet.Conn, text string) {
-	g.SetContext(turnedAway{})
+// reject tells a client to retry later. Its input is discarded for lingerTimeout: closing a socket
+// with unread bytes would reset the connection, and the client would lose the text.
+func (f *Front) reject(g gnet.Conn, text string) {
+	g.SetContext(rejectedConn{})
 	_, _ = g.Write([]byte(text))
 	_ = unix.Shutdown(g.Fd(), unix.SHUT_WR)
-	time.AfterFunc(partTime, func() { _ = g.Close() })
+	time.AfterFunc(lingerTimeout, func() { _ = g.Close() })
 }
 
-// OnTraffic feeds the session.
+// OnTraffic passes new input to the session.
 func (h *handler) OnTraffic(g gnet.Conn) gnet.Action {
-	if _, away := g.Context().(turnedAway); away {
+	if _, away := g.Context().(rejectedConn); away {
 		_, _ = g.Discard(-1)
 		return gnet.None
 	}
@@ -374,82 +374,82 @@
 	if !ok {
 		return gnet.Close
 	}
-	return c.turn()
+	return c.process()
 }
 
-// OnClose ends the session, unless the socket was only set aside.
+// OnClose ends the session, unless the socket was only detached.
 func (h *handler) OnClose(g gnet.Conn, err error) gnet.Action {
-	if _, away := g.Context().(turnedAway); away {
-		h.f.mu.Lock()
-		h.f.parting--
-		h.f.mu.Unlock()
+	if _, away := g.Context().(rejectedConn); away {
+		h.front.mu.Lock()
+		h.front.rejectedConns--
+		h.front.mu.Unlock()
 	}
 	c, ok := g.Context().(*conn)
-	if !ok || c.g != g {
+	if !ok || c.socket != g {
 		return gnet.None
 	}
-	c.closed(err)
+	c.socketClosed(err)
 	return gnet.None
 }
 
-// ---- what sessions ask of the gateway ----
+// ---- the sessions' gateway ----
 
-// gateway is the front as one connection's session sees it.
+// gateway implements proto.Gateway for the session of one connection.
 type gateway struct {
-	f *Front
-	c *conn
+	front *Front
+	conn  *conn
 }
 
-func (w *gateway) Modules() []proto.Module {
-	w.f.mu.Lock()
-	defer w.f.mu.Unlock()
-	list := make([]proto.Module, len(w.f.opt.Modules))
-	for i, m := range w.f.opt.Modules {
+func (gw *gateway) Modules() []proto.Module {
+	gw.front.mu.Lock()
+	defer gw.front.mu.Unlock()
+	list := make([]proto.Module, len(gw.front.opt.Modules))
+	for i, m := range gw.front.opt.Modules {
 		list[i] = m.Module
 	}
 	return list
 }
 
-func (w *gateway) Module(name string) (proto.Module, bool) {
-	w.f.mu.Lock()
-	defer w.f.mu.Unlock()
-	m := w.f.modules[name]
+func (gw *gateway) Module(name string) (proto.Module, bool) {
+	gw.front.mu.Lock()
+	defer gw.front.mu.Unlock()
+	m := gw.front.modules[name]
 	if m == nil {
 		return proto.Module{}, false
 	}
 	return m.Module, true
 }
 
-func (w *gateway) MOTD() string {
-	w.f.mu.Lock()
-	defer w.f.mu.Unlock()
-	return w.f.opt.MOTD
+func (gw *gateway) MOTD() string {
+	gw.front.mu.Lock()
+	defer gw.front.mu.Unlock()
+	return gw.front.opt.MOTD
 }
 
-func (w *gateway) Challenge() string {
+func (gw *gateway) Challenge() string {
 	var b [16]byte
 	_, _ = crand.Read(b[:]) // never fails
 	return base64.RawStdEncoding.EncodeToString(b[:])
 }
 
-func (w *gateway) Seed() uint32 {
+func (gw *gateway) Seed() uint32 {
 	var b [4]byte
 	_, _ = crand.Read(b[:])
 	return binary.LittleEndian.Uint32(b[:]) | 1
 }
 
-// nextSeed is a seed for a transfer's pacing.
-func (f *Front) nextSeed() uint64 {
+// nextPacingSeed returns a new seed for a transfer's pacing.
+func (f *Front) nextPacingSeed() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seeds++
-	return uint64(f.opt.Seed) + f.seeds
+	f.lastSeed++
+	return uint64(f.opt.Seed) + f.lastSeed
 }
 
-func (w *gateway) Secret(module, user string) (string, bool) {
-	w.f.mu.Lock()
-	defer w.f.mu.Unlock()
-	m := w.f.modules[module]
+func (gw *gateway) Secret(module, user string) (string, bool) {
+	gw.front.mu.Lock()
+	defer gw.front.mu.Unlock()
+	m := gw.front.modules[module]
 	if m == nil {
 		return "", false
 	}
@@ -457,39 +457,39 @@
 	return s, ok
 }
 
-func (w *gateway) Enter(module string) (int, bool) {
-	f := w.f
+func (gw *gateway) AcquireConn(module string) (int, bool) {
+	f := gw.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.modules[module]
 	if m == nil {
 		return 0, false
 	}
-	if m.MaxConn > 0 && f.entered[module] >= m.MaxConn {
+	if m.MaxConn > 0 && f.moduleConns[module] >= m.MaxConn {
 		f.stats.TurnedAway++
 		return m.MaxConn, false
 	}
-	f.entered[module]++
-	w.c.module = module
+	f.moduleConns[module]++
+	gw.conn.moduleName = module
 	return m.MaxConn, true
 }
 
-func (w *gateway) MaxFiles() int { return w.f.opt.MaxFiles }
+func (gw *gateway) MaxFiles() int { return gw.front.opt.MaxFiles }
 
-func (w *gateway) Listed(n int) bool {
-	f := w.f
+func (gw *gateway) ReserveListEntries(n int) bool {
+	f := gw.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.listed > 0 && f.listed+n > f.opt.MaxFiles {
+	if f.listEntries > 0 && f.listEntries+n > f.opt.MaxFiles {
 		return false
 	}
-	f.listed += n
-	w.c.listed += n
+	f.listEntries += n
+	gw.conn.listEntries += n
 	return true
 }
 
-func (w *gateway) Begin(t proto.Transfer) (proto.Tree, error) {
-	f := w.f
+func (gw *gateway) Begin(t proto.Transfer) (proto.Tree, error) {
+	f := gw.front
 	f.mu.Lock()
 	m, draining := f.modules[t.Module], f.draining
 	if m != nil && !draining {
@@ -499,13 +499,13 @@
 	if m == nil || draining {
 		return nil, errors.New("the gateway is shutting down or the module has gone; try again later")
 	}
-	w.c.active.Store(true)
-	w.c.cancelHandshake()
-	return newTransfer(w.c, m, t), nil
+	gw.conn.active.Store(true)
+	gw.conn.cancelHandshake()
+	return newTransfer(gw.conn, m, t), nil
 }
 
-// hostOf is an address without its port, for logs.
-func hostOf(a net.Addr) string {
+// addrHost returns an address without its port, for logs.
+func addrHost(a net.Addr) string {
 	if a == nil {
 		return "?"
 	}
--- a/internal/front/rsync/reader.go
+++ b/internal/front/rsync/reader.go
@@ -15,36 +15,38 @@
 	"eiderhold/pacing"
 )
 
-// reader reads one version of a file, extent by extent, a few ahead.
+// reader reads one version of a file extent by extent and prefetches as many as the transfer's window
+// allows.
 type reader struct {
-	t       *transfer
-	entry   store.Entry
-	extents []extent.Extent
-	class   string
-	held    map[int]*held
-	end     int64 // of the bytes that were handed out
-	err     error
-	closed  bool
+	transfer *transfer
+	entry    store.Entry
+	extents  []extent.Extent
+	class    string
+	fetches  map[int]*extentFetch
+	readEnd  int64 // end of the last range that was returned
+	err      error
+	closed   bool
 }
 
-// held is one extent that was asked for.
-type held struct {
-	piece *piece
-	data  *buffer.Buffer // nil: not there yet
-	err   error
+// extentFetch is an extent that was requested from a node.
+type extentFetch struct {
+	request *extentRequest
+	data    *buffer.Buffer // nil: not received yet
+	err     error
 }
 
-// Open begins to read a file: its first extent is asked for at once.
+// Open begins to read a file and requests its first extent at once.
 func (t *transfer) Open(f proto.File) proto.Reader {
 	e, _ := f.Ref.(store.Entry)
-	r := &reader{t: t, entry: e, extents: e.Extents(), class: t.f.opt.Work.Read(e.Size), held: map[int]*held{}}
+	r := &reader{transfer: t, entry: e, extents: e.Extents(), class: t.front.opt.Work.Read(e.Size), fetches: map[int]*extentFetch{}}
 	if len(r.extents) > 0 {
 		r.fetch(0, false)
 	}
 	return r
 }
 
-// At returns what is there of the range, and asks for it and some more behind it.
+// At returns the bytes of the range that were received; it requests the extent at off and prefetches
+// the ones after it.
 func (r *reader) At(off int64, n int) ([]byte, bool, error) {
 	if r.err != nil {
 		return nil, false, r.err
@@ -53,21 +55,21 @@
 	if len(around) == 0 || n <= 0 {
 		return nil, false, r.fail(fmt.Errorf("byte %d lies behind the end of the %d bytes here", off, r.entry.Size))
 	}
-	x := around[0]
-	i := len(r.extents) - cap(around) // extents is never resliced from behind
-	for j, h := range r.held {        // what lies elsewhere is not needed again
-		if j < i || j > i+r.t.f.opt.Pacing.WindowTop {
-			r.drop(j, h)
+	at := around[0]
+	i := len(r.extents) - cap(around) // around is a subslice of extents, whose capacity equals its length
+	for j, h := range r.fetches {     // extents before this one or far behind it are not needed again
+		if j < i || j > i+r.transfer.front.opt.Pacing.WindowTop {
+			r.release(j, h)
 		}
 	}
-	h := r.held[i]
+	h := r.fetches[i]
 	if h == nil {
 		h = r.fetch(i, true)
 	} else if h.data == nil && h.err == nil {
-		r.t.need(h.piece)
+		r.transfer.prioritize(h.request)
 	}
-	for j := i + 1; j < len(r.extents) && j <= i+r.t.pace.Window(); j++ {
-		if r.held[j] == nil {
+	for j := i + 1; j < len(r.extents) && j <= i+r.transfer.pacing.Window(); j++ {
+		if r.fetches[j] == nil {
 			r.fetch(j, false)
 		}
 	}
@@ -77,59 +79,59 @@
 	case h.data == nil:
 		return nil, false, nil
 	}
-	p := h.data.B[off-x.Offset:]
+	p := h.data.B[off-at.Offset:]
 	p = p[:min(n, len(p))]
-	r.end = max(r.end, off+int64(len(p)))
+	r.readEnd = max(r.readEnd, off+int64(len(p)))
 	return p, true, nil
 }
 
-// fail books the file as left out, once.
+// fail records the file as left out, once.
 func (r *reader) fail(err error) error {
 	if r.err == nil {
-		r.err = r.t.file(err)
+		r.err = r.transfer.finishFile(err)
 	}
 	return r.err
 }
 
-// fetch asks for extent i.
-func (r *reader) fetch(i int, needed bool) *held {
-	t, x := r.t, r.extents[i]
-	h := &held{}
-	r.held[i] = h
-	h.piece = &piece{index: i, bytes: int64(x.Length), class: r.class, needed: needed, shard: x.Shard,
-		request: func(try pacing.Try) (*host.Request, error) {
-			if t.f.opt.Lost != nil {
-				if why, back, lost := t.f.opt.Lost(x.Shard); lost {
-					return nil, &GivenUp{Refused: true, Why: why, Back: back}
+// fetch requests extent i.
+func (r *reader) fetch(i int, needed bool) *extentFetch {
+	t, x := r.transfer, r.extents[i]
+	h := &extentFetch{}
+	r.fetches[i] = h
+	h.request = &extentRequest{index: i, bytes: int64(x.Length), class: r.class, needed: needed, shard: x.Shard,
+		build: func(try pacing.Try) (*host.Request, error) {
+			if t.front.opt.Lost != nil {
+				if why, back, lost := t.front.opt.Lost(x.Shard); lost {
+					return nil, &ExtentError{Refused: true, Cause: why, RetryAfter: back}
 				}
 			}
-			return &host.Request{Class: r.class, Plan: t.m.Plan, Volume: t.m.Name, Item: x.Item, Shard: x.Shard,
-				Hosts: t.m.Hosts, Units: t.f.opt.Work.Units(x.Length), Share: t.m.Share,
+			return &host.Request{Class: r.class, Plan: t.module.Plan, Volume: t.module.Name, Item: x.Item, Shard: x.Shard,
+				Hosts: t.module.Hosts, Units: t.front.opt.Work.Units(x.Length), Share: t.module.Share,
 				Expires: try.Expires, Retry: try.Retry, Op: nodewire.Read, Length: x.Length}, nil
 		},
-		ended: func(a host.Answer) (pacing.Kind, string) {
+		onAnswer: func(a host.Answer) (pacing.Kind, string) {
 			if a.Kind == host.Served {
 				if a.Data != nil && len(a.Data.B) == x.Length && xxhash.Sum64(a.Data.B) == x.Sum {
 					h.data = a.Data
-					t.sent += int64(x.Length)
+					t.readBytes += int64(x.Length)
 					return pacing.Served, ""
 				}
 				a.Data.Release()
-				t.f.corrupt(t, x, a.Node)
+				t.front.reportCorrupt(t, x, a.Node)
 				return pacing.Failed, fmt.Sprintf("node %s holds other bytes than were written", a.Node)
 			}
-			return kindOf(a), a.Cause
+			return pacingKind(a), a.Cause
 		},
-		done: func(err error) {
+		onDone: func(err error) {
 			if err != nil {
 				h.err = fmt.Errorf("bytes from %d on: %w", x.Offset, err)
 			}
 		}}
-	t.want(h.piece)
+	t.enqueue(h.request)
 	return h
 }
 
-func kindOf(a host.Answer) pacing.Kind {
+func pacingKind(a host.Answer) pacing.Kind {
 	switch a.Kind {
 	case host.Served:
 		return pacing.Served
@@ -139,33 +141,33 @@
 	return pacing.Failed
 }
 
-func (f *Front) corrupt(t *transfer, x extent.Extent, node string) {
+func (f *Front) reportCorrupt(t *transfer, x extent.Extent, node string) {
 	f.mu.Lock()
 	f.stats.Corrupt++
 	f.mu.Unlock()
-	f.opt.Log.Error("an extent came back with other bytes than were written", "module", t.m.Name, "item", x.Item,
+	f.opt.Log.Error("extent data does not match its checksum", "module", t.module.Name, "item", x.Item,
 		"node", node, "shard", x.Shard)
 }
 
-func (r *reader) drop(i int, h *held) {
-	h.piece.drop()
-	h.piece.release()
+func (r *reader) release(i int, h *extentFetch) {
+	h.request.abandon()
+	h.request.releaseBudget()
 	h.data.Release()
 	h.data = nil
-	delete(r.held, i)
+	delete(r.fetches, i)
 }
 
-// Close ends the reading. A file of which the last byte was there counts as sent.
+// Close releases the extents. A file whose last byte was returned counts as sent.
 func (r *reader) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	if r.err == nil && !r.t.what.Push && r.end == r.entry.Size {
-		_ = r.t.file(nil)
+	if r.err == nil && !r.transfer.params.Push && r.readEnd == r.entry.Size {
+		_ = r.transfer.finishFile(nil)
 	}
-	for i, h := range r.held {
-		r.drop(i, h)
+	for i, h := range r.fetches {
+		r.release(i, h)
 	}
 	if r.err == nil {
 		r.err = errors.New("closed")
--- a/internal/front/rsync/transfer.go
+++ b/internal/front/rsync/transfer.go
@@ -12,116 +12,115 @@
 	"eiderhold/pacing"
 )
 
-// transfer is one client's transfer: the tree that its session sees, and its
-// requests to the host. It belongs to the connection's loop.
+// transfer is the transfer of one connection. It implements proto.Tree for the session and submits
+// requests to the host. Only the connection's event loop may use it.
 type transfer struct {
-	c      *conn
-	f      *Front
-	m      *Module
-	what   proto.Transfer
-	pace   *pacing.Transfer
-	unpin  func()
-	began  time.Duration
-	holds  int64 // bytes booked in the budget
-	wanted []*piece
-	again  bool // a timer for the rate is out
-	out    map[*piece]bool
-	writes map[*writer]bool
-	booked map[string]proto.File // entries whose booking is under way
-	ended  bool
-
-	files, leftOut  int
-	sent, taken     int64
-	refused, failed int
-	lastWhy         string
+	conn           *conn
+	front          *Front
+	module         *Module
+	params         proto.Transfer
+	pacing         *pacing.Transfer
+	unpin          func()
+	startedAt      time.Duration
+	reservedBytes  int64 // bytes of reads reserved in the budget
+	queue          []*extentRequest
+	rateTimerSet   bool // a timer for the rate limit is pending
+	inFlight       map[*extentRequest]bool
+	writers        map[*writer]bool
+	pendingEntries map[string]proto.File // entries whose change is not committed yet
+	ended          bool
+
+	files, leftOut          int
+	readBytes, writtenBytes int64
+	refused, failed         int
+	lastCause               string
 }
 
-func newTransfer(c *conn, m *Module, what proto.Transfer) *transfer {
-	f := c.f
-	t := &transfer{c: c, f: f, m: m, what: what, began: f.opt.Host.Now(), unpin: f.opt.Catalogue.Pin(),
-		pace: pacing.New(f.opt.Pacing, time.Duration(what.Timeout)*time.Second, float64(what.BWLimit)*1024, f.nextSeed()),
-		out:  map[*piece]bool{}, writes: map[*writer]bool{}, booked: map[string]proto.File{}}
+func newTransfer(c *conn, m *Module, params proto.Transfer) *transfer {
+	f := c.front
+	t := &transfer{conn: c, front: f, module: m, params: params, startedAt: f.opt.Host.Now(), unpin: f.opt.Catalogue.Pin(),
+		pacing:   pacing.New(f.opt.Pacing, time.Duration(params.Timeout)*time.Second, float64(params.BWLimit)*1024, f.nextPacingSeed()),
+		inFlight: map[*extentRequest]bool{}, writers: map[*writer]bool{}, pendingEntries: map[string]proto.File{}}
 	c.transfer = t
 	return t
 }
 
-func fileOf(p string, e store.Entry) proto.File {
+func protoFile(p string, e store.Entry) proto.File {
 	return proto.File{Path: p, Mode: e.Mode, Size: e.Size, MTime: e.MTime, UID: e.UID, GID: e.GID, Link: e.Link, Ref: e}
 }
 
-const rootMode = 0o040755
+const rootMode = 0o040755 // mode of a module's root that has no entry in the catalogue
 
-// Stat finds an entry, also one whose booking is under way.
+// Stat looks up an entry. It also finds one that is not committed yet.
 func (t *transfer) Stat(p string) (proto.File, bool, error) {
-	if f, ok := t.booked[p]; ok {
+	if f, ok := t.pendingEntries[p]; ok {
 		return f, true, nil
 	}
-	e, ok, err := t.f.opt.Catalogue.Stat(t.m.Name, p)
+	e, ok, err := t.front.opt.Catalogue.Stat(t.module.Name, p)
 	if err == nil && !ok && p == "." {
 		return proto.File{Path: ".", Mode: rootMode}, true, nil
 	}
-	return fileOf(p, e), ok, err
+	return protoFile(p, e), ok, err
 }
 
-// Scan lists entries.
+// Scan lists entries of the catalogue below a directory.
 func (t *transfer) Scan(dir, after string, deep bool, n int) ([]proto.File, error) {
-	list, err := t.f.opt.Catalogue.Scan(t.m.Name, dir, after, deep, n)
+	list, err := t.front.opt.Catalogue.Scan(t.module.Name, dir, after, deep, n)
 	files := make([]proto.File, len(list))
 	for i, e := range list {
-		files[i] = fileOf(e.Path, e.Entry)
+		files[i] = protoFile(e.Path, e.Entry)
 	}
 	return files, err
 }
 
-// counted marks an error that file has booked.
-type counted struct{ error }
+// countedError marks an error that finishFile has already counted.
+type countedError struct{ error }
 
-func (c counted) Unwrap() error { return c.error }
+func (c countedError) Unwrap() error { return c.error }
 
-// Log notes what happened to one file.
+// Log logs an error of one file and counts it if the file is thereby left out of a push.
 func (t *transfer) Log(what, p string, err error) {
-	if what == "push" && !errors.As(err, new(counted)) {
+	if what == "push" && !errors.As(err, new(countedError)) {
 		t.leftOut++
 		t.failed++
-		t.lastWhy = err.Error()
+		t.lastCause = err.Error()
 	}
-	t.f.opt.Log.Info("transfer: "+what, "client", t.c.remote, "module", t.m.Name, "path", p, "err", err)
+	t.front.opt.Log.Info("transfer: "+what, "client", t.conn.remote, "module", t.module.Name, "path", p, "err", err)
 }
 
-// End closes the transfer: what is still out is no longer waited for, what was not
-// committed is not to be.
+// End ends the transfer: it abandons requests in flight and aborts files that are not committed.
 func (t *transfer) End(err error) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	for w := range t.writes {
+	for w := range t.writers {
 		w.Abort(errors.New("the transfer ended"))
 	}
-	for p := range t.out {
-		p.drop()
+	for p := range t.inFlight {
+		p.abandon()
 	}
-	t.wanted = nil
+	t.queue = nil
 	t.unpin()
-	t.report(err)
+	t.logEnd(err)
 }
 
-// report logs how the transfer ended: served, refused or failed, and why.
-func (t *transfer) report(err error) {
+// logEnd logs and counts the result of the transfer: served, refused or failed, and why.
+func (t *transfer) logEnd(err error) {
 	result, why := "served", ""
 	switch {
 	case err != nil:
 		result, why = "failed", err.Error()
 	case t.leftOut > 0 && t.failed == 0:
-		result, why = "refused", t.lastWhy
+		result, why = "refused", t.lastCause
 	case t.leftOut > 0:
-		result, why = "failed", t.lastWhy
+		result, why = "failed", t.lastCause
 	}
 	direction := "pull"
-	if t.what.Push {
+	if t.params.Push {
 		direction = "push"
 	}
-	f := t.f
+	f := t.front
 	f.mu.Lock()
 	switch result {
 	case "served":
@@ -133,232 +132,235 @@
 	}
 	f.stats.FilesLeftOut += uint64(t.leftOut)
 	f.mu.Unlock()
-	f.opt.Log.Info("transfer ended", "client", t.c.remote, "user", t.what.User, "module", t.m.Name, "direction", direction,
-		"result", result, "why", why, "files", t.files, "left_out", t.leftOut, "read", t.sent, "written", t.taken,
-		"took", (f.opt.Host.Now() - t.began).Round(time.Millisecond))
+	f.opt.Log.Info("transfer ended", "client", t.conn.remote, "user", t.params.User, "module", t.module.Name, "direction", direction,
+		"result", result, "why", why, "files", t.files, "left_out", t.leftOut, "read", t.readBytes, "written", t.writtenBytes,
+		"took", (f.opt.Host.Now() - t.startedAt).Round(time.Millisecond))
 }
 
-// file books the end of a file. It returns the error that the session is to tell.
-func (t *transfer) file(err error) error {
+// finishFile counts a file as transferred or left out. It returns the error that the session reports to
+// the client.
+func (t *transfer) finishFile(err error) error {
 	if err == nil {
 		t.files++
-		t.pace.File(true)
+		t.pacing.File(true)
 		return nil
 	}
 	t.leftOut++
-	t.lastWhy = err.Error()
-	if t.pace.File(false) {
-		err = fmt.Errorf("%w after %d files left out in a row: %w", proto.ErrEnd, t.f.opt.Pacing.LeaveOut, err)
+	t.lastCause = err.Error()
+	if t.pacing.File(false) {
+		err = fmt.Errorf("%w after %d files left out in a row: %w", proto.ErrEndTransfer, t.front.opt.Pacing.LeaveOut, err)
 	}
-	return counted{err}
+	return countedError{err}
 }
 
-// ---- asking ----
-
-// piece is one extent that the transfer wants read or written.
-type piece struct {
-	t       *transfer
-	x       *pacing.Extent // nil: not asked for yet
-	index   int
-	bytes   int64
-	class   string
-	needed  bool // the session waits for it
-	bounded bool // how long it may wait for the budget
-	booked  bool // in the budget
-	id      uint64
-	asked   bool // a request is with the host
-	gone    bool
-	request func(pacing.Try) (*host.Request, error) // the error says that nothing can take it now
-	ended   func(host.Answer) (pacing.Kind, string) // takes an answer, says how the try went
-	done    func(error)                             // nil: served
-	shard   int
-	owner   *writer // nil: a read
-	before  string  // what came of the last try that reached a node
-	onDrop  func()
+// ---- requests ----
+
+// extentRequest is an extent that the transfer reads or writes, over all tries.
+type extentRequest struct {
+	transfer      *transfer
+	extent        *pacing.Extent // nil: still queued
+	index         int
+	bytes         int64
+	class         string
+	needed        bool // the session is waiting for the extent
+	waitLimited   bool // its wait for the budget has a time limit
+	reserved      bool // its bytes are reserved in the budget
+	requestID     uint64
+	submitted     bool // the host has a request for the extent
+	finished      bool
+	build         func(pacing.Try) (*host.Request, error) // an error: no node can serve it now
+	onAnswer      func(host.Answer) (pacing.Kind, string) // handles an answer and returns the result of the try
+	onDone        func(error)                             // called with nil if the extent was served
+	shard         int
+	writer        *writer // nil for a read
+	lastNodeCause string  // cause of the last unsuccessful try that reached a node
+	onAbandon     func()
 }
 
-// want puts a piece in line; one that is needed now goes first.
-func (t *transfer) want(p *piece) {
-	p.t = t
+// enqueue queues a request; one that the session is waiting for goes first.
+func (t *transfer) enqueue(p *extentRequest) {
+	p.transfer = t
 	if p.needed {
-		t.wanted = append([]*piece{p}, t.wanted...)
+		t.queue = append([]*extentRequest{p}, t.queue...)
 	} else {
-		t.wanted = append(t.wanted, p)
+		t.queue = append(t.queue, p)
 	}
-	t.pump()
+	t.dispatch()
 }
 
-// need puts a piece that is in line already first.
-func (t *transfer) need(p *piece) {
+// prioritize moves a queued request to the front because the session is waiting for it.
+func (t *transfer) prioritize(p *extentRequest) {
 	if p.needed {
 		return
 	}
 	p.needed = true
-	for i, q := range t.wanted {
+	for i, q := range t.queue {
 		if q == p {
-			copy(t.wanted[1:i+1], t.wanted[:i])
-			t.wanted[0] = p
+			copy(t.queue[1:i+1], t.queue[:i])
+			t.queue[0] = p
 			break
 		}
 	}
-	t.pump()
+	t.dispatch()
 }
 
-// pump asks for pieces in line as far as the window, the rate and the budget let it.
-func (t *transfer) pump() {
-	for len(t.wanted) > 0 && !t.ended {
-		p := t.wanted[0]
-		if p.gone {
-			t.wanted = t.wanted[1:]
+// dispatch submits queued requests as far as the window, the rate and the budget allow.
+func (t *transfer) dispatch() {
+	for len(t.queue) > 0 && !t.ended {
+		p := t.queue[0]
+		if p.finished {
+			t.queue = t.queue[1:]
 			continue
 		}
-		now := t.f.opt.Host.Now()
-		ok, at := t.pace.Room(now)
+		now := t.front.opt.Host.Now()
+		ok, at := t.pacing.Room(now)
 		if !ok {
-			if at > 0 && !t.again {
-				t.again = true
-				t.f.after(at, t.c, func() { t.again = false; t.pump() })
+			if at > 0 && !t.rateTimerSet {
+				t.rateTimerSet = true
+				t.front.after(at, t.conn, func() { t.rateTimerSet = false; t.dispatch() })
 			}
 			return
 		}
-		if !p.booked && !t.book(p) {
-			t.bound(p)
+		if !p.reserved && !t.reserve(p) {
+			t.limitBudgetWait(p)
 			return
 		}
-		t.wanted = t.wanted[1:]
-		p.x = t.pace.Begin(now, p.shard, int(p.bytes), t.f.classes[p.class].Deadline)
-		t.out[p] = true
-		p.ask()
+		t.queue = t.queue[1:]
+		p.extent = t.pacing.Begin(now, p.shard, int(p.bytes), t.front.classes[p.class].Deadline)
+		t.inFlight[p] = true
+		p.submit()
 	}
 }
 
-// bound sees to it that a piece which a client waits for, and for which there is no
-// room in the budget, does not keep it waiting past its time.
-func (t *transfer) bound(p *piece) {
-	if !p.needed || p.bounded {
+// limitBudgetWait gives up a request that the session is waiting for if the budget has no room for it
+// within the extent time-out.
+func (t *transfer) limitBudgetWait(p *extentRequest) {
+	if !p.needed || p.waitLimited {
 		return
 	}
-	p.bounded = true
-	t.f.after(t.f.opt.Host.Now()+t.pace.Patience(), t.c, func() {
-		if p.x == nil && !p.gone && !t.ended {
+	p.waitLimited = true
+	t.front.after(t.front.opt.Host.Now()+t.pacing.Patience(), t.conn, func() {
+		if p.extent == nil && !p.finished && !t.ended {
 			t.refused++
-			p.end(&GivenUp{Refused: true, Why: "no room for it in rsync.buffer_bytes", Back: time.Second})
+			p.finish(&ExtentError{Refused: true, Cause: "no room for it in rsync.buffer_bytes", RetryAfter: time.Second})
 		}
 	})
 }
 
-// book takes a piece's bytes from the budget of all transfers.
-func (t *transfer) book(p *piece) bool {
-	holds := t.holds
+// reserve takes the bytes of a request from the budget of all transfers.
+func (t *transfer) reserve(p *extentRequest) bool {
+	holds := t.reservedBytes
 	if p.needed {
 		holds = 0
 	}
-	f := t.f
+	f := t.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !f.budget.Take(p.bytes, holds) {
-		f.hungry[t.c] = true
+		f.budgetWaiters[t.conn] = true
 		return false
 	}
-	t.holds += p.bytes
-	p.booked = true
+	t.reservedBytes += p.bytes
+	p.reserved = true
 	return true
 }
 
-// release gives a piece's bytes back and wakes who waits for them.
-func (p *piece) release() {
-	if !p.booked {
+// releaseBudget returns the bytes of a request to the budget.
+func (p *extentRequest) releaseBudget() {
+	if !p.reserved {
 		return
 	}
-	p.booked = false
-	if p.owner != nil {
-		return // the writer books its bytes
+	p.reserved = false
+	if p.writer != nil {
+		return // the writer accounts for the bytes
 	}
-	p.t.holds -= p.bytes
-	p.t.f.give(p.bytes)
+	p.transfer.reservedBytes -= p.bytes
+	p.transfer.front.releaseBudget(p.bytes)
 }
 
-func (f *Front) give(bytes int64) {
+// releaseBudget returns bytes to the budget and wakes connections that wait for them.
+func (f *Front) releaseBudget(bytes int64) {
 	f.mu.Lock()
 	f.budget.Give(bytes)
 	var wake []*conn
-	for c := range f.hungry {
-		if len(wake) == wakeMost {
+	for c := range f.budgetWaiters {
+		if len(wake) == maxBudgetWakes {
 			break
 		}
 		wake = append(wake, c)
-		delete(f.hungry, c)
+		delete(f.budgetWaiters, c)
 	}
 	f.mu.Unlock()
 	for _, c := range wake {
-		c.post(c.feedAgain)
+		c.post(c.dispatchAgain)
 	}
 }
 
-// feedAgain lets a transfer that waited for the budget look again.
-func (c *conn) feedAgain() {
-	if t := c.transfer; t != nil && !c.dead {
-		t.pump()
+// dispatchAgain retries the queue of a transfer that waited for the budget.
+func (c *conn) dispatchAgain() {
+	if t := c.transfer; t != nil && !c.ended {
+		t.dispatch()
 	}
 }
 
-// ask makes one try of the piece.
-func (p *piece) ask() {
-	t := p.t
-	now := t.f.opt.Host.Now()
-	try, ok := t.pace.Ask(p.x, now)
+// submit makes one try of the request.
+func (p *extentRequest) submit() {
+	t := p.transfer
+	now := t.front.opt.Host.Now()
+	try, ok := t.pacing.Ask(p.extent, now)
 	if !ok {
-		p.end(errors.New("no time left for another try"))
+		p.finish(errors.New("no time left for another try"))
 		return
 	}
-	r, err := p.request(try)
-	if err != nil { // no node was asked: trying again at once would help nobody
-		t.pace.Dropped(p.x)
+	r, err := p.build(try)
+	if err != nil { // no node was asked: an immediate retry would have the same result
+		t.pacing.Dropped(p.extent)
 		t.refused++
-		g := &GivenUp{Refused: true, Why: err.Error()}
+		g := &ExtentError{Refused: true, Cause: err.Error()}
 		errors.As(err, &g)
-		g.Tries = p.x.Tries() - 1
-		p.end(g)
+		g.Tries = p.extent.Tries() - 1
+		p.finish(g)
 		return
 	}
-	r.Answer = func(a host.Answer) { t.c.post(func() { p.answer(a) }) }
-	id, err := t.f.opt.Host.Submit(r)
-	p.id, p.asked = id, true
+	r.Answer = func(a host.Answer) { t.conn.post(func() { p.handleAnswer(a) }) }
+	id, err := t.front.opt.Host.Submit(r)
+	p.requestID, p.submitted = id, true
 	if err != nil {
-		p.answer(host.Answer{Kind: host.Refused, RetryAfter: fullPause, Cause: err.Error()})
+		p.handleAnswer(host.Answer{Kind: host.Refused, RetryAfter: hostFullRetryAfter, Cause: err.Error()})
 	}
 }
 
-const wakeMost = 8 // transfers that look again when bytes of the budget are given back
+const maxBudgetWakes = 8 // waiting connections woken when bytes are returned to the budget
 
-const fullPause = 500 * time.Millisecond // what a refusal at the host's ceiling asks for
+// hostFullRetryAfter is the retry-after of a request that the host does not accept because it is full.
+const hostFullRetryAfter = 500 * time.Millisecond
 
-// answer takes the final answer of a try.
-func (p *piece) answer(a host.Answer) {
-	t := p.t
-	if p.gone || t.ended {
+// handleAnswer handles the final answer of a try.
+func (p *extentRequest) handleAnswer(a host.Answer) {
+	t := p.transfer
+	if p.finished || t.ended {
 		a.Data.Release()
 		return
 	}
-	p.asked = false
-	now := t.f.opt.Host.Now()
+	p.submitted = false
+	now := t.front.opt.Host.Now()
 	if a.At > 0 {
-		t.f.mu.Lock()
-		t.f.stats.Deliver.Record(now - a.At)
-		t.f.mu.Unlock()
+		t.front.mu.Lock()
+		t.front.stats.Deliver.Record(now - a.At)
+		t.front.mu.Unlock()
 	}
-	kind, why := p.ended(a)
+	kind, why := p.onAnswer(a)
 	if a.Attempts > 0 && kind != pacing.Served {
-		p.before = why
+		p.lastNodeCause = why
 	}
-	next := t.pace.Ended(p.x, now, kind, a.RetryAfter)
+	next := t.pacing.Ended(p.extent, now, kind, a.RetryAfter)
 	switch next.What {
 	case pacing.Done:
-		p.end(nil)
+		p.finish(nil)
 	case pacing.Again:
-		t.f.after(next.At, t.c, func() {
-			if !p.gone && !t.ended {
-				p.ask()
+		t.front.after(next.At, t.conn, func() {
+			if !p.finished && !t.ended {
+				p.submit()
 			}
 		})
 	default:
@@ -367,90 +369,90 @@
 		} else {
 			t.failed++
 		}
-		if p.before != "" && p.before != why {
-			why += "; before: " + p.before
+		if p.lastNodeCause != "" && p.lastNodeCause != why {
+			why += "; before: " + p.lastNodeCause
 		}
-		p.end(&GivenUp{Refused: kind == pacing.Refused, Why: why, Tries: p.x.Tries(), Back: next.Back})
+		p.finish(&ExtentError{Refused: kind == pacing.Refused, Cause: why, Tries: p.extent.Tries(), RetryAfter: next.Back})
 	}
-	t.pump()
+	t.dispatch()
 }
 
-// GivenUp says that an extent was given up. Its text has the seconds to come back in
-// as "retry-after=N" at its end, where they are known.
-type GivenUp struct {
-	Refused bool
-	Why     string
-	Tries   int
-	Back    time.Duration
+// ExtentError reports that an extent was given up. Its text ends with "retry-after=N" in seconds if the
+// time is known.
+type ExtentError struct {
+	Refused    bool
+	Cause      string
+	Tries      int
+	RetryAfter time.Duration
 }
 
-func (g *GivenUp) Error() string {
+func (g *ExtentError) Error() string {
 	kind := "failed"
 	if g.Refused {
 		kind = "refused"
 	}
-	text := fmt.Sprintf("%s after %d tries: %s", kind, g.Tries, g.Why)
-	if g.Back > 0 {
-		text += fmt.Sprintf("; retry-after=%.1f", g.Back.Seconds())
+	text := fmt.Sprintf("%s after %d tries: %s", kind, g.Tries, g.Cause)
+	if g.RetryAfter > 0 {
+		text += fmt.Sprintf("; retry-after=%.1f", g.RetryAfter.Seconds())
 	}
 	return text
 }
 
-func (p *piece) end(err error) {
-	delete(p.t.out, p)
-	p.gone = true
-	p.done(err)
+func (p *extentRequest) finish(err error) {
+	delete(p.transfer.inFlight, p)
+	p.finished = true
+	p.onDone(err)
 }
 
-// drop stops waiting for the piece.
-func (p *piece) drop() {
-	if p.gone {
+// abandon stops waiting for the request.
+func (p *extentRequest) abandon() {
+	if p.finished {
 		return
 	}
-	p.gone = true
-	delete(p.t.out, p)
-	if p.asked {
-		p.t.pace.Dropped(p.x)
-		p.t.f.opt.Host.Leave(p.id)
+	p.finished = true
+	delete(p.transfer.inFlight, p)
+	if p.submitted {
+		p.transfer.pacing.Dropped(p.extent)
+		p.transfer.front.opt.Host.Leave(p.requestID)
 	}
-	if p.onDrop != nil {
-		p.onDrop()
+	if p.onAbandon != nil {
+		p.onAbandon()
 	}
-	p.release()
+	p.releaseBudget()
 }
 
-// ---- booking entries without content ----
+// ---- entries without content ----
 
-// pending is a change of the catalogue that is under way.
-type pending struct {
+// pendingChange is a change of the catalogue that is not committed yet.
+type pendingChange struct {
 	done bool
 	err  error
 }
 
-func (p *pending) Done() (bool, error) { return p.done, p.err }
+func (p *pendingChange) Done() (bool, error) { return p.done, p.err }
 
-// Put books a directory, a link or other attributes of a file.
+// Put stores a directory, a link or new attributes of a file.
 func (t *transfer) Put(f proto.File) proto.Pending {
 	if f.MTime == 0 {
 		f.MTime = time.Now().Unix()
 	}
-	p := &pending{}
-	t.booked[f.Path] = f
+	p := &pendingChange{}
+	t.pendingEntries[f.Path] = f
 	done := func(err error) {
-		t.c.post(func() {
+		t.conn.post(func() {
 			p.done, p.err = true, err
-			if cur, ok := t.booked[f.Path]; ok && cur.MTime == f.MTime && cur.Mode == f.Mode {
-				delete(t.booked, f.Path)
+			if cur, ok := t.pendingEntries[f.Path]; ok && cur.MTime == f.MTime && cur.Mode == f.Mode {
+				delete(t.pendingEntries, f.Path)
 			}
 		})
 	}
 	if old, ok := f.Ref.(store.Entry); ok && f.IsRegular() {
-		t.f.opt.Catalogue.Amend(t.m.Name, f.Path, old.Base, func(e *store.Entry) {
+		t.front.opt.Catalogue.Amend(t.module.Name, f.Path, old.Base, func(e *store.Entry) {
 			e.Mode, e.MTime, e.UID, e.GID = f.Mode, f.MTime, f.UID, f.GID
 		}, done)
 		return p
 	}
-	t.f.opt.Catalogue.Commit(t.m.Name, path.Clean(f.Path), store.Entry{Mode: f.Mode, MTime: f.MTime,
+	t.front.opt.Catalogue.Commit(t.module.Name, path.Clean(f.Path), store.Entry{Mode: f.Mode, MTime: f.MTime,
 		UID: f.UID, GID: f.GID, Link: f.Link, Size: int64(len(f.Link))}, nil, done)
 	return p
 }
--- a/internal/front/rsync/writer.go
+++ b/internal/front/rsync/writer.go
@@ -15,264 +15,266 @@
 	"eiderhold/placement"
 )
 
-// beginStep is how many of a file's extents are announced to the catalogue at a time.
-const beginStep = 1024
+// announceStep is the maximum number of a file's extents that are announced to the catalogue at a time.
+const announceStep = 1024
 
-// writer writes one new version of a file: its extents under new names, then the
-// catalogue's entry, at once.
+// writer writes one new version of a file: first its extents under new item names, then the catalogue
+// entry in one step.
 type writer struct {
-	t     *transfer
-	path  string
-	base  string
-	begun int // parts that the catalogue knows may be written
-	asked int // parts that it is being told of
+	transfer   *transfer
+	path       string
+	base       string
+	announced  int // extents that the catalogue has recorded and that may be written
+	announcing int // extents up to which an announcement was made, recorded or not
 
-	cur     *buffer.Buffer
-	size    int64 // as the client announced it
-	parts   []store.Part
-	waiting []*extentOut // until the catalogue knows of them
-	open    int          // extents neither served nor given up
-	lost    []store.Lost
-	held    int64
-	quota   *placement.Quota // nil: none, or given back
-	old     int64            // bytes of the version that it replaces, with a quota
+	current       *buffer.Buffer
+	announcedSize int64 // file size in the client's file list
+	parts         []store.Part
+	unannounced   []*outgoingExtent // extents that wait for their announcement to be recorded
+	openExtents   int               // finished extents that are neither served nor given up
+	lost          []store.Lost
+	heldBytes     int64
+	quota         *placement.Quota // nil: no quota, or already released
+	replacedBytes int64            // size of the replaced version; set only with a quota
 
-	final    *proto.File
-	finished bool
-	aborted  bool
-	done     bool
-	err      error
+	final      *proto.File
+	committing bool
+	cleanedUp  bool
+	done       bool
+	err        error
 }
 
-// extentOut is one extent on its way.
-type extentOut struct {
-	index int
-	try   int
-	data  *buffer.Buffer
-	piece *piece
+// outgoingExtent is a finished extent that is to be written to a node.
+type outgoingExtent struct {
+	index   int
+	try     int
+	data    *buffer.Buffer
+	request *extentRequest
 }
 
 // Create begins a new version of the file at f's path.
 func (t *transfer) Create(f proto.File) proto.Writer {
-	w := &writer{t: t, path: f.Path, size: f.Size, base: t.f.opt.Catalogue.NewBase()}
-	t.writes[w] = true
+	w := &writer{transfer: t, path: f.Path, announcedSize: f.Size, base: t.front.opt.Catalogue.NewBase()}
+	t.writers[w] = true
 	if err := w.admit(); err != nil {
 		t.refused++
 		w.fail(err)
 		return w
 	}
 	if f.Size > 0 {
-		w.announce(int(min(f.Size/int64(t.f.opt.ExtentBytes)+1, beginStep)))
+		w.announce(int(min(f.Size/int64(t.front.opt.ExtentBytes)+1, announceStep)))
 	}
 	return w
 }
 
-// admit refuses a file before any of it is taken: if no node has room, or if it does not fit into its
-// module's quota.
+// admit refuses a file before any of its data is accepted if no node has room for it or if it exceeds
+// the module's quota.
 func (w *writer) admit() error {
-	t, f := w.t, w.t.f
-	if f.opt.Place != nil && w.size > 0 {
-		if _, err := f.opt.Place(t.m.Name, w.base, 0, w.size); err != nil {
-			return &GivenUp{Refused: true, Why: err.Error()}
+	t, f := w.transfer, w.transfer.front
+	if f.opt.Place != nil && w.announcedSize > 0 {
+		if _, err := f.opt.Place(t.module.Name, w.base, 0, w.announcedSize); err != nil {
+			return &ExtentError{Refused: true, Cause: err.Error()}
 		}
 	}
-	if t.m.Quota <= 0 {
+	if t.module.Quota <= 0 {
 		return nil
 	}
-	old, _, err := f.opt.Catalogue.Stat(t.m.Name, w.path)
+	old, _, err := f.opt.Catalogue.Stat(t.module.Name, w.path)
 	if err != nil {
 		return err
 	}
 	if old.Base != "" {
-		w.old = old.Size
+		w.replacedBytes = old.Size
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	// Read with the lock held: what is given back meanwhile would be neither in the one nor in the other.
-	u, err := f.opt.Catalogue.Usage(t.m.Name)
+	// The usage is read with the lock held: otherwise a reservation that is released meanwhile would be
+	// counted neither as used nor as reserved.
+	u, err := f.opt.Catalogue.Usage(t.module.Name)
 	if err != nil {
 		return err
 	}
-	q := f.quotas[t.m.Name]
+	q := f.quotas[t.module.Name]
 	if q == nil {
 		q = &placement.Quota{}
-		f.quotas[t.m.Name] = q
+		f.quotas[t.module.Name] = q
 	}
-	q.Most = t.m.Quota
-	if err := q.Take(t.m.Name, u.Bytes, w.old, w.size); err != nil {
-		return &GivenUp{Refused: true, Why: err.Error()}
+	q.Most = t.module.Quota
+	if err := q.Take(t.module.Name, u.Bytes, w.replacedBytes, w.announcedSize); err != nil {
+		return &ExtentError{Refused: true, Cause: err.Error()}
 	}
 	w.quota = q
 	return nil
 }
 
-// unquota gives back what was booked of the quota: the catalogue counts the version, or it is given up.
-func (w *writer) unquota() {
+// releaseQuota releases the quota reservation once the catalogue counts the version or the file is given up.
+func (w *writer) releaseQuota() {
 	if w.quota == nil {
 		return
 	}
-	w.t.f.mu.Lock()
-	w.quota.Done(w.old, w.size)
-	w.t.f.mu.Unlock()
+	w.transfer.front.mu.Lock()
+	w.quota.Done(w.replacedBytes, w.announcedSize)
+	w.transfer.front.mu.Unlock()
 	w.quota = nil
 }
 
-// announce tells the catalogue that parts up to n may be written.
+// announce has the catalogue record that the first n extents may be written, so that they can be
+// deleted if the file is never committed.
 func (w *writer) announce(n int) {
-	if n <= w.asked {
+	if n <= w.announcing {
 		return
 	}
-	w.asked = n
-	w.t.f.opt.Catalogue.Begin(w.t.m.Name, w.base, n, func(err error) {
-		w.t.c.post(func() {
+	w.announcing = n
+	w.transfer.front.opt.Catalogue.Begin(w.transfer.module.Name, w.base, n, func(err error) {
+		w.transfer.conn.post(func() {
 			if err != nil {
 				w.fail(err)
 				return
 			}
-			w.begun = max(w.begun, n)
-			w.leave()
+			w.announced = max(w.announced, n)
+			w.sendAnnounced()
 		})
 	})
 }
 
-// Room says that the writer can take more: one extent always, more as long as the
+// HasRoom reports whether the writer accepts more data: one extent always, more as long as the
 // transfer's window and the budget allow.
-func (w *writer) Room() bool {
-	if w.err != nil || w.held <= int64(w.t.f.opt.ExtentBytes) {
+func (w *writer) HasRoom() bool {
+	if w.err != nil || w.heldBytes <= int64(w.transfer.front.opt.ExtentBytes) {
 		return true
 	}
-	return w.held < int64(w.t.pace.Window()+1)*int64(w.t.f.opt.ExtentBytes) && w.t.f.hasRoom()
+	return w.heldBytes < int64(w.transfer.pacing.Window()+1)*int64(w.transfer.front.opt.ExtentBytes) && w.transfer.front.budgetHasRoom()
 }
 
-// hasRoom says that the budget is not used up.
-func (f *Front) hasRoom() bool {
+// budgetHasRoom reports whether the budget is not used up, apart from its reserve.
+func (f *Front) budgetHasRoom() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.budget.Used() < int64(float64(f.budget.Limit)*(1-f.budget.Reserve))
 }
 
-// Write takes bytes of the file, in order.
+// Write accepts the next bytes of the file. An extent is finished once it has its full size.
 func (w *writer) Write(p []byte) {
 	for len(p) > 0 && w.err == nil {
-		if w.cur == nil {
-			w.cur = buffer.Get(w.t.f.opt.ExtentBytes)
-			w.cur.B = w.cur.B[:0]
-			w.hold(int64(w.t.f.opt.ExtentBytes))
+		if w.current == nil {
+			w.current = buffer.Get(w.transfer.front.opt.ExtentBytes)
+			w.current.B = w.current.B[:0]
+			w.reserve(int64(w.transfer.front.opt.ExtentBytes))
 		}
-		n := min(len(p), w.t.f.opt.ExtentBytes-len(w.cur.B))
-		w.cur.B = append(w.cur.B, p[:n]...)
+		n := min(len(p), w.transfer.front.opt.ExtentBytes-len(w.current.B))
+		w.current.B = append(w.current.B, p[:n]...)
 		p = p[n:]
-		if len(w.cur.B) == w.t.f.opt.ExtentBytes {
-			w.cut()
+		if len(w.current.B) == w.transfer.front.opt.ExtentBytes {
+			w.finishExtent()
 		}
 	}
 }
 
-// hold books bytes that the writer has taken; they are there already, so the budget
-// may be passed by one extent a transfer.
-func (w *writer) hold(bytes int64) {
-	w.held += bytes
-	f := w.t.f
+// reserve takes bytes from the budget without a check: the data has already arrived, so each transfer may
+// exceed the budget by one extent.
+func (w *writer) reserve(bytes int64) {
+	w.heldBytes += bytes
+	f := w.transfer.front
 	f.mu.Lock()
 	f.budget.Force(bytes)
 	f.mu.Unlock()
 }
 
-func (w *writer) unhold(bytes int64) {
-	w.held -= bytes
-	w.t.f.give(bytes)
+func (w *writer) release(bytes int64) {
+	w.heldBytes -= bytes
+	w.transfer.front.releaseBudget(bytes)
 }
 
-// cut ends the present extent.
-func (w *writer) cut() {
-	data := w.cur
-	w.cur = nil
+// finishExtent closes the current extent and queues it for writing.
+func (w *writer) finishExtent() {
+	data := w.current
+	w.current = nil
 	i := len(w.parts)
 	w.parts = append(w.parts, store.Part{Shard: -1, Length: len(data.B), Sum: xxhash.Sum64(data.B)})
-	w.open++
-	w.waiting = append(w.waiting, &extentOut{index: i, data: data})
-	if i+1 >= w.asked {
-		w.announce(max(i+1, min(2*w.asked, w.asked+beginStep)))
+	w.openExtents++
+	w.unannounced = append(w.unannounced, &outgoingExtent{index: i, data: data})
+	if i+1 >= w.announcing {
+		w.announce(max(i+1, min(2*w.announcing, w.announcing+announceStep)))
 	}
-	w.leave()
+	w.sendAnnounced()
 }
 
-// leave sends what the catalogue knows of.
-func (w *writer) leave() {
-	for len(w.waiting) > 0 && w.waiting[0].index < w.begun && w.err == nil {
-		x := w.waiting[0]
-		w.waiting = w.waiting[1:]
-		w.send(x)
+// sendAnnounced sends the extents whose announcement is recorded.
+func (w *writer) sendAnnounced() {
+	for len(w.unannounced) > 0 && w.unannounced[0].index < w.announced && w.err == nil {
+		x := w.unannounced[0]
+		w.unannounced = w.unannounced[1:]
+		w.sendExtent(x)
 	}
-	w.settle()
+	w.commitIfComplete()
 }
 
-func (w *writer) send(x *extentOut) {
-	t := w.t
-	class := t.f.opt.Work.WriteClass
-	x.piece = &piece{index: x.index, bytes: int64(len(x.data.B)), class: class, booked: true, shard: control.AnyShard, owner: w,
-		onDrop: func() { w.drop(x) },
-		request: func(try pacing.Try) (*host.Request, error) {
+func (w *writer) sendExtent(x *outgoingExtent) {
+	t := w.transfer
+	class := t.front.opt.Work.WriteClass
+	x.request = &extentRequest{index: x.index, bytes: int64(len(x.data.B)), class: class, reserved: true, shard: control.AnyShard, writer: w,
+		onAbandon: func() { w.dropExtent(x) },
+		build: func(try pacing.Try) (*host.Request, error) {
 			var spot Spot
-			if place := t.f.opt.Place; place != nil {
+			if place := t.front.opt.Place; place != nil {
 				var err error
-				if spot, err = place(t.m.Name, w.base, x.index, w.size); err != nil {
+				if spot, err = place(t.module.Name, w.base, x.index, w.announcedSize); err != nil {
 					return nil, err
 				}
 			}
 			item := store.Item(w.base, x.index, x.try)
-			return &host.Request{Class: class, Plan: t.m.Plan, Volume: t.m.Name, Item: item, Shard: control.AnyShard,
-				Hosts: t.m.Hosts, Units: t.f.opt.Work.Units(len(x.data.B)), Share: t.m.Share,
+			return &host.Request{Class: class, Plan: t.module.Plan, Volume: t.module.Name, Item: item, Shard: control.AnyShard,
+				Hosts: t.module.Hosts, Units: t.front.opt.Work.Units(len(x.data.B)), Share: t.module.Share,
 				Expires: try.Expires, Retry: try.Retry, Tiers: spot.Tiers, Avoid: spot.Avoid, Op: nodewire.Write, Key: item, Payload: x.data.B}, nil
 		},
-		ended: func(a host.Answer) (pacing.Kind, string) {
+		onAnswer: func(a host.Answer) (pacing.Kind, string) {
 			switch a.Kind {
 			case host.Served:
 				w.parts[x.index].Shard, w.parts[x.index].Try = a.Shard, x.try
-				t.taken += int64(len(x.data.B))
-			case host.Failed: // it may have run: the next try is another item
+				t.writtenBytes += int64(len(x.data.B))
+			case host.Failed: // the write may have been executed: the next try uses another item
 				w.lost = append(w.lost, store.Lost{Index: x.index, Try: x.try})
 				x.try++
 			}
-			return kindOf(a), a.Cause
+			return pacingKind(a), a.Cause
 		},
-		done: func(err error) {
-			w.open--
-			w.drop(x)
+		onDone: func(err error) {
+			w.openExtents--
+			w.dropExtent(x)
 			if err != nil {
 				w.fail(err)
 			}
-			w.settle()
+			w.commitIfComplete()
 		}}
-	t.want(x.piece)
+	t.enqueue(x.request)
 }
 
-func (w *writer) drop(x *extentOut) {
+func (w *writer) dropExtent(x *outgoingExtent) {
 	if x.data == nil {
 		return
 	}
-	if w.parts[x.index].Shard >= 0 { // else an attempt that waits may still use it
+	if w.parts[x.index].Shard >= 0 { // otherwise a waiting attempt may still use the buffer
 		x.data.Release()
 	}
 	x.data = nil
-	w.unhold(int64(w.t.f.opt.ExtentBytes))
+	w.release(int64(w.transfer.front.opt.ExtentBytes))
 }
 
-// Finish says that all bytes have come and what the entry is to be.
+// Finish ends the data of the file. final holds the attributes for its catalogue entry.
 func (w *writer) Finish(final proto.File) {
-	if w.err == nil && w.cur != nil {
-		w.cut()
+	if w.err == nil && w.current != nil {
+		w.finishExtent()
 	}
 	w.final = &final
-	w.settle()
+	w.commitIfComplete()
 }
 
-// settle commits the entry once all extents are served.
-func (w *writer) settle() {
-	if w.final == nil || w.err != nil || w.finished || w.open > 0 {
+// commitIfComplete commits the entry once all extents are served.
+func (w *writer) commitIfComplete() {
+	if w.final == nil || w.err != nil || w.committing || w.openExtents > 0 {
 		return
 	}
-	w.finished = true
+	w.committing = true
 	f := w.final
 	mtime := f.MTime
 	if mtime == 0 {
@@ -282,79 +284,78 @@
 	if len(w.parts) == 0 {
 		e.Base = ""
 	}
-	w.t.f.opt.Catalogue.Commit(w.t.m.Name, w.path, e, w.lost, func(err error) {
-		w.t.c.post(func() { w.end(err) })
+	w.transfer.front.opt.Catalogue.Commit(w.transfer.module.Name, w.path, e, w.lost, func(err error) {
+		w.transfer.conn.post(func() { w.complete(err) })
 	})
 }
 
-func (w *writer) end(err error) {
+func (w *writer) complete(err error) {
 	if w.done {
 		return
 	}
 	w.done, w.err = true, err
-	delete(w.t.writes, w)
-	w.unquota()
-	if !w.t.ended {
-		w.err = w.t.file(err)
+	delete(w.transfer.writers, w)
+	w.releaseQuota()
+	if !w.transfer.ended {
+		w.err = w.transfer.finishFile(err)
 	}
 }
 
-// fail gives the file up; the version that is there stays.
+// fail gives the file up; the stored version stays.
 func (w *writer) fail(err error) {
-	if w.err != nil || w.done || w.finished {
+	if w.err != nil || w.done || w.committing {
 		return
 	}
 	w.err = err
 	w.cleanUp()
-	w.end(err)
+	w.complete(err)
 }
 
-// cleanUp lets go of what is held, and books what may have been written as garbage.
+// cleanUp releases the buffers and records extents that may have been written as garbage.
 func (w *writer) cleanUp() {
-	if w.aborted {
+	if w.cleanedUp {
 		return
 	}
-	w.aborted = true
-	if w.cur != nil {
-		w.cur.Release()
-		w.cur = nil
-		w.unhold(int64(w.t.f.opt.ExtentBytes))
+	w.cleanedUp = true
+	if w.current != nil {
+		w.current.Release()
+		w.current = nil
+		w.release(int64(w.transfer.front.opt.ExtentBytes))
 	}
-	for _, x := range w.waiting {
-		w.drop(x)
+	for _, x := range w.unannounced {
+		w.dropExtent(x)
 	}
-	w.waiting = nil
-	g := store.Garbage{Volume: w.t.m.Name, Base: w.base, Lost: w.lost}
-	for p := range w.t.out {
-		if p.owner == w {
-			p.drop()
+	w.unannounced = nil
+	g := store.Garbage{Volume: w.transfer.module.Name, Base: w.base, Lost: w.lost}
+	for p := range w.transfer.inFlight {
+		if p.writer == w {
+			p.abandon()
 		}
 	}
-	for _, p := range w.t.wanted {
-		if p.owner == w {
-			p.drop()
+	for _, p := range w.transfer.queue {
+		if p.writer == w {
+			p.abandon()
 		}
 	}
 	g.Parts = append(g.Parts, w.parts...)
-	w.t.f.opt.Catalogue.Abort(g, func(err error) {
+	w.transfer.front.opt.Catalogue.Abort(g, func(err error) {
 		if err != nil {
-			w.t.f.opt.Log.Warn("what a push left behind could not be booked; the next start will", "base", w.base, "err", err)
+			w.transfer.front.opt.Log.Warn("extents of an aborted push could not be recorded as garbage; the next start will record them", "base", w.base, "err", err)
 		}
 	})
 }
 
-// Abort gives the file up for a reason of the session's: it will come again, or the
-// transfer has ended.
+// Abort gives the file up because the client sends it again or the transfer has ended.
 func (w *writer) Abort(reason error) {
-	if w.done || w.finished {
+	if w.done || w.committing {
 		return
 	}
 	w.err = reason
 	w.cleanUp()
 	w.done = true
-	delete(w.t.writes, w)
-	w.unquota()
+	delete(w.transfer.writers, w)
+	w.releaseQuota()
 }
 
-// Done says that the file has come to its end.
+// Done reports whether the file is committed or given up, with the error in the latter case.
 func (w *writer) Done() (bool, error) { return w.done, w.err }
--- a/internal/rsync/fake_test.go
+++ b/internal/rsync/fake_test.go
@@ -9,21 +9,21 @@
 )
 
 // memory is a gateway with one module in memory.
-type memory struct {
-	files   map[string]*memFile
-	modules []Module
-	secrets map[string]string
-	full    bool
-	most    int
-	begun   *Transfer
-	ended   int
-	endErr  error
-	logs    []string
-	slow    int // how often a reader says "not yet" before it has bytes
-	bad     map[string]error
-	open    int // readers that are open
-	listed  int // entries booked, and how many may be
-	all     int
+type memoryGateway struct {
+	files          map[string]*memFile
+	modules        []Module
+	secrets        map[string]string
+	full           bool
+	maxFiles       int
+	transfer       *Transfer
+	ended          int
+	endErr         error
+	logs           []string
+	notReadyCalls  int // how often a reader says "not yet" before it has bytes
+	readErrors     map[string]error
+	openReaders    int // readers that are open
+	listEntries    int // entries booked, and how many may be
+	maxListEntries int
 }
 
 type memFile struct {
@@ -31,18 +31,18 @@
 	data []byte
 }
 
-func newMemory() *memory {
-	return &memory{files: map[string]*memFile{}, most: 1000, bad: map[string]error{},
+func newMemory() *memoryGateway {
+	return &memoryGateway{files: map[string]*memFile{}, maxFiles: 1000, readErrors: map[string]error{},
 		modules: []Module{{Name: "m", Comment: "a module"}, {Name: "hid", Hidden: true}, {Name: "ro", ReadOnly: true},
 			{Name: "wo", WriteOnly: true}, {Name: "private", Users: []string{"anna"}}}, secrets: map[string]string{"anna": "pw", "bert": "pw"}}
 }
 
-func (m *memory) add(p string, mode uint32, data string) {
+func (m *memoryGateway) add(p string, mode uint32, data string) {
 	m.files[p] = &memFile{File{Path: p, Mode: mode, Size: int64(len(data)), MTime: 1000}, []byte(data)}
 }
 
-func (m *memory) Modules() []Module { return m.modules }
-func (m *memory) Module(name string) (Module, bool) {
+func (m *memoryGateway) Modules() []Module { return m.modules }
+func (m *memoryGateway) Module(name string) (Module, bool) {
 	for _, x := range m.modules {
 		if x.Name == name {
 			return x, true
@@ -50,22 +50,25 @@
 	}
 	return Module{}, false
 }
-func (m *memory) MOTD() string      { return "welcome\n" }
-func (m *memory) Challenge() string { return "challenge" }
-func (m *memory) Seed() uint32      { return 12345 }
-func (m *memory) MaxFiles() int     { return m.most }
-func (m *memory) Listed(n int) bool { m.listed += n; return m.listed <= m.all || m.all == 0 }
-func (m *memory) Secret(_, user string) (string, bool) {
+func (m *memoryGateway) MOTD() string      { return "welcome\n" }
+func (m *memoryGateway) Challenge() string { return "challenge" }
+func (m *memoryGateway) Seed() uint32      { return 12345 }
+func (m *memoryGateway) MaxFiles() int     { return m.maxFiles }
+func (m *memoryGateway) ReserveListEntries(n int) bool {
+	m.listEntries += n
+	return m.listEntries <= m.maxListEntries || m.maxListEntries == 0
+}
+func (m *memoryGateway) Secret(_, user string) (string, bool) {
 	s, ok := m.secrets[user]
 	return s, ok
 }
-func (m *memory) Enter(string) (int, bool) { return 3, !m.full }
-func (m *memory) Begin(t Transfer) (Tree, error) {
-	m.begun = &t
+func (m *memoryGateway) AcquireConn(string) (int, bool) { return 3, !m.full }
+func (m *memoryGateway) Begin(t Transfer) (Tree, error) {
+	m.transfer = &t
 	return m, nil
 }
 
-func (m *memory) Stat(p string) (File, bool, error) {
+func (m *memoryGateway) Stat(p string) (File, bool, error) {
 	if f := m.files[p]; f != nil {
 		x := f.File
 		x.Ref = f
@@ -74,7 +77,7 @@
 	return File{Path: ".", Mode: typeDir | 0o755}, p == ".", nil
 }
 
-func (m *memory) Scan(dir, after string, deep bool, n int) (list []File, err error) {
+func (m *memoryGateway) Scan(dir, after string, deep bool, n int) (list []File, err error) {
 	prefix := dir + "/"
 	if dir == "." {
 		prefix = ""
@@ -93,36 +96,36 @@
 	return list, nil
 }
 
-func (m *memory) Open(f File) Reader {
-	m.open++
-	return &memReader{m: m, f: f.Ref.(*memFile), wait: m.slow}
+func (m *memoryGateway) Open(f File) Reader {
+	m.openReaders++
+	return &memReader{m: m, f: f.Ref.(*memFile), notReadyLeft: m.notReadyCalls}
 }
 
 type memReader struct {
-	m    *memory
-	f    *memFile
-	wait int
+	m            *memoryGateway
+	f            *memFile
+	notReadyLeft int
 }
 
 func (r *memReader) At(off int64, n int) ([]byte, bool, error) {
-	if err := r.m.bad[r.f.Path]; err != nil && off >= int64(len(r.f.data)/2) {
+	if err := r.m.readErrors[r.f.Path]; err != nil && off >= int64(len(r.f.data)/2) {
 		return nil, false, err
 	}
-	if r.wait > 0 {
-		r.wait--
+	if r.notReadyLeft > 0 {
+		r.notReadyLeft--
 		return nil, false, nil
 	}
-	r.wait = r.m.slow
+	r.notReadyLeft = r.m.notReadyCalls
 	p := r.f.data[off:]
 	return p[:min(len(p), n)], true, nil
 }
 
-func (r *memReader) Close() { r.m.open-- }
+func (r *memReader) Close() { r.m.openReaders-- }
 
-func (m *memory) Create(f File) Writer { return &memWriter{m: m, path: f.Path} }
+func (m *memoryGateway) Create(f File) Writer { return &memWriter{m: m, path: f.Path} }
 
 type memWriter struct {
-	m    *memory
+	m    *memoryGateway
 	path string
 	buf  bytes.Buffer
 	done bool
@@ -130,7 +133,7 @@
 }
 
 func (w *memWriter) Done() (bool, error) { return w.done, w.err }
-func (w *memWriter) Room() bool          { return true }
+func (w *memWriter) HasRoom() bool       { return true }
 func (w *memWriter) Write(p []byte)      { w.buf.Write(p) }
 func (w *memWriter) Finish(f File) {
 	w.done = true
@@ -139,7 +142,7 @@
 }
 func (w *memWriter) Abort(err error) { w.done, w.err = true, err }
 
-func (m *memory) Put(f File) Pending {
+func (m *memoryGateway) Put(f File) Pending {
 	x := &memFile{File: f}
 	if old, ok := f.Ref.(*memFile); ok {
 		x.data = old.data
@@ -148,25 +151,25 @@
 	return &memWriter{done: true}
 }
 
-func (m *memory) Log(what, p string, err error) { m.logs = append(m.logs, what+" "+p) }
-func (m *memory) End(err error)                 { m.ended++; m.endErr = err }
+func (m *memoryGateway) Log(what, p string, err error) { m.logs = append(m.logs, what+" "+p) }
+func (m *memoryGateway) End(err error)                 { m.ended++; m.endErr = err }
 
 var errDisk = errors.New("a bad disk")
 
 // talk feeds a session input, in pieces of the given size, and collects its output.
-func talk(m *memory, input []byte, piece int) (*Session, []byte) {
+func exchange(m *memoryGateway, input []byte, chunk int) (*Session, []byte) {
 	s := NewSession(m)
 	var out []byte
 	take := func() {
-		for i := 0; i < 10000 && len(s.Out()) > 0; i++ {
-			out = append(out, s.Out()...)
-			s.Sent(len(s.Out()))
+		for i := 0; i < 10000 && len(s.Output()) > 0; i++ {
+			out = append(out, s.Output()...)
+			s.Sent(len(s.Output()))
 			s.Resume()
 		}
 	}
 	take()
 	for len(input) > 0 {
-		n := min(piece, len(input))
+		n := min(chunk, len(input))
 		s.Feed(input[:n])
 		input = input[n:]
 		take()
--- a/internal/rsync/filter.go
+++ b/internal/rsync/filter.go
@@ -10,7 +10,7 @@
 	include  bool
 	dirOnly  bool
 	anchored bool // to the root of the transfer
-	whole    bool // the pattern is matched against the whole path
+	fullPath bool // the pattern is matched against the whole path
 	negate   bool
 	pattern  string
 }
@@ -44,7 +44,7 @@
 		for _, m := range mods {
 			switch m {
 			case '/':
-				r.anchored, r.whole = true, true
+				r.anchored, r.fullPath = true, true
 			case '!':
 				r.negate = true
 			case 's':
@@ -72,7 +72,7 @@
 		r.dirOnly, pattern = true, p
 	}
 	r.pattern = pattern
-	r.whole = r.anchored || strings.Contains(pattern, "/") || strings.Contains(pattern, "**")
+	r.fullPath = r.anchored || strings.Contains(pattern, "/") || strings.Contains(pattern, "**")
 	f.rules = append(f.rules, r)
 	return nil
 }
@@ -90,7 +90,7 @@
 }
 
 // leavesOut says that the path, relative to the root of the transfer, is excluded.
-func (f *filter) leavesOut(path string, dir bool) bool {
+func (f *filter) excludes(path string, dir bool) bool {
 	for i := range f.rules {
 		r := &f.rules[i]
 		if r.dirOnly && !dir {
@@ -105,7 +105,7 @@
 
 func (r *rule) match(path string, dir bool) bool {
 	pattern := r.pattern
-	if !r.whole {
+	if !r.fullPath {
 		if i := strings.LastIndexByte(path, '/'); i >= 0 {
 			path = path[i+1:]
 		}
@@ -144,51 +144,51 @@
 	if !strings.ContainsAny(pattern, `*?[\`) {
 		return pattern == text
 	}
-	ops := compile(pattern)
-	now, next := make([]bool, len(ops)+1), make([]bool, len(ops)+1)
+	ops := compilePattern(pattern)
+	current, next := make([]bool, len(ops)+1), make([]bool, len(ops)+1)
 	reach := func(set []bool, i int) {
 		for set[i] = true; i < len(ops) && ops[i].star; i++ {
 			set[i+1] = true
 		}
 	}
-	reach(now, 0)
+	reach(current, 0)
 	for k := 0; k < len(text); k++ {
 		clear(next)
 		c := text[k]
-		for i, on := range now[:len(ops)] {
+		for i, on := range current[:len(ops)] {
 			switch {
 			case !on:
 			case ops[i].star:
-				if c != '/' || ops[i].deep {
+				if c != '/' || ops[i].crossSlash {
 					reach(next, i)
 				}
-			case ops[i].takes(c):
+			case ops[i].matches(c):
 				reach(next, i+1)
 			}
 		}
-		now, next = next, now
+		current, next = next, current
 	}
-	return now[len(ops)]
+	return current[len(ops)]
 }
 
 // op is one step of a pattern: a star, or a set of bytes.
-type op struct {
-	star, deep bool
-	set        [4]uint64
+type patternOp struct {
+	star, crossSlash bool
+	set              [4]uint64
 }
 
-func (o *op) add(c byte)        { o.set[c>>6] |= 1 << (c & 63) }
-func (o *op) takes(c byte) bool { return o.set[c>>6]&(1<<(c&63)) != 0 }
+func (o *patternOp) add(c byte)          { o.set[c>>6] |= 1 << (c & 63) }
+func (o *patternOp) matches(c byte) bool { return o.set[c>>6]&(1<<(c&63)) != 0 }
 
-func compile(p string) []op {
-	var ops []op
+func compilePattern(p string) []patternOp {
+	var ops []patternOp
 	for i := 0; i < len(p); i++ {
-		o := op{}
+		o := patternOp{}
 		switch c := p[i]; {
 		case c == '*':
 			o.star = true
 			for i+1 < len(p) && p[i+1] == '*' {
-				o.deep = true
+				o.crossSlash = true
 				i++
 			}
 		case c == '?':
@@ -198,7 +198,7 @@
 				}
 			}
 		case c == '[':
-			if end, ok := o.class(p[i:]); ok {
+			if end, ok := o.parseClass(p[i:]); ok {
 				i += end
 			} else {
 				o.add('[')
@@ -215,7 +215,7 @@
 }
 
 // class reads "[...]"; it returns the index of its end.
-func (o *op) class(p string) (int, bool) {
+func (o *patternOp) parseClass(p string) (int, bool) {
 	i, not := 1, false
 	if i < len(p) && (p[i] == '!' || p[i] == '^') {
 		not, i = true, i+1
@@ -251,19 +251,19 @@
 // readFilter takes the list of rules that opens a pull.
 func (s *Session) readFilter() *filter {
 	f := &filter{}
-	sum := 0
+	total := 0
 	for number := 1; ; number++ {
 		n := s.readInt()
 		if n == 0 {
 			return f
 		}
-		if n < 0 || n >= maxName || number > maxRules || sum+int(n) > maxRuleSum {
+		if n < 0 || n >= maxPathBytes || number > maxRules || total+int(n) > maxRuleBytes {
 			fail("filter list: rule %d of %d bytes: at most %d rules of %d bytes, %d in all",
-				number, n, maxRules, maxName-1, maxRuleSum)
+				number, n, maxRules, maxPathBytes-1, maxRuleBytes)
 		}
-		sum += int(n)
-		if err := f.add(string(s.need(int(n))), s.version); err != nil {
-			s.say(msgError, "eiderhold: %v", err)
+		total += int(n)
+		if err := f.add(string(s.readN(int(n))), s.version); err != nil {
+			s.sendMessage(msgError, "eiderhold: %v", err)
 			fail("refused: %v", err)
 		}
 	}
--- a/internal/rsync/flist.go
+++ b/internal/rsync/flist.go
@@ -20,7 +20,7 @@
 )
 
 // listCoder is what file list entries share with the entry before.
-type listCoder struct {
+type previousEntry struct {
 	name     string
 	mode     uint32
 	mtime    int64
@@ -29,25 +29,25 @@
 }
 
 // writeEntry sends one entry of the file list. name is how the client is to see it.
-func (s *Session) writeEntry(c *listCoder, f *File, name string, top bool) {
+func (s *Session) writeEntry(prev *previousEntry, f *File, name string, top bool) {
 	o, flags := &s.opt, 0
 	if top {
 		flags |= flagTopDir
 	}
-	if f.Mode == c.mode {
+	if f.Mode == prev.mode {
 		flags |= flagSameMode
 	}
-	if f.MTime == c.mtime {
+	if f.MTime == prev.mtime {
 		flags |= flagSameTime
 	}
-	if o.owner && f.UID == c.uid {
+	if o.owner && f.UID == prev.uid {
 		flags |= flagSameUID
 	}
-	if o.group && f.GID == c.gid {
+	if o.group && f.GID == prev.gid {
 		flags |= flagSameGID
 	}
 	same := 0
-	for same < min(len(name), len(c.name), 255) && name[same] == c.name[same] {
+	for same < min(len(name), len(prev.name), 255) && name[same] == prev.name[same] {
 		same++
 	}
 	if same > 0 {
@@ -95,11 +95,11 @@
 		s.writeInt(int32(len(f.Link)))
 		s.writeString(f.Link)
 	}
-	*c = listCoder{name: name, mode: f.Mode, mtime: f.MTime, uid: f.UID, gid: f.GID}
+	*prev = previousEntry{name: name, mode: f.Mode, mtime: f.MTime, uid: f.UID, gid: f.GID}
 }
 
 // readEntry takes one entry of a client's file list; false at its end.
-func (s *Session) readEntry(c *listCoder, number int) (File, bool) {
+func (s *Session) readEntry(prev *previousEntry, number int) (File, bool) {
 	o := &s.opt
 	flags := int(s.readByte())
 	if flags == 0 {
@@ -118,57 +118,57 @@
 	} else {
 		n = int(s.readByte())
 	}
-	if n < 0 || same > len(c.name) || same+n >= maxName || same+n == 0 {
-		fail("file list: entry %d: a name of %d+%d bytes after one of %d", number, same, n, len(c.name))
+	if n < 0 || same > len(prev.name) || same+n >= maxPathBytes || same+n == 0 {
+		fail("file list: entry %d: a name of %d+%d bytes after one of %d", number, same, n, len(prev.name))
 	}
-	c.name = c.name[:same] + string(s.need(n))
+	prev.name = prev.name[:same] + string(s.readN(n))
 	size := s.readLong()
 	if size < 0 {
 		fail("file list: entry %d: %d bytes long", number, size)
 	}
 	if flags&flagSameTime == 0 {
-		c.mtime = int64(s.readInt())
+		prev.mtime = int64(s.readInt())
 	}
 	if flags&flagSameMode == 0 {
-		c.mode = uint32(s.readInt())
+		prev.mode = uint32(s.readInt())
 	}
 	if o.owner && flags&flagSameUID == 0 {
-		c.uid = uint32(s.readInt())
+		prev.uid = uint32(s.readInt())
 	}
 	if o.group && flags&flagSameGID == 0 {
-		c.gid = uint32(s.readInt())
+		prev.gid = uint32(s.readInt())
 	}
-	path, err := CleanPath(c.name)
+	path, err := CleanPath(prev.name)
 	if err != nil {
 		fail("file list: entry %d: %v", number, err)
 	}
-	f := File{Path: path, Mode: c.mode, Size: size, MTime: c.mtime, UID: c.uid, GID: c.gid}
+	f := File{Path: path, Mode: prev.mode, Size: size, MTime: prev.mtime, UID: prev.uid, GID: prev.gid}
 	switch f.Mode & typeMask {
 	case typeLink:
 		if o.links {
 			n := s.readInt()
-			if n <= 0 || n >= maxName {
+			if n <= 0 || n >= maxPathBytes {
 				fail("file list: entry %d: a link target of %d bytes", number, n)
 			}
-			f.Link = string(s.need(int(n)))
+			f.Link = string(s.readN(int(n)))
 			if strings.IndexByte(f.Link, 0) >= 0 {
 				fail("file list: entry %d: a link target with a NUL byte", number)
 			}
 		}
 	case 0o020000, 0o060000: // devices
 		if o.devices {
-			s.readRdev(c, flags)
+			s.skipRdev(prev, flags)
 		}
 	case 0o010000, 0o140000: // FIFOs and sockets
 		if o.specials {
-			s.readRdev(c, flags)
+			s.skipRdev(prev, flags)
 		}
 	}
 	return f, true
 }
 
 // readRdev passes over a device's numbers.
-func (s *Session) readRdev(c *listCoder, flags int) {
+func (s *Session) skipRdev(prev *previousEntry, flags int) {
 	if s.version < 28 {
 		if flags&flagExtended == 0 { // there this bit says: the same device as before
 			s.readInt()
@@ -176,7 +176,7 @@
 		return
 	}
 	if flags&flagSameRdevHigh == 0 {
-		c.rdevHigh = s.readInt()
+		prev.rdevHigh = s.readInt()
 	}
 	if flags&flagRdevLow8 != 0 {
 		s.readByte()
@@ -243,11 +243,11 @@
 }
 
 // readIDs passes over one list of names of users or groups.
-func (s *Session) readIDs() {
+func (s *Session) skipIDNames() {
 	for n := 0; s.readInt() != 0; n++ {
-		if n > maxIDs {
-			fail("file list: more than %d names of users or groups", maxIDs)
+		if n > maxIDNames {
+			fail("file list: more than %d names of users or groups", maxIDNames)
 		}
-		s.need(int(s.readByte()))
+		s.readN(int(s.readByte()))
 	}
 }
--- a/internal/rsync/handshake.go
+++ b/internal/rsync/handshake.go
@@ -13,15 +13,15 @@
 
 // run is the whole session, in the order of the protocol.
 func (s *Session) run() {
-	s.writeString(fmt.Sprintf("@RSYNCD: %d\n", newest))
-	s.greeting(s.readLine())
-	if motd := s.gw.MOTD(); motd != "" {
+	s.writeString(fmt.Sprintf("@RSYNCD: %d\n", newestVersion))
+	s.parseGreeting(s.readLine())
+	if motd := s.gateway.MOTD(); motd != "" {
 		s.writeString(strings.TrimRight(motd, "\n") + "\n")
 	}
 	s.phase = "module name"
 	name := s.readLine()
 	if name == "" || name == "#list" {
-		for _, m := range s.gw.Modules() {
+		for _, m := range s.gateway.Modules() {
 			if !m.Hidden {
 				s.writeString(fmt.Sprintf("%-15s\t%s\n", m.Name, m.Comment))
 			}
@@ -32,45 +32,45 @@
 	if strings.HasPrefix(name, "#") {
 		s.refuse("Unknown command '%s'", name)
 	}
-	module, ok := s.gw.Module(name)
+	module, ok := s.gateway.Module(name)
 	if !ok {
 		s.refuse("Unknown module '%s'", printable(name))
 	}
-	user := s.login(module)
-	if limit, ok := s.gw.Enter(module.Name); !ok {
+	user := s.authenticate(module)
+	if limit, ok := s.gateway.AcquireConn(module.Name); !ok {
 		s.refuse("max connections (%d) reached -- try again later", limit)
 	}
 	s.writeString("@RSYNCD: OK\n")
 	s.phase = "arguments"
-	args := s.arguments()
-	s.seed = s.gw.Seed()
+	args := s.readArguments()
+	s.seed = s.gateway.Seed()
 	s.writeInt(int32(s.seed))
-	s.mux = true
+	s.multiplexed = true
 	opt, err := parseOptions(args)
 	if err == nil {
 		err = opt.check(module)
 	}
 	if err != nil {
-		s.say(msgError, "eiderhold: %v", err)
-		panic(fault{fmt.Errorf("rsync: refused: %w", err)})
+		s.sendMessage(msgError, "eiderhold: %v", err)
+		panic(sessionError{fmt.Errorf("rsync: refused: %w", err)})
 	}
 	for _, note := range opt.notes {
-		s.say(msgInfo, "eiderhold: %s", note)
+		s.sendMessage(msgInfo, "eiderhold: %s", note)
 	}
 	s.opt = opt
 	paths, err := modulePaths(module.Name, opt.paths)
 	if err == nil {
-		s.tree, err = s.gw.Begin(Transfer{Module: module.Name, User: user, Push: !opt.sender, Paths: paths,
+		s.tree, err = s.gateway.Begin(Transfer{Module: module.Name, User: user, Push: !opt.sender, Paths: paths,
 			Timeout: opt.timeout, BWLimit: opt.bwlimit, DryRun: opt.dryRun, Protocol: s.version})
 	}
 	if err != nil {
-		s.say(msgError, "eiderhold: %v", err)
-		panic(fault{fmt.Errorf("rsync: refused: %w", err)})
+		s.sendMessage(msgError, "eiderhold: %v", err)
+		panic(sessionError{fmt.Errorf("rsync: refused: %w", err)})
 	}
 	if opt.sender {
-		s.send(paths)
+		s.servePull(paths)
 	} else {
-		s.receive(paths)
+		s.servePush(paths)
 	}
 }
 
@@ -89,7 +89,7 @@
 
 // greeting takes the client's line: "@RSYNCD: 31.0 sha512 sha256 sha1 md5 md4", with
 // or without what follows the version.
-func (s *Session) greeting(line string) {
+func (s *Session) parseGreeting(line string) {
 	rest, ok := strings.CutPrefix(line, "@RSYNCD: ")
 	number, _, _ := strings.Cut(rest, " ")
 	major, _, _ := strings.Cut(number, ".")
@@ -97,24 +97,24 @@
 	if !ok || err != nil || v < 0 {
 		s.refuse("protocol startup error")
 	}
-	if v < oldest {
-		s.refuse("protocol version %d is not served: %d or later is", v, oldest)
+	if v < oldestVersion {
+		s.refuse("protocol version %d is not served: %d or later is", v, oldestVersion)
 	}
-	s.version = min(v, newest)
+	s.version = min(v, newestVersion)
 }
 
 // login asks for a user where the module names who may enter. The answer is the
 // base64 of MD4 over password and challenge, as protocols before 30 have it; some
 // clients put four zero bytes before both.
-func (s *Session) login(m Module) string {
+func (s *Session) authenticate(m Module) string {
 	if len(m.Users) == 0 {
 		return ""
 	}
 	s.phase = "login"
-	challenge := s.gw.Challenge()
+	challenge := s.gateway.Challenge()
 	s.writeString("@RSYNCD: AUTHREQD " + challenge + "\n")
 	user, response, _ := strings.Cut(s.readLine(), " ")
-	secret, known := s.gw.Secret(m.Name, user)
+	secret, known := s.gateway.Secret(m.Name, user)
 	good := subtle.ConstantTimeCompare([]byte(response), []byte(Response(secret, challenge, false))) |
 		subtle.ConstantTimeCompare([]byte(response), []byte(Response(secret, challenge, true)))
 	if !known || !slices.Contains(m.Users, user) || good != 1 {
@@ -135,15 +135,15 @@
 }
 
 // arguments reads the argument lines up to the empty one.
-func (s *Session) arguments() []string {
+func (s *Session) readArguments() []string {
 	var args []string
-	sum := 0
+	total := 0
 	for {
 		a := s.readLine()
 		if a == "" {
 			return args
 		}
-		if sum += len(a); len(args) >= maxArgs || sum > maxArgBytes {
+		if total += len(a); len(args) >= maxArgs || total > maxArgBytes {
 			s.refuse("more than %d arguments or %d bytes of them", maxArgs, maxArgBytes)
 		}
 		args = append(args, a)
@@ -189,8 +189,8 @@
 	switch {
 	case p == "":
 		return "", fmt.Errorf("a name of 0 bytes")
-	case len(p) >= maxName:
-		return "", fmt.Errorf("a name of %d bytes: at most %d", len(p), maxName-1)
+	case len(p) >= maxPathBytes:
+		return "", fmt.Errorf("a name of %d bytes: at most %d", len(p), maxPathBytes-1)
 	case p[0] == '/':
 		return "", fmt.Errorf("name %q is absolute", printable(p))
 	case strings.IndexByte(p, 0) >= 0:
--- a/internal/rsync/options.go
+++ b/internal/rsync/options.go
@@ -18,7 +18,7 @@
 	timeout, bwlimit                                                    int
 	verbose                                                             int
 	notes                                                               []string
-	refused                                                             error // the first option that is not done
+	unsupported                                                         error // the first option that is not done
 }
 
 // A short option either sets something, changes nothing that the user gets, or is
@@ -49,7 +49,7 @@
 	'8': func(*options) {},
 }
 
-var shortRefused = map[byte]string{
+var shortUnsupported = map[byte]string{
 	'z': "-z (--compress): compression is not done here",
 	'c': "-c (--checksum)", 'H': "-H (--hard-links)", 'A': "-A (--acls)", 'X': "-X (--xattrs)",
 	'R': "-R (--relative)", 'L': "-L (--copy-links)", 'k': "-k (--copy-dirlinks)",
@@ -83,7 +83,7 @@
 }
 
 // longPlain take a value and change nothing that the user gets from this side.
-var longPlain = map[string]bool{"log-format": true, "out-format": true, "info": true, "debug": true,
+var longIgnored = map[string]bool{"log-format": true, "out-format": true, "info": true, "debug": true,
 	"skip-compress": true}
 
 // parseOptions reads a client's argument lines.
@@ -97,13 +97,13 @@
 			if !server {
 				return o, fmt.Errorf("arguments: --server is missing")
 			}
-			return o, o.refused
+			return o, o.unsupported
 		case strings.HasPrefix(a, "--"):
-			name, value, has := strings.Cut(a[2:], "=")
+			name, value, hasValue := strings.Cut(a[2:], "=")
 			server = server || name == "server"
-			o.long(name, value, has)
+			o.parseLong(name, value, hasValue)
 		case strings.HasPrefix(a, "-"):
-			o.short(a[1:])
+			o.parseShort(a[1:])
 		default:
 			return o, fmt.Errorf("arguments: %q stands before the paths' '.'", printable(a))
 		}
@@ -111,13 +111,13 @@
 	return o, fmt.Errorf("arguments: no '.' before the paths")
 }
 
-func (o *options) refuse(what string) {
-	if o.refused == nil {
-		o.refused = fmt.Errorf("option %s is not served here; leave it out", what)
+func (o *options) reject(what string) {
+	if o.unsupported == nil {
+		o.unsupported = fmt.Errorf("option %s is not served here; leave it out", what)
 	}
 }
 
-func (o *options) short(bundle string) {
+func (o *options) parseShort(bundle string) {
 	for i := 0; i < len(bundle); i++ {
 		c := bundle[i]
 		if c == 'e' { // what follows tells the client's version and abilities
@@ -125,35 +125,35 @@
 		}
 		if set := shortFlags[c]; set != nil {
 			set(o)
-		} else if text := shortRefused[c]; text != "" {
-			o.refuse(text)
+		} else if text := shortUnsupported[c]; text != "" {
+			o.reject(text)
 		} else {
-			o.refuse(fmt.Sprintf("-%s", printable(string(c))))
+			o.reject(fmt.Sprintf("-%s", printable(string(c))))
 		}
 	}
 }
 
-func (o *options) long(name, value string, has bool) {
+func (o *options) parseLong(name, value string, hasValue bool) {
 	number := func(to *int, most int) {
 		n, err := strconv.Atoi(value)
 		if err != nil || n < 0 || n > most {
-			o.refuse(fmt.Sprintf("--%s=%s (expected 0 to %d)", name, printable(value), most))
+			o.reject(fmt.Sprintf("--%s=%s (expected 0 to %d)", name, printable(value), most))
 			return
 		}
 		*to = n
 	}
 	switch {
-	case name == "timeout" && has:
+	case name == "timeout" && hasValue:
 		number(&o.timeout, 1<<20)
-	case name == "bwlimit" && has:
+	case name == "bwlimit" && hasValue:
 		number(&o.bwlimit, 1<<30)
-	case has && longPlain[name]:
-	case !has && longFlags[name] != nil:
+	case hasValue && longIgnored[name]:
+	case !hasValue && longFlags[name] != nil:
 		longFlags[name](o)
 	case strings.HasPrefix(name, "del") || name == "max-delete" || name == "force":
-		o.refuse("--" + printable(name) + " (nothing is deleted through a push)")
+		o.reject("--" + printable(name) + " (nothing is deleted through a push)")
 	default:
-		o.refuse("--" + printable(name))
+		o.reject("--" + printable(name))
 	}
 }
 
--- a/internal/rsync/parts_test.go
+++ b/internal/rsync/parts_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestOrder has the order in which both sides count, protocol 29.
-func TestOrder(t *testing.T) {
+func TestFileListOrder(t *testing.T) {
 	want := []string{".", "a", "a.txt", "b-", "z", "a-b/", "a-b/x", "a/", "a/b", "a/z", "a/c/", "a/c/d", "aa/", "aa/x"}
 	var list []File
 	for _, p := range want {
@@ -39,7 +39,7 @@
 }
 
 // TestOrderIsOne checks that the order is total whatever the names.
-func TestOrderIsOne(t *testing.T) {
+func TestFileListOrderIsTotal(t *testing.T) {
 	name := rapid.StringMatching(`[-./ab]{1,6}`)
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(label string) File {
@@ -129,12 +129,12 @@
 				t.Errorf("%s: %v", text, err)
 			}
 		}
-		if got := f.leavesOut(c.path, c.dir); got != c.out {
+		if got := f.excludes(c.path, c.dir); got != c.out {
 			t.Errorf("%q leaves out %s: %v, want %v", c.rules, c.path, got, c.out)
 		}
 	}
 	old := &filter{}
-	if err := old.add("*.o", 28); err != nil || !old.leavesOut("x.o", false) {
+	if err := old.add("*.o", 28); err != nil || !old.excludes("x.o", false) {
 		t.Errorf("bare pattern of protocol 28: %v", err)
 	}
 }
@@ -162,57 +162,57 @@
 		}
 		x := &filter{}
 		if x.add(rule, 29) == nil {
-			x.leavesOut(path, false)
+			x.excludes(path, false)
 		}
 	})
 }
 
 // TestRolling compares the rolled sum with one made anew at each place.
-func TestRolling(t *testing.T) {
+func TestRollingSum(t *testing.T) {
 	p := make([]byte, 2000)
 	rand.New(rand.NewSource(3)).Read(p)
 	const n = 700
-	w := weakOf(p[:n])
+	w := newRollingSum(p[:n])
 	for i := range len(p) - n {
-		if w.sum() != weakOf(p[i:i+n]).sum() {
+		if w.sum() != newRollingSum(p[i:i+n]).sum() {
 			t.Fatalf("at %d", i)
 		}
 		w.roll(n, p[i], p[i+n])
 	}
 	for k := n; k > 1; k-- {
 		at := len(p) - k
-		if w.sum() != weakOf(p[at:]).sum() {
+		if w.sum() != newRollingSum(p[at:]).sum() {
 			t.Fatalf("with %d left", k)
 		}
-		w.drop(k, p[at])
+		w.dropFirst(k, p[at])
 	}
 }
 
 // TestSums has sums as other implementations make them (RFC 1320 for MD4).
-func TestSums(t *testing.T) {
-	if got := weakOf([]byte("abc")).sum(); got != 294|(97+195+294)<<16 {
+func TestChecksums(t *testing.T) {
+	if got := newRollingSum([]byte("abc")).sum(); got != 294|(97+195+294)<<16 {
 		t.Errorf("weak sum of abc: %x", got)
 	}
-	if got := weakOf([]byte{0xff}).sum(); got != 0xffff|0xffff<<16 {
+	if got := newRollingSum([]byte{0xff}).sum(); got != 0xffff|0xffff<<16 {
 		t.Errorf("bytes are signed: %x", got)
 	}
 	want := md4.New()
 	want.Write([]byte("abc\x01\x02\x00\x00"))
-	if got := strongOf(md4.New(), []byte("abc"), 0x201, nil); string(got) != string(want.Sum(nil)) {
+	if got := strongSum(md4.New(), []byte("abc"), 0x201, nil); string(got) != string(want.Sum(nil)) {
 		t.Errorf("strong sum %x", got)
 	}
 }
 
-func TestBlocks(t *testing.T) {
+func TestChooseBlocks(t *testing.T) {
 	for _, size := range []int64{0, 1, 699, 700, 701, 490_000, 490_001, 1 << 20, 64 << 20, 10 << 30} {
-		h := blocksOf(size, false)
-		if h.bytes() != size || !h.check() && h.count <= maxSums {
-			t.Errorf("%d bytes: %+v make %d", size, h, h.bytes())
+		h := chooseBlocks(size, false)
+		if h.fileSize() != size || !h.valid() && h.count <= maxBlockSums {
+			t.Errorf("%d bytes: %+v make %d", size, h, h.fileSize())
 		}
-		if size > 0 && (h.strong < 2 || h.block < 700 || h.block%4 != 0) {
+		if size > 0 && (h.strongSize < 2 || h.blockSize < 700 || h.blockSize%4 != 0) {
 			t.Errorf("%d bytes: %+v", size, h)
 		}
-		if size > 0 && blocksOf(size, true).strong != md4.Size {
+		if size > 0 && chooseBlocks(size, true).strongSize != md4.Size {
 			t.Errorf("%d bytes: whole sums are short", size)
 		}
 	}
--- a/internal/rsync/rsync.go
+++ b/internal/rsync/rsync.go
@@ -20,27 +20,27 @@
 
 // The protocol versions that a session speaks.
 const (
-	newest = 29
-	oldest = 27
+	newestVersion = 29
+	oldestVersion = 27
 )
 
 // The ceilings of what a client may make a session hold. What goes over one ends
 // the session with an error that names it.
 const (
-	maxLine     = 4096      // bytes of a line of the handshake
-	maxArgs     = 1000      // arguments
-	maxArgBytes = 64 << 10  // bytes of all arguments
-	maxName     = 4096      // bytes of a path
-	maxRules    = 10_000    // exclusion rules
-	maxRuleSum  = 1 << 20   // bytes of all rules
-	maxSums     = 1 << 20   // block sums of one file
-	maxBlock    = 1 << 29   // bytes of a block
-	maxToken    = 1 << 20   // bytes of literal data behind one count
-	maxIDs      = 100_000   // names of users or groups
-	highWater   = 256 << 10 // bytes for the client that wait before a session pauses
+	maxLineBytes    = 4096      // bytes of a line of the handshake
+	maxArgs         = 1000      // arguments
+	maxArgBytes     = 64 << 10  // bytes of all arguments
+	maxPathBytes    = 4096      // bytes of a path
+	maxRules        = 10_000    // exclusion rules
+	maxRuleBytes    = 1 << 20   // bytes of all rules
+	maxBlockSums    = 1 << 20   // block sums of one file
+	maxBlockBytes   = 1 << 29   // bytes of a block
+	maxTokenBytes   = 1 << 20   // bytes of literal data behind one count
+	maxIDNames      = 100_000   // names of users or groups
+	outputHighWater = 256 << 10 // bytes for the client that wait before a session pauses
 	// InputHigh is how many of the client's bytes a session holds at most before
 	// its caller must stop feeding it.
-	InputHigh = 128 << 10
+	MaxInputBytes = 128 << 10
 )
 
 // Module is one module as clients see it.
@@ -90,12 +90,12 @@
 	Challenge() string // fresh random text for a login
 	Seed() uint32      // fresh checksum seed, not 0
 	Secret(module, user string) (string, bool)
-	Enter(module string) (limit int, ok bool) // takes one of the module's connections
+	AcquireConn(module string) (limit int, ok bool) // takes one of the module's connections
 	Begin(Transfer) (Tree, error)
 	MaxFiles() int // entries of a file list
 	// Listed books so many more entries of file lists that this session holds; false if
 	// all sessions together would hold more than they may.
-	Listed(n int) bool
+	ReserveListEntries(n int) bool
 }
 
 // Transfer says what a client has asked for once its options are known.
@@ -124,23 +124,23 @@
 	End(err error) // the transfer is over
 }
 
-const listStep = 500 // entries of a file list booked at a time
+const listReserveStep = 500 // entries of a file list booked at a time
 
 // listed books the next entry of a list that has so many.
-func (s *Session) listed(have int) {
-	if have >= s.gw.MaxFiles() {
-		s.say(msgError, "eiderhold: more than %d files in one transfer; take the tree in parts", s.gw.MaxFiles())
-		fail("file list: more than %d entries", s.gw.MaxFiles())
+func (s *Session) reserveListEntry(have int) {
+	if have >= s.gateway.MaxFiles() {
+		s.sendMessage(msgError, "eiderhold: more than %d files in one transfer; take the tree in parts", s.gateway.MaxFiles())
+		fail("file list: more than %d entries", s.gateway.MaxFiles())
 	}
-	if have%listStep == 0 && !s.gw.Listed(listStep) {
-		s.say(msgError, "eiderhold: file lists of all transfers together are too long at the moment; come back later, or take the tree in parts")
+	if have%listReserveStep == 0 && !s.gateway.ReserveListEntries(listReserveStep) {
+		s.sendMessage(msgError, "eiderhold: file lists of all transfers together are too long at the moment; come back later, or take the tree in parts")
 		fail("file list: after %d entries all transfers together hold as many as they may (rsync.files)", have)
 	}
 }
 
 // ErrEnd marks an error of a Reader or a Pending after which the whole transfer ends,
 // not only its file.
-var ErrEnd = errors.New("the transfer ends")
+var ErrEndTransfer = errors.New("the transfer ends")
 
 // Reader reads a file of which only parts are there yet.
 type Reader interface {
@@ -158,7 +158,7 @@
 // Writer takes a file's bytes in order.
 type Writer interface {
 	Pending             // after Finish: all extents served and the catalogue changed
-	Room() bool         // it can take more
+	HasRoom() bool      // it can take more
 	Write(p []byte)     // takes all of p, copied
 	Finish(final File)  // no more bytes come
 	Abort(reason error) // the file is not to be
@@ -166,25 +166,25 @@
 
 // Session is one client's connection.
 type Session struct {
-	gw   Gateway
-	next func() (struct{}, bool)
-	stop func()
-
-	yield func(struct{}) bool
-	in    []byte
-	off   int  // bytes of in that are used up
-	eof   bool // the client will send nothing more
-	out   []byte
-	data  []byte // file data not yet in a frame
-	mux   bool
-	idle  func() // work that goes on while the session waits for input
+	gateway Gateway
+	next    func() (struct{}, bool)
+	stop    func()
+
+	yield       func(struct{}) bool
+	input       []byte
+	consumed    int  // bytes of in that are used up
+	eof         bool // the client will send nothing more
+	output      []byte
+	fileData    []byte // file data not yet in a frame
+	multiplexed bool
+	onWait      func() // work that goes on while the session waits for input
 
 	readBytes, wroteBytes int64
 	version               int
 	err                   error
-	over                  bool
+	finished              bool
 	tree                  Tree
-	ended                 bool // the tree was told
+	treeEnded             bool // the tree was told
 	phase                 string
 	opt                   options
 	seed                  uint32
@@ -192,25 +192,25 @@
 
 // NewSession starts a session. Out holds the greeting.
 func NewSession(gw Gateway) *Session {
-	s := &Session{gw: gw, phase: "greeting"}
+	s := &Session{gateway: gw, phase: "greeting"}
 	s.next, s.stop = iter.Pull(func(yield func(struct{}) bool) {
 		s.yield = yield
-		s.err = s.guard()
+		s.err = s.runGuarded()
 	})
 	s.Resume()
 	return s
 }
 
 // fault is a failure that ends the session, thrown inside it.
-type fault struct{ error }
+type sessionError struct{ error }
 
 var errStopped = errors.New("rsync: stopped")
 
 // guard runs the session and turns faults into its error.
-func (s *Session) guard() (err error) {
+func (s *Session) runGuarded() (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			f, ok := p.(fault)
+			f, ok := p.(sessionError)
 			if !ok {
 				panic(p)
 			}
@@ -222,18 +222,18 @@
 }
 
 func fail(format string, args ...any) {
-	panic(fault{fmt.Errorf("rsync: "+format, args...)})
+	panic(sessionError{fmt.Errorf("rsync: "+format, args...)})
 }
 
 // Feed takes bytes of the client and lets the session go on.
 func (s *Session) Feed(p []byte) {
-	if s.off > 0 && s.off == len(s.in) {
-		s.in, s.off = s.in[:0], 0
-	} else if s.off > 32<<10 {
-		s.in = s.in[:copy(s.in, s.in[s.off:])]
-		s.off = 0
+	if s.consumed > 0 && s.consumed == len(s.input) {
+		s.input, s.consumed = s.input[:0], 0
+	} else if s.consumed > 32<<10 {
+		s.input = s.input[:copy(s.input, s.input[s.consumed:])]
+		s.consumed = 0
 	}
-	s.in = append(s.in, p...)
+	s.input = append(s.input, p...)
 	s.readBytes += int64(len(p))
 	s.Resume()
 }
@@ -245,11 +245,11 @@
 }
 
 // Held is the number of the client's bytes that the session holds unread.
-func (s *Session) Held() int { return len(s.in) - s.off }
+func (s *Session) Buffered() int { return len(s.input) - s.consumed }
 
 // Resume lets the session look again at what it waits for.
 func (s *Session) Resume() {
-	if s.over {
+	if s.finished {
 		return
 	}
 	if _, more := s.next(); !more {
@@ -258,33 +258,33 @@
 }
 
 func (s *Session) finish() {
-	s.over = true
+	s.finished = true
 	s.flush()
-	if s.tree != nil && !s.ended {
-		s.ended = true
+	if s.tree != nil && !s.treeEnded {
+		s.treeEnded = true
 		s.tree.End(s.err)
 	}
 }
 
 // Out returns the bytes for the client and forgets them once Sent is called.
-func (s *Session) Out() []byte { return s.out }
+func (s *Session) Output() []byte { return s.output }
 
 // Sent says that n bytes of Out have been taken.
 func (s *Session) Sent(n int) {
 	s.wroteBytes += int64(n)
-	if n == len(s.out) {
-		s.out = s.out[:0]
-		if cap(s.out) > 4*highWater {
-			s.out = nil
+	if n == len(s.output) {
+		s.output = s.output[:0]
+		if cap(s.output) > 4*outputHighWater {
+			s.output = nil
 		}
 		return
 	}
-	s.out = s.out[:copy(s.out, s.out[n:])]
+	s.output = s.output[:copy(s.output, s.output[n:])]
 }
 
 // Over says that the session has ended and with what. After its last bytes are out
 // the connection is to be closed.
-func (s *Session) Over() (bool, error) { return s.over, s.err }
+func (s *Session) Ended() (bool, error) { return s.finished, s.err }
 
 // Phase names what the session is at, for logs.
 func (s *Session) Phase() string { return s.phase }
@@ -294,34 +294,34 @@
 
 // Close ends a session whose client has gone or is sent away.
 func (s *Session) Close(reason error) {
-	if s.over {
+	if s.finished {
 		return
 	}
 	s.stop() // the coroutine sees its yield refused and unwinds
-	s.over = true
+	s.finished = true
 	if s.err == nil || errors.Is(s.err, errStopped) {
 		s.err = reason
 	}
-	if s.tree != nil && !s.ended {
-		s.ended = true
+	if s.tree != nil && !s.treeEnded {
+		s.treeEnded = true
 		s.tree.End(s.err)
 	}
 }
 
 // wait yields until the caller has news.
 func (s *Session) wait() {
-	if s.idle != nil {
-		s.idle()
+	if s.onWait != nil {
+		s.onWait()
 	}
 	s.flush()
 	if !s.yield(struct{}{}) {
-		panic(fault{errStopped})
+		panic(sessionError{errStopped})
 	}
 }
 
 // room waits until the client has taken enough of what is for it.
-func (s *Session) room() {
-	for len(s.out)+len(s.data) > highWater {
+func (s *Session) waitForRoom() {
+	for len(s.output)+len(s.fileData) > outputHighWater {
 		s.wait()
 	}
 }
@@ -329,26 +329,26 @@
 // ---- input ----
 
 // need waits for n bytes and returns them; they are good until the next wait.
-func (s *Session) need(n int) []byte {
-	for len(s.in)-s.off < n {
+func (s *Session) readN(n int) []byte {
+	for len(s.input)-s.consumed < n {
 		if s.eof {
 			fail("%s: the client closed the connection", s.phase)
 		}
 		s.wait()
 	}
-	p := s.in[s.off : s.off+n]
-	s.off += n
+	p := s.input[s.consumed : s.consumed+n]
+	s.consumed += n
 	return p
 }
 
-func (s *Session) readByte() byte { return s.need(1)[0] }
-func (s *Session) readShort() int { return int(binary.LittleEndian.Uint16(s.need(2))) }
-func (s *Session) readInt() int32 { return int32(binary.LittleEndian.Uint32(s.need(4))) }
+func (s *Session) readByte() byte { return s.readN(1)[0] }
+func (s *Session) readShort() int { return int(binary.LittleEndian.Uint16(s.readN(2))) }
+func (s *Session) readInt() int32 { return int32(binary.LittleEndian.Uint32(s.readN(4))) }
 func (s *Session) readLong() int64 {
 	if v := s.readInt(); v != -1 {
 		return int64(v)
 	}
-	return int64(binary.LittleEndian.Uint64(s.need(8)))
+	return int64(binary.LittleEndian.Uint64(s.readN(8)))
 }
 
 // readVString reads a string whose length is one byte or two.
@@ -357,29 +357,29 @@
 	if n&0x80 != 0 {
 		n = (n&^0x80)<<8 + int(s.readByte())
 	}
-	if n >= maxName {
-		fail("%s: a name of %d bytes: at most %d", s.phase, n, maxName-1)
+	if n >= maxPathBytes {
+		fail("%s: a name of %d bytes: at most %d", s.phase, n, maxPathBytes-1)
 	}
-	return string(s.need(n))
+	return string(s.readN(n))
 }
 
 // readLine reads a line of the handshake, without its end.
 func (s *Session) readLine() string {
-	for at := s.off; ; at++ {
-		for at >= len(s.in) {
+	for at := s.consumed; ; at++ {
+		for at >= len(s.input) {
 			if s.eof {
 				fail("%s: the client closed the connection", s.phase)
 			}
-			done := at - s.off
+			done := at - s.consumed
 			s.wait()
-			at = s.off + done
+			at = s.consumed + done
 		}
-		if at-s.off > maxLine {
-			fail("%s: a line of over %d bytes", s.phase, maxLine)
+		if at-s.consumed > maxLineBytes {
+			fail("%s: a line of over %d bytes", s.phase, maxLineBytes)
 		}
-		if c := s.in[at]; c == '\n' || c == 0 {
-			line := string(s.in[s.off:at])
-			s.off = at + 1
+		if c := s.input[at]; c == '\n' || c == 0 {
+			line := string(s.input[s.consumed:at])
+			s.consumed = at + 1
 			if len(line) > 0 && line[len(line)-1] == '\r' {
 				line = line[:len(line)-1]
 			}
@@ -390,7 +390,7 @@
 
 // ---- output ----
 
-const frameData = 32 << 10 // bytes of file data in a frame
+const frameBytes = 32 << 10 // bytes of file data in a frame
 
 // The tags of multiplexed output, as protocol 29 knows them.
 const (
@@ -401,15 +401,15 @@
 )
 
 func (s *Session) write(p []byte) {
-	if !s.mux {
-		s.out = append(s.out, p...)
+	if !s.multiplexed {
+		s.output = append(s.output, p...)
 		return
 	}
 	for len(p) > 0 {
-		n := min(len(p), frameData-len(s.data))
-		s.data = append(s.data, p[:n]...)
+		n := min(len(p), frameBytes-len(s.fileData))
+		s.fileData = append(s.fileData, p[:n]...)
 		p = p[n:]
-		if len(s.data) == frameData {
+		if len(s.fileData) == frameBytes {
 			s.flush()
 		}
 	}
@@ -439,24 +439,24 @@
 
 // flush puts pending file data into a frame.
 func (s *Session) flush() {
-	if len(s.data) == 0 {
+	if len(s.fileData) == 0 {
 		return
 	}
-	s.frame(msgData, s.data)
-	s.data = s.data[:0]
+	s.writeFrame(msgData, s.fileData)
+	s.fileData = s.fileData[:0]
 }
 
-func (s *Session) frame(tag int, p []byte) {
-	s.out = binary.LittleEndian.AppendUint32(s.out, uint32((muxBase+tag)<<24|len(p)))
-	s.out = append(s.out, p...)
+func (s *Session) writeFrame(tag int, p []byte) {
+	s.output = binary.LittleEndian.AppendUint32(s.output, uint32((muxBase+tag)<<24|len(p)))
+	s.output = append(s.output, p...)
 }
 
 // say sends a text to the client's user.
-func (s *Session) say(tag int, format string, args ...any) {
+func (s *Session) sendMessage(tag int, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if len(text) > 1000 {
 		text = text[:1000]
 	}
 	s.flush()
-	s.frame(tag, []byte(text+"\n"))
+	s.writeFrame(tag, []byte(text+"\n"))
 }
--- a/internal/rsync/sender.go
+++ b/internal/rsync/sender.go
@@ -18,17 +18,17 @@
 const ndxDone = -1
 
 const (
-	scanChunk  = 500 // entries looked up at a time
-	openAhead  = 16  // requests for files that are begun before their turn
-	literalMax = 32 << 10
+	scanEntries     = 500 // entries looked up at a time
+	maxOpenAhead    = 16  // requests for files that are begun before their turn
+	maxLiteralBytes = 32 << 10
 )
 
 // send serves a pull.
-func (s *Session) send(paths []string) {
+func (s *Session) servePull(paths []string) {
 	s.phase = "filter list"
 	rules := s.readFilter()
 	s.phase = "file list"
-	list, broken := s.sendList(paths, rules)
+	list, ioError := s.sendList(paths, rules)
 	if len(list) == 0 {
 		return
 	}
@@ -39,11 +39,11 @@
 			sum += list[i].Size
 		}
 	}
-	s.sendFiles(list, broken)
+	s.sendFiles(list, ioError)
 	s.phase = "statistics"
 	s.flush()
 	s.writeLong(s.readBytes)
-	s.writeLong(s.wroteBytes + int64(len(s.out)))
+	s.writeLong(s.wroteBytes + int64(len(s.output)))
 	s.writeLong(sum)
 	if s.version >= 29 {
 		s.writeLong(0) // time to build and to send the list, milliseconds: not kept
@@ -58,30 +58,30 @@
 // sendList sends the file list and returns it in the order that both sides count in.
 func (s *Session) sendList(paths []string, rules *filter) ([]File, bool) {
 	var list []File
-	coder := &listCoder{}
+	coder := &previousEntry{}
 	ioError := int32(0)
 	seen := map[string]bool{}
 	add := func(f File, name string, top bool) bool {
 		if seen[name] || f.IsLink() && !s.opt.links {
 			return true
 		}
-		if name != "." && rules.leavesOut(name, f.IsDir()) {
+		if name != "." && rules.excludes(name, f.IsDir()) {
 			return false
 		}
-		s.listed(len(list))
+		s.reserveListEntry(len(list))
 		seen[name] = true
 		s.writeEntry(coder, &f, name, top)
-		s.room()
+		s.waitForRoom()
 		shown := f
 		shown.Path = name
-		shown.Ref = sendRef{f}
+		shown.Ref = sourceRef{f}
 		list = append(list, shown)
 		return true
 	}
 	for _, p := range paths {
-		for _, q := range s.expand(p) {
+		for _, q := range s.expandWildcards(p) {
 			if err := s.sendPath(q, add); err != nil {
-				s.say(msgError, "eiderhold: %s: %v", printable(q), err)
+				s.sendMessage(msgError, "eiderhold: %s: %v", printable(q), err)
 				ioError = 1
 			}
 		}
@@ -102,7 +102,7 @@
 
 // sendRef keeps the entry as the catalogue has it beside the name as the client
 // sees it.
-type sendRef struct{ file File }
+type sourceRef struct{ file File }
 
 // sendPath sends what one path of the arguments asks for.
 func (s *Session) sendPath(arg string, add func(File, string, bool) bool) error {
@@ -123,7 +123,7 @@
 		return nil
 	}
 	if !s.opt.recurse && !s.opt.dirs {
-		s.say(msgInfo, "skipping directory %s", printable(dir))
+		s.sendMessage(msgInfo, "skipping directory %s", printable(dir))
 		return nil
 	}
 	name := path.Base(dir)
@@ -147,27 +147,27 @@
 // that a rule leaves out nothing is sent.
 func (s *Session) sendBelow(dir, strip, prefix string, add func(File, string, bool) bool) error {
 	after := ""
-	out := map[string]bool{} // directories left out
-	below := func(p string) bool {
-		for i := len(strip); len(out) > 0 && i < len(p); i++ {
-			if p[i] == '/' && out[p[:i]] {
+	excluded := map[string]bool{} // directories left out
+	insideExcluded := func(p string) bool {
+		for i := len(strip); len(excluded) > 0 && i < len(p); i++ {
+			if p[i] == '/' && excluded[p[:i]] {
 				return true
 			}
 		}
 		return false
 	}
 	for {
-		files, err := s.tree.Scan(dir, after, s.opt.recurse, scanChunk)
+		files, err := s.tree.Scan(dir, after, s.opt.recurse, scanEntries)
 		if err != nil {
 			return err
 		}
 		for _, f := range files {
 			after = f.Path
-			if !below(f.Path) && !add(f, prefix+strings.TrimPrefix(f.Path, strip), false) && f.IsDir() {
-				out[f.Path] = true
+			if !insideExcluded(f.Path) && !add(f, prefix+strings.TrimPrefix(f.Path, strip), false) && f.IsDir() {
+				excluded[f.Path] = true
 			}
 		}
-		if len(files) < scanChunk {
+		if len(files) < scanEntries {
 			return nil
 		}
 	}
@@ -175,7 +175,7 @@
 
 // expand turns the wildcards of an argument into the paths that match, as a shell
 // on the server's side would.
-func (s *Session) expand(arg string) []string {
+func (s *Session) expandWildcards(arg string) []string {
 	if !strings.ContainsAny(arg, "*?[") {
 		return []string{arg}
 	}
@@ -192,15 +192,15 @@
 				continue
 			}
 			for after := ""; ; {
-				files, err := s.tree.Scan(path.Join(".", b), after, false, scanChunk)
+				files, err := s.tree.Scan(path.Join(".", b), after, false, scanEntries)
 				for _, f := range files {
 					after = f.Path
 					name := path.Base(f.Path)
-					if wildMatch(part, name) && (name[0] != '.' || part[0] == '.') && len(found) < s.gw.MaxFiles() {
+					if wildMatch(part, name) && (name[0] != '.' || part[0] == '.') && len(found) < s.gateway.MaxFiles() {
 						found = append(found, f.Path)
 					}
 				}
-				if err != nil || len(files) < scanChunk {
+				if err != nil || len(files) < scanEntries {
 					break
 				}
 			}
@@ -217,25 +217,25 @@
 }
 
 // job is one file that the client has asked for.
-type job struct {
+type fileRequest struct {
 	ndx    int32
 	flags  int
 	basis  byte
 	xname  string
-	sums   *index // nil: nothing but an echo of the flags
+	sums   *blockIndex // nil: nothing but an echo of the flags
 	reader Reader
 	done   bool // ndxDone
 }
 
 // sendFiles answers requests for files until the last phase is over.
-func (s *Session) sendFiles(list []File, broken bool) {
+func (s *Session) sendFiles(list []File, ioError bool) {
 	phases := 2
 	if s.version < 29 {
 		phases = 1
 	}
-	var jobs []*job
+	var requests []*fileRequest
 	defer func() {
-		for _, j := range jobs {
+		for _, j := range requests {
 			if j.reader != nil {
 				j.reader.Close()
 			}
@@ -244,20 +244,20 @@
 	failed := map[int32]bool{}
 	last := phases
 	for phase := 0; ; {
-		for len(jobs) == 0 || len(jobs) < openAhead && phase <= last && s.wholeRequest() {
+		for len(requests) == 0 || len(requests) < maxOpenAhead && phase <= last && s.requestBuffered() {
 			j := s.readRequest(list, phase)
 			if j == nil {
 				continue
 			}
 			if j.sums != nil && !failed[j.ndx] {
-				j.reader = s.tree.Open(list[j.ndx].Ref.(sendRef).file)
+				j.reader = s.tree.Open(list[j.ndx].Ref.(sourceRef).file)
 			}
-			jobs = append(jobs, j)
+			requests = append(requests, j)
 			if j.done {
 				phase++
 			}
 		}
-		j := jobs[0]
+		j := requests[0]
 		switch {
 		case j.done:
 			s.writeInt(ndxDone)
@@ -265,26 +265,26 @@
 				return
 			}
 		case j.sums == nil:
-			s.writeAnswer(j)
+			s.echoRequest(j)
 		case j.reader == nil: // it failed before, and the client was told
 		default:
 			if err := s.sendFile(j, &list[j.ndx]); err != nil {
 				failed[j.ndx] = true
-				s.say(msgError, "eiderhold: %s: %v", printable(list[j.ndx].Path), err)
-				if errors.Is(err, ErrEnd) {
+				s.sendMessage(msgError, "eiderhold: %s: %v", printable(list[j.ndx].Path), err)
+				if errors.Is(err, ErrEndTransfer) {
 					fail("%w", err)
 				}
 			}
 			j.reader.Close()
 		}
-		jobs = jobs[1:]
-		s.room()
+		requests = requests[1:]
+		s.waitForRoom()
 	}
 }
 
 // wholeRequest says that the client's next request is here to its last byte.
-func (s *Session) wholeRequest() bool {
-	p := s.in[s.off:]
+func (s *Session) requestBuffered() bool {
+	p := s.input[s.consumed:]
 	int32At := func(i int) int32 {
 		return int32(p[i]) | int32(p[i+1])<<8 | int32(p[i+2])<<16 | int32(p[i+3])<<24
 	}
@@ -308,15 +308,15 @@
 		return false
 	}
 	count, strong := int32At(at), int32At(at+8)
-	if count < 0 || count > maxSums || strong < 0 || strong > 16 {
+	if count < 0 || count > maxBlockSums || strong < 0 || strong > 16 {
 		return true // its reading fails and says why
 	}
 	return len(p) >= at+16+int(count)*(4+int(strong))
 }
 
 // readRequest takes one request; nil for a sign of life.
-func (s *Session) readRequest(list []File, phase int) *job {
-	j := &job{ndx: s.readInt(), flags: itemTransfer}
+func (s *Session) readRequest(list []File, phase int) *fileRequest {
+	j := &fileRequest{ndx: s.readInt(), flags: itemTransfer}
 	if j.ndx == ndxDone {
 		j.done = true
 		return j
@@ -342,12 +342,12 @@
 	if !list[j.ndx].IsRegular() || phase > 1 {
 		fail("request for the content of %q in phase %d", printable(list[j.ndx].Path), phase)
 	}
-	j.sums = s.readSums()
+	j.sums = s.readBlockSums()
 	return j
 }
 
 // writeAnswer repeats what the client asked for.
-func (s *Session) writeAnswer(j *job) {
+func (s *Session) echoRequest(j *fileRequest) {
 	s.writeInt(j.ndx)
 	if s.version < 29 {
 		return
@@ -362,7 +362,7 @@
 }
 
 // await waits for bytes of a reader.
-func (s *Session) await(r Reader, off int64, n int) ([]byte, error) {
+func (s *Session) readAt(r Reader, off int64, n int) ([]byte, error) {
 	for {
 		p, ok, err := r.At(off, n)
 		if ok || err != nil {
@@ -375,25 +375,25 @@
 // sendFile answers one request. A file whose first bytes cannot be had is left out;
 // one that breaks off later ends with a sum that cannot be right, so that the client
 // throws away what came.
-func (s *Session) sendFile(j *job, f *File) error {
+func (s *Session) sendFile(j *fileRequest, f *File) error {
 	var err error
 	if f.Size > 0 {
-		_, err = s.await(j.reader, 0, literalMax)
+		_, err = s.readAt(j.reader, 0, maxLiteralBytes)
 	}
 	if err != nil {
 		return err
 	}
-	s.writeAnswer(j)
-	s.writeSumHead(j.sums.head)
-	sum := fileHash(s.seed)
-	if j.sums.head.count == 0 {
+	s.echoRequest(j)
+	s.writeSumHeader(j.sums.header)
+	sum := newFileHash(s.seed)
+	if j.sums.header.count == 0 {
 		for off := int64(0); off < f.Size && err == nil; {
 			var p []byte
-			if p, err = s.await(j.reader, off, literalMax); err == nil {
+			if p, err = s.readAt(j.reader, off, maxLiteralBytes); err == nil {
 				sum.Write(p)
-				s.literal(p)
+				s.writeLiteral(p)
 				off += int64(len(p))
-				s.room()
+				s.waitForRoom()
 			}
 		}
 	} else {
@@ -408,9 +408,9 @@
 	return err
 }
 
-func (s *Session) literal(p []byte) {
+func (s *Session) writeLiteral(p []byte) {
 	for len(p) > 0 {
-		n := min(len(p), literalMax)
+		n := min(len(p), maxLiteralBytes)
 		s.writeInt(int32(n))
 		s.write(p[:n])
 		p = p[n:]
@@ -418,33 +418,33 @@
 }
 
 // sendDelta sends a file as blocks that the client has and the bytes between them.
-func (s *Session) sendDelta(j *job, f *File, hashed func([]byte)) error {
+func (s *Session) sendDelta(j *fileRequest, f *File, updateHash func([]byte)) error {
 	x := j.sums
-	block := int(x.head.block)
+	block := int(x.header.blockSize)
 	var buf []byte // bytes of the file from base on
-	base, pos := int64(0), 0
-	lit := 0 // buf[lit:pos] is to be sent as it is
-	want := int32(0)
+	bufStart, pos := int64(0), 0
+	literalStart := 0 // buf[lit:pos] is to be sent as it is
+	preferred := int32(0)
 	flush := func() {
-		s.literal(buf[lit:pos])
-		lit = pos
+		s.writeLiteral(buf[literalStart:pos])
+		literalStart = pos
 	}
-	var w weak
-	fresh := true // w is not that of the window at pos
+	var w rollingSum
+	stale := true // w is not that of the window at pos
 	for {
-		for len(buf)-pos < block+1 && base+int64(len(buf)) < f.Size {
+		for len(buf)-pos < block+1 && bufStart+int64(len(buf)) < f.Size {
 			if pos > 1<<20 && pos > len(buf)/2 { // forget what is sent
 				flush()
 				buf = buf[:copy(buf, buf[pos:])]
-				base += int64(pos)
-				pos, lit = 0, 0
+				bufStart += int64(pos)
+				pos, literalStart = 0, 0
 			}
-			p, err := s.await(j.reader, base+int64(len(buf)), literalMax)
+			p, err := s.readAt(j.reader, bufStart+int64(len(buf)), maxLiteralBytes)
 			if err != nil {
 				flush()
 				return err
 			}
-			hashed(p)
+			updateHash(p)
 			buf = append(buf, p...)
 		}
 		n := min(block, len(buf)-pos)
@@ -452,26 +452,26 @@
 			flush()
 			return nil
 		}
-		if fresh {
-			w, fresh = weakOf(buf[pos:pos+n]), false
+		if stale {
+			w, stale = newRollingSum(buf[pos:pos+n]), false
 		}
-		if i := x.find(w.sum(), buf[pos:pos+n], want); i >= 0 {
+		if i := x.find(w.sum(), buf[pos:pos+n], preferred); i >= 0 {
 			flush()
 			s.writeInt(-(i + 1))
 			pos += n
-			lit, fresh, want = pos, true, i+1
-			s.room()
+			literalStart, stale, preferred = pos, true, i+1
+			s.waitForRoom()
 			continue
 		}
 		if pos+n < len(buf) {
 			w.roll(n, buf[pos], buf[pos+n])
 		} else {
-			w.drop(n, buf[pos])
+			w.dropFirst(n, buf[pos])
 		}
 		pos++
-		if pos-lit >= literalMax {
+		if pos-literalStart >= maxLiteralBytes {
 			flush()
-			s.room()
+			s.waitForRoom()
 		}
 	}
 }
--- a/internal/rsync/session_test.go
+++ b/internal/rsync/session_test.go
@@ -11,7 +11,7 @@
 	"golang.org/x/crypto/md4"
 )
 
-func le(vs ...int32) []byte {
+func littleEndian(vs ...int32) []byte {
 	var b []byte
 	for _, v := range vs {
 		b = binary.LittleEndian.AppendUint32(b, uint32(v))
@@ -19,7 +19,7 @@
 	return b
 }
 
-func cat(parts ...any) []byte {
+func concat(parts ...any) []byte {
 	var b []byte
 	for _, p := range parts {
 		switch p := p.(type) {
@@ -34,8 +34,8 @@
 	return b
 }
 
-const pullHead = "@RSYNCD: 29\nm\n--server\n--sender\n-rlt\n.\nm/\n\n"
-const pushHead = "@RSYNCD: 29\nm\n--server\n-rlt\n.\nm/\n\n"
+const pullHandshake = "@RSYNCD: 29\nm\n--server\n--sender\n-rlt\n.\nm/\n\n"
+const pushHandshake = "@RSYNCD: 29\nm\n--server\n-rlt\n.\nm/\n\n"
 
 // TestHandshake has what clients say first and what the daemon answers.
 func TestHandshake(t *testing.T) {
@@ -61,11 +61,11 @@
 		{"many arguments", "@RSYNCD: 29\nm\n" + strings.Repeat("-v\n", 1001), "@ERROR: more than 1000 arguments", "refused"},
 	} {
 		for _, piece := range []int{1, 1 << 20} {
-			s, out := talk(newMemory(), []byte(c.in), piece)
+			s, out := exchange(newMemory(), []byte(c.in), piece)
 			if !strings.Contains(string(out), c.want) {
 				t.Errorf("%s: %q, want %q", c.name, out, c.want)
 			}
-			_, err := s.Over()
+			_, err := s.Ended()
 			if c.err == "" && err != nil || c.err != "" && (err == nil || !strings.Contains(err.Error(), c.err)) {
 				t.Errorf("%s: ended with %v, want %q", c.name, err, c.err)
 			}
@@ -77,7 +77,7 @@
 	}
 	m := newMemory()
 	m.full = true
-	if _, out := talk(m, []byte("@RSYNCD: 29\nm\n"), 100); !strings.Contains(string(out), "@ERROR: max connections (3) reached -- try again later\n") {
+	if _, out := exchange(m, []byte("@RSYNCD: 29\nm\n"), 100); !strings.Contains(string(out), "@ERROR: max connections (3) reached -- try again later\n") {
 		t.Errorf("full module: %q", out)
 	}
 }
@@ -115,26 +115,26 @@
 	} {
 		m := newMemory()
 		in := "@RSYNCD: 29\n" + c.module + "\n" + strings.ReplaceAll(c.args, " ", "\n") + "\n\n"
-		s, out := talk(m, []byte(in), 7)
-		_, err := s.Over()
+		s, out := exchange(m, []byte(in), 7)
+		_, err := s.Ended()
 		switch {
-		case c.want == "" && (m.begun == nil || err != nil):
+		case c.want == "" && (m.transfer == nil || err != nil):
 			t.Errorf("%s: not begun, %v, %q", c.args, err, out)
-		case c.want != "" && (err == nil || !strings.Contains(string(out), c.want) || m.begun != nil):
+		case c.want != "" && (err == nil || !strings.Contains(string(out), c.want) || m.transfer != nil):
 			t.Errorf("%s: %v, want %q in %q", c.args, err, c.want, out)
 		}
 		s.Close(errStopped)
 	}
 	m := newMemory()
-	s, _ := talk(m, []byte("@RSYNCD: 29\nm\n--server\n--sender\n-n\n--timeout=10\n--bwlimit=7\n.\nm//a/./b//\n\n"), 100)
+	s, _ := exchange(m, []byte("@RSYNCD: 29\nm\n--server\n--sender\n-n\n--timeout=10\n--bwlimit=7\n.\nm//a/./b//\n\n"), 100)
 	s.Close(errStopped)
-	if b := m.begun; b.Timeout != 10 || b.BWLimit != 7 || !b.DryRun || b.Push || b.Paths[0] != "a/b/" {
+	if b := m.transfer; b.Timeout != 10 || b.BWLimit != 7 || !b.DryRun || b.Push || b.Paths[0] != "a/b/" {
 		t.Errorf("transfer %+v", b)
 	}
 }
 
 // frames takes a session's output apart, from the checksum seed on.
-func frames(t *testing.T, out []byte) (data []byte, said []string) {
+func parseFrames(t *testing.T, out []byte) (data []byte, messages []string) {
 	t.Helper()
 	_, rest, ok := bytes.Cut(out, []byte("@RSYNCD: OK\n"))
 	if !ok || len(rest) < 4 {
@@ -150,53 +150,53 @@
 		if h>>24 == 7 {
 			data = append(data, rest[4:4+n]...)
 		} else {
-			said = append(said, string(rest[4:4+n]))
+			messages = append(messages, string(rest[4:4+n]))
 		}
 		rest = rest[4+n:]
 	}
-	return data, said
+	return data, messages
 }
 
 // TestHostilePush has what a client may send in place of a good file list or file.
 // Each ends the session with an error that names the place, in bounded memory.
-func TestHostilePush(t *testing.T) {
+func TestMalformedPush(t *testing.T) {
 	entry := func(name string, size, mode int32) []byte {
-		return cat(64, le(int32(len(name))), name, le(size), le(1), le(mode))
+		return concat(64, littleEndian(int32(len(name))), name, littleEndian(size), littleEndian(1), littleEndian(mode))
 	}
-	end := cat(0, le(0))
+	end := concat(0, littleEndian(0))
 	f := int32(typeFile | 0o644)
-	good := cat(pushHead, entry("f", 3, f), end)
-	ask := cat(le(0), []byte{0, 0x80})
+	good := concat(pushHandshake, entry("f", 3, f), end)
+	ask := concat(littleEndian(0), []byte{0, 0x80})
 	for _, c := range []struct {
 		name, want string
 		in         []byte
 	}{
-		{"name with ..", "'..'", cat(pushHead, entry("a/../../b", 1, f))},
-		{"absolute name", "absolute", cat(pushHead, entry("/etc/passwd", 1, f))},
-		{"name with NUL", "NUL", cat(pushHead, entry("a\x00b", 1, f))},
-		{"name of 0 bytes", "a name of 0+0 bytes", cat(pushHead, 64, le(0))},
-		{"name of 5000 bytes", "a name of 0+5000", cat(pushHead, 64, le(5000))},
-		{"negative name", "-5 bytes", cat(pushHead, 64, le(-5))},
-		{"prefix beyond the last name", "after one of 0", cat(pushHead, 32, 9, 1, "x")},
-		{"negative size", "-9 bytes long", cat(pushHead, 64, le(1), "f", le(-1), le(-9, -1))},
-		{"long link", "link target", cat(pushHead, entry("l", 3, int32(typeLink|0o777)), le(1<<30))},
-		{"too many files", "more than 1000 entries", cat(pushHead, bytes.Repeat(entry("f", 1, f), 1002))},
-		{"no such file", "file 7 of 1", cat(good, le(7), []byte{0, 0x80})},
-		{"negative file", "file -2 of 1", cat(good, le(-2), []byte{0, 0x80})},
-		{"not asked for", "not asked for", cat(pushHead, entry("d", 0, int32(typeDir|0o755)), end, ask)},
-		{"sums beyond all", "block sums", cat(good, ask, le(1<<30, 700, 2, 0))},
-		{"negative block", "block sums", cat(good, ask, le(1, -700, 2, 0))},
-		{"block that is not here", "block 4 of 0", cat(good, ask, le(0, 0, 2, 0), le(-5))},
-		{"huge token", "a token of", cat(good, ask, le(0, 0, 2, 0), le(1<<30))},
-		{"ends in a token", "closed the connection", cat(good, ask, le(0, 0, 2, 0), le(100), "abc")},
-		{"too many names", "more than 100000 names", cat("@RSYNCD: 29\nm\n--server\n-ro\n.\nm/\n\n",
-			cat(64, le(1), "f", le(3), le(1), le(f), le(0)), 0, bytes.Repeat(cat(le(5), 1, "x"), 100_002))},
+		{"name with ..", "'..'", concat(pushHandshake, entry("a/../../b", 1, f))},
+		{"absolute name", "absolute", concat(pushHandshake, entry("/etc/passwd", 1, f))},
+		{"name with NUL", "NUL", concat(pushHandshake, entry("a\x00b", 1, f))},
+		{"name of 0 bytes", "a name of 0+0 bytes", concat(pushHandshake, 64, littleEndian(0))},
+		{"name of 5000 bytes", "a name of 0+5000", concat(pushHandshake, 64, littleEndian(5000))},
+		{"negative name", "-5 bytes", concat(pushHandshake, 64, littleEndian(-5))},
+		{"prefix beyond the last name", "after one of 0", concat(pushHandshake, 32, 9, 1, "x")},
+		{"negative size", "-9 bytes long", concat(pushHandshake, 64, littleEndian(1), "f", littleEndian(-1), littleEndian(-9, -1))},
+		{"long link", "link target", concat(pushHandshake, entry("l", 3, int32(typeLink|0o777)), littleEndian(1<<30))},
+		{"too many files", "more than 1000 entries", concat(pushHandshake, bytes.Repeat(entry("f", 1, f), 1002))},
+		{"no such file", "file 7 of 1", concat(good, littleEndian(7), []byte{0, 0x80})},
+		{"negative file", "file -2 of 1", concat(good, littleEndian(-2), []byte{0, 0x80})},
+		{"not asked for", "not asked for", concat(pushHandshake, entry("d", 0, int32(typeDir|0o755)), end, ask)},
+		{"sums beyond all", "block sums", concat(good, ask, littleEndian(1<<30, 700, 2, 0))},
+		{"negative block", "block sums", concat(good, ask, littleEndian(1, -700, 2, 0))},
+		{"block that is not here", "block 4 of 0", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(-5))},
+		{"huge token", "a token of", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(1<<30))},
+		{"ends in a token", "closed the connection", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(100), "abc")},
+		{"too many names", "more than 100000 names", concat("@RSYNCD: 29\nm\n--server\n-ro\n.\nm/\n\n",
+			concat(64, littleEndian(1), "f", littleEndian(3), littleEndian(1), littleEndian(f), littleEndian(0)), 0, bytes.Repeat(concat(littleEndian(5), 1, "x"), 100_002))},
 	} {
 		for _, piece := range []int{1, 4096} {
 			m := newMemory()
-			s, out := talk(m, c.in, piece)
+			s, out := exchange(m, c.in, piece)
 			s.EOF()
-			over, err := s.Over()
+			over, err := s.Ended()
 			if !over || err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%s: over %v, %v, want %q; out %q", c.name, over, err, c.want, out[:min(len(out), 300)])
 			}
@@ -209,35 +209,35 @@
 }
 
 // TestHostilePull is the same for what a client sends on a pull.
-func TestHostilePull(t *testing.T) {
-	noRules := le(0)
-	ask := cat(le(1), []byte{0, 0x80})
+func TestMalformedPull(t *testing.T) {
+	noRules := littleEndian(0)
+	ask := concat(littleEndian(1), []byte{0, 0x80})
 	for _, c := range []struct {
 		name, want string
 		in         []byte
 	}{
-		{"negative rule", "rule 1 of -1 bytes", cat(pullHead, le(-1))},
-		{"long rule", "rule 1 of 9999 bytes", cat(pullHead, le(9999))},
-		{"many rules", "rule 10001", cat(pullHead, bytes.Repeat(cat(le(3), "- x"), 10_002))},
-		{"merge rule", "refused", cat(pullHead, le(7), ": .rules")},
-		{"no rule", "refused", cat(pullHead, le(1), "x")},
-		{"no such file", "request for file 9 of 2", cat(pullHead, noRules, le(9), []byte{0, 0x80})},
-		{"a directory's content", "content of", cat(pullHead, noRules, le(0), []byte{0, 0x80})},
-		{"sums beyond all", "block sums", cat(pullHead, noRules, ask, le(1<<25, 700, 16, 0))},
-		{"strong sums too long", "block sums", cat(pullHead, noRules, ask, le(1, 700, 17, 0))},
-		{"remainder over the block", "block sums", cat(pullHead, noRules, ask, le(1, 700, 16, 701))},
-		{"long xname", "a name of", cat(pullHead, noRules, le(1), []byte{0, 0x90, 0xff, 0xff})},
+		{"negative rule", "rule 1 of -1 bytes", concat(pullHandshake, littleEndian(-1))},
+		{"long rule", "rule 1 of 9999 bytes", concat(pullHandshake, littleEndian(9999))},
+		{"many rules", "rule 10001", concat(pullHandshake, bytes.Repeat(concat(littleEndian(3), "- x"), 10_002))},
+		{"merge rule", "refused", concat(pullHandshake, littleEndian(7), ": .rules")},
+		{"no rule", "refused", concat(pullHandshake, littleEndian(1), "x")},
+		{"no such file", "request for file 9 of 2", concat(pullHandshake, noRules, littleEndian(9), []byte{0, 0x80})},
+		{"a directory's content", "content of", concat(pullHandshake, noRules, littleEndian(0), []byte{0, 0x80})},
+		{"sums beyond all", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1<<25, 700, 16, 0))},
+		{"strong sums too long", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1, 700, 17, 0))},
+		{"remainder over the block", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1, 700, 16, 701))},
+		{"long xname", "a name of", concat(pullHandshake, noRules, littleEndian(1), []byte{0, 0x90, 0xff, 0xff})},
 	} {
 		for _, piece := range []int{1, 4096} {
 			m := newMemory()
 			m.add("f", typeFile|0o644, "abc")
-			s, out := talk(m, c.in, piece)
-			over, err := s.Over()
+			s, out := exchange(m, c.in, piece)
+			over, err := s.Ended()
 			if !over || err == nil || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("%s: over %v, %v, want %q; out %q", c.name, over, err, c.want, out)
 			}
-			if m.ended != 1 || m.open != 0 {
-				t.Errorf("%s: the tree was told %d times, %d readers are open", c.name, m.ended, m.open)
+			if m.ended != 1 || m.openReaders != 0 {
+				t.Errorf("%s: the tree was told %d times, %d readers are open", c.name, m.ended, m.openReaders)
 			}
 			s.Close(errStopped)
 		}
@@ -247,51 +247,51 @@
 // TestPullBreaksOff: a file that cannot be read from its middle on ends with a sum
 // that cannot be right, the client is told, and the second time it is left out; the
 // others come whole.
-func TestPullBreaksOff(t *testing.T) {
+func TestPullReadError(t *testing.T) {
 	m := newMemory()
-	m.slow = 2
+	m.notReadyCalls = 2
 	m.add("bad", typeFile|0o644, strings.Repeat("x", 100_000))
 	m.add("good", typeFile|0o644, "fine")
-	m.bad["bad"] = errDisk
-	none := le(0, 0, 0, 0)
-	ask := func(i int32) []byte { return cat(le(i), []byte{0, 0x80}, none) }
-	s, out := talk(m, cat(pullHead, le(0), ask(1), ask(2), le(-1), ask(1), le(-1, -1, -1)), 11)
-	if over, err := s.Over(); !over || err != nil {
+	m.readErrors["bad"] = errDisk
+	none := littleEndian(0, 0, 0, 0)
+	ask := func(i int32) []byte { return concat(littleEndian(i), []byte{0, 0x80}, none) }
+	s, out := exchange(m, concat(pullHandshake, littleEndian(0), ask(1), ask(2), littleEndian(-1), ask(1), littleEndian(-1, -1, -1)), 11)
+	if over, err := s.Ended(); !over || err != nil {
 		t.Fatalf("over %v, %v, phase %s", over, err, s.Phase())
 	}
-	data, said := frames(t, out)
+	data, said := parseFrames(t, out)
 	if len(said) != 1 || !strings.Contains(said[0], "bad: a bad disk") {
 		t.Errorf("said %q", said)
 	}
 	wrong := md4.New()
-	wrong.Write(le(12345))
+	wrong.Write(littleEndian(12345))
 	wrong.Write([]byte(strings.Repeat("x", 65536)))
 	if bytes.Contains(data, wrong.Sum(nil)) {
 		t.Error("the sum of the part that came is right: the client would keep it")
 	}
 	sum := md4.New()
-	sum.Write(le(12345))
+	sum.Write(littleEndian(12345))
 	sum.Write([]byte("fine"))
-	if !bytes.Contains(data, cat(le(4), "fine", le(0), sum.Sum(nil))) {
+	if !bytes.Contains(data, concat(littleEndian(4), "fine", littleEndian(0), sum.Sum(nil))) {
 		t.Errorf("the good file did not come")
 	}
-	if m.open != 0 {
-		t.Errorf("%d readers are open", m.open)
+	if m.openReaders != 0 {
+		t.Errorf("%d readers are open", m.openReaders)
 	}
 }
 
 // TestListsOfAllTransfers: at the ceiling over all of them a list ends with a word, on
 // either way.
-func TestListsOfAllTransfers(t *testing.T) {
-	for _, in := range [][]byte{cat(pullHead, le(0)), cat(pushHead, bytes.Repeat(cat(64, le(1), "f", le(0), le(1), le(int32(typeFile|0o644))), 700))} {
+func TestListEntryLimitOverAllTransfers(t *testing.T) {
+	for _, in := range [][]byte{concat(pullHandshake, littleEndian(0)), concat(pushHandshake, bytes.Repeat(concat(64, littleEndian(1), "f", littleEndian(0), littleEndian(1), littleEndian(int32(typeFile|0o644))), 700))} {
 		m := newMemory()
-		m.all = 500
+		m.maxListEntries = 500
 		for i := range 600 {
 			m.add(fmt.Sprintf("f%03d", i), typeFile|0o644, "")
 		}
-		s, out := talk(m, in, 4096)
-		_, said := frames(t, out)
-		if over, err := s.Over(); !over || err == nil || !strings.Contains(err.Error(), "rsync.files") ||
+		s, out := exchange(m, in, 4096)
+		_, said := parseFrames(t, out)
+		if over, err := s.Ended(); !over || err == nil || !strings.Contains(err.Error(), "rsync.files") ||
 			len(said) != 1 || !strings.Contains(said[0], "come back later") {
 			t.Errorf("over %v, %v, said %q", over, err, said)
 		}
@@ -303,31 +303,33 @@
 func TestKeepAliveIsNoRequest(t *testing.T) {
 	m := newMemory()
 	m.add("f", typeFile|0o644, "abc")
-	alive := cat(le(2), []byte{0, 0x20})
-	s, _ := talk(m, cat(pullHead, le(0), alive, alive, le(-1, -1, -1), le(-1)), 3)
-	if over, err := s.Over(); !over || err != nil {
+	alive := concat(littleEndian(2), []byte{0, 0x20})
+	s, _ := exchange(m, concat(pullHandshake, littleEndian(0), alive, alive, littleEndian(-1, -1, -1), littleEndian(-1)), 3)
+	if over, err := s.Ended(); !over || err != nil {
 		t.Errorf("over %v, %v", over, err)
 	}
 }
 
 // TestPushVerifies: bytes whose sum is wrong are asked for again, once, as a whole.
-func TestPushVerifies(t *testing.T) {
+func TestPushChecksumRetry(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		m := newMemory()
 		sum := md4.New()
-		sum.Write(le(12345))
+		sum.Write(littleEndian(12345))
 		sum.Write([]byte("abc"))
 		right := sum.Sum(nil)
-		body := func(sum []byte) []byte { return cat(le(0), []byte{0, 0x80}, le(0, 0, 2, 0), le(3), "abc", le(0), sum) }
-		in := cat(pushHead, 64, le(1), "f", le(3), le(1000), le(int32(typeFile|0o644)), 0, le(0), body(make([]byte, 16)), le(-1))
+		body := func(sum []byte) []byte {
+			return concat(littleEndian(0), []byte{0, 0x80}, littleEndian(0, 0, 2, 0), littleEndian(3), "abc", littleEndian(0), sum)
+		}
+		in := concat(pushHandshake, 64, littleEndian(1), "f", littleEndian(3), littleEndian(1000), littleEndian(int32(typeFile|0o644)), 0, littleEndian(0), body(make([]byte, 16)), littleEndian(-1))
 		if again {
-			in = cat(in, body(right))
+			in = concat(in, body(right))
 		} else {
-			in = cat(in, body(make([]byte, 16)))
+			in = concat(in, body(make([]byte, 16)))
 		}
-		s, out := talk(m, cat(in, le(-1, -1)), 5)
-		over, err := s.Over()
-		_, said := frames(t, out)
+		s, out := exchange(m, concat(in, littleEndian(-1, -1)), 5)
+		over, err := s.Ended()
+		_, said := parseFrames(t, out)
 		if !over || err != nil || again != (len(said) == 0) || again != (m.files["f"] != nil && string(m.files["f"].data) == "abc") {
 			t.Errorf("second time right: %v: over %v, %v, said %q, files %v", again, over, err, said, m.files)
 		}
@@ -342,9 +344,9 @@
 		m.files["huge"].Size = 5 << 30
 		long := strings.Repeat("n", 255) + "/" + strings.Repeat("o", 200)
 		m.add(long, typeFile|0o600, "x")
-		s, out := talk(m, cat(fmt.Sprintf("@RSYNCD: %d\nm\n--server\n--sender\n-rogt\n.\nm/\n\n", v), le(0)), 9)
-		data, _ := frames(t, out)
-		if !bytes.Contains(data, cat("huge", le(-1), binary.LittleEndian.AppendUint64(nil, 5<<30))) || !bytes.Contains(data, []byte(long)) {
+		s, out := exchange(m, concat(fmt.Sprintf("@RSYNCD: %d\nm\n--server\n--sender\n-rogt\n.\nm/\n\n", v), littleEndian(0)), 9)
+		data, _ := parseFrames(t, out)
+		if !bytes.Contains(data, concat("huge", littleEndian(-1), binary.LittleEndian.AppendUint64(nil, 5<<30))) || !bytes.Contains(data, []byte(long)) {
 			t.Errorf("protocol %d: %q", v, data)
 		}
 		s.Close(errStopped)
@@ -353,25 +355,25 @@
 
 // FuzzSession feeds a session whatever; it must neither panic nor run away.
 func FuzzSession(f *testing.F) {
-	entry := cat(64, le(1), "f", le(3), le(1), le(int32(typeFile|0o644)), 0, le(0))
-	f.Add([]byte(pullHead), 3)
-	f.Add(cat(pullHead, le(0), le(1), []byte{0, 0x80}, le(0, 0, 0, 0), le(-1, -1, -1, -1)), 1)
-	f.Add(cat(pullHead, le(5), "- x/*", le(0)), 1)
-	f.Add(cat(pushHead, entry, le(0), []byte{0, 0x80}, le(0, 0, 2, 0), le(3), "abc", le(0)), 100)
-	f.Add(cat("@RSYNCD: 28\nm\n--server\n-rlogD\n.\nm/\n\n", 4, 1, 1, "d"), 2)
+	entry := concat(64, littleEndian(1), "f", littleEndian(3), littleEndian(1), littleEndian(int32(typeFile|0o644)), 0, littleEndian(0))
+	f.Add([]byte(pullHandshake), 3)
+	f.Add(concat(pullHandshake, littleEndian(0), littleEndian(1), []byte{0, 0x80}, littleEndian(0, 0, 0, 0), littleEndian(-1, -1, -1, -1)), 1)
+	f.Add(concat(pullHandshake, littleEndian(5), "- x/*", littleEndian(0)), 1)
+	f.Add(concat(pushHandshake, entry, littleEndian(0), []byte{0, 0x80}, littleEndian(0, 0, 2, 0), littleEndian(3), "abc", littleEndian(0)), 100)
+	f.Add(concat("@RSYNCD: 28\nm\n--server\n-rlogD\n.\nm/\n\n", 4, 1, 1, "d"), 2)
 	f.Add([]byte("@RSYNCD: 29\nprivate\nanna x\n"), 2)
 	f.Fuzz(func(t *testing.T, in []byte, piece int) {
 		m := newMemory()
-		m.most = 50
+		m.maxFiles = 50
 		m.add("f", typeFile|0o644, strings.Repeat("abc", 500))
 		m.add("d/e", typeFile|0o644, "x")
-		s, out := talk(m, in, 1+(piece&0xff))
+		s, out := exchange(m, in, 1+(piece&0xff))
 		if len(out) > 1<<20 && len(out) > 100*len(in) {
 			t.Fatalf("%d bytes came of %d", len(out), len(in))
 		}
 		s.EOF()
 		s.Close(errStopped)
-		if m.begun != nil && m.ended != 1 {
+		if m.transfer != nil && m.ended != 1 {
 			t.Fatalf("the tree was told %d times that it ended", m.ended)
 		}
 	})
@@ -379,26 +381,26 @@
 
 // TestDeltaFindsMovedBlocks: bytes that were moved, and ones that were put in, cost
 // only what is new.
-func TestDeltaFindsMovedBlocks(t *testing.T) {
+func TestDeltaMatchesMovedBlocks(t *testing.T) {
 	old := make([]byte, 50_000)
 	rand.New(rand.NewSource(1)).Read(old)
 	fresh := append(append(append([]byte{}, old[20_000:]...), "put in"...), old[:20_000]...)
 	m := newMemory()
-	m.slow = 1
+	m.notReadyCalls = 1
 	m.add("f", typeFile|0o644, string(fresh))
-	head := blocksOf(int64(len(old)), false)
-	ask := cat(le(1), []byte{0, 0x80}, le(head.count, head.block, head.strong, head.remainder))
+	head := chooseBlocks(int64(len(old)), false)
+	ask := concat(littleEndian(1), []byte{0, 0x80}, littleEndian(head.count, head.blockSize, head.strongSize, head.remainder))
 	h := md4.New()
 	for i := range head.count {
-		p := old[int(i)*int(head.block):][:head.size(i)]
-		ask = cat(ask, le(int32(weakOf(p).sum())), strongOf(h, p, 12345, nil)[:head.strong])
+		p := old[int(i)*int(head.blockSize):][:head.blockLen(i)]
+		ask = concat(ask, littleEndian(int32(newRollingSum(p).sum())), strongSum(h, p, 12345, nil)[:head.strongSize])
 	}
-	s, out := talk(m, cat(pullHead, le(0), ask, le(-1, -1, -1), le(-1)), 1000)
-	if over, err := s.Over(); !over || err != nil {
+	s, out := exchange(m, concat(pullHandshake, littleEndian(0), ask, littleEndian(-1, -1, -1), littleEndian(-1)), 1000)
+	if over, err := s.Ended(); !over || err != nil {
 		t.Fatalf("over %v, %v", over, err)
 	}
-	data, _ := frames(t, out)
-	_, rest, ok := bytes.Cut(data, cat(le(1), []byte{0, 0x80}, le(head.count, head.block, head.strong, head.remainder)))
+	data, _ := parseFrames(t, out)
+	_, rest, ok := bytes.Cut(data, concat(littleEndian(1), []byte{0, 0x80}, littleEndian(head.count, head.blockSize, head.strongSize, head.remainder)))
 	if !ok {
 		t.Fatal("no answer")
 	}
@@ -414,10 +416,10 @@
 			got, rest, literal = append(got, rest[:n]...), rest[n:], literal+int(n)
 		} else {
 			i := -n - 1
-			got = append(got, old[int(i)*int(head.block):][:head.size(i)]...)
+			got = append(got, old[int(i)*int(head.blockSize):][:head.blockLen(i)]...)
 		}
 	}
-	if !bytes.Equal(got, fresh) || literal > 4*int(head.block) {
+	if !bytes.Equal(got, fresh) || literal > 4*int(head.blockSize) {
 		t.Errorf("%d bytes, equal %v, %d of them literal", len(got), bytes.Equal(got, fresh), literal)
 	}
 }
