--- a/internal/rsync/filter.go
+++ b/internal/rsync/filter.go
@@ -5,20 +5,20 @@
 	"strings"
 )
 
-// rule is one exclusion or inclusion rule of a pull, rsync(1) "FILTER RULES".
+// rule is an exclude or include rule of a pull, as described in rsync(1) under "FILTER RULES".
 type rule struct {
 	include  bool
 	dirOnly  bool
-	anchored bool // to the root of the transfer
-	fullPath bool // the pattern is matched against the whole path
+	anchored bool // matches only at the root of the transfer
+	fullPath bool // the pattern is matched against the whole path, not the last name
 	negate   bool
 	pattern  string
 }
 
-// filter decides what a pull leaves out. The first rule that matches counts.
+// filter decides which entries a pull excludes. The first matching rule decides.
 type filter struct{ rules []rule }
 
-// add takes one rule as clients send it.
+// add parses a rule as clients send it and appends it.
 func (f *filter) add(text string, version int) error {
 	if text == "!" {
 		f.rules = nil
@@ -33,7 +33,7 @@
 		case '+', 'S':
 			r.include = true
 		case '-', 'H':
-		case 'P', 'R': // for what is deleted at the receiver, which is the client
+		case 'P', 'R': // concerns deletions at the receiver, which is the client
 			return nil
 		case '!':
 			f.rules = nil
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// splitRule parts "-! pattern" into its kind with modifiers and the pattern.
+// splitRule splits a rule such as "-! pattern" into its kind with modifiers and its pattern.
 func splitRule(text string) (kind, pattern string, ok bool) {
 	if text == "" || !strings.ContainsRune("+-HSPR!.:", rune(text[0])) {
 		return "", "", false
@@ -89,7 +89,7 @@
 	return text[:at], text[at+1:], true
 }
 
-// leavesOut says that the path, relative to the root of the transfer, is excluded.
+// excludes reports whether the path, relative to the root of the transfer, is excluded.
 func (f *filter) excludes(path string, dir bool) bool {
 	for i := range f.rules {
 		r := &f.rules[i]
@@ -111,7 +111,7 @@
 		}
 		return wildMatch(pattern, path)
 	}
-	if p, ok := strings.CutSuffix(pattern, "/***"); ok { // the directory and all in it
+	if p, ok := strings.CutSuffix(pattern, "/***"); ok { // matches the directory and everything in it
 		if dir && r.matchTail(p, path) {
 			return true
 		}
@@ -120,8 +120,8 @@
 	return r.matchTail(pattern, path)
 }
 
-// matchTail matches a pattern with slashes against the whole path if anchored, else
-// against any tail that begins at a name.
+// matchTail matches a pattern against the whole path and, unless anchored, against each suffix of the
+// path that begins after a slash.
 func (r *rule) matchTail(pattern, path string) bool {
 	if wildMatch(pattern, path) {
 		return true
@@ -137,9 +137,9 @@
 	return false
 }
 
-// wildMatch matches a pattern with *, **, ? and [...] against a whole text: only **
-// matches slashes. Its time is bounded by the product of both lengths: it keeps the
-// set of pattern places that are reached, as a Thompson machine does.
+// wildMatch matches a pattern with *, **, ? and [...] against the whole text; only ** matches slashes.
+// It simulates a nondeterministic automaton (Thompson's construction), so its running time is bounded
+// by the product of both lengths.
 func wildMatch(pattern, text string) bool {
 	if !strings.ContainsAny(pattern, `*?[\`) {
 		return pattern == text
@@ -171,7 +171,7 @@
 	return current[len(ops)]
 }
 
-// op is one step of a pattern: a star, or a set of bytes.
+// patternOp is one element of a compiled pattern: a star, or a set of bytes.
 type patternOp struct {
 	star, crossSlash bool
 	set              [4]uint64
@@ -214,7 +214,7 @@
 	return ops
 }
 
-// class reads "[...]"; it returns the index of its end.
+// parseClass parses a leading "[...]" and returns the index of its closing bracket.
 func (o *patternOp) parseClass(p string) (int, bool) {
 	i, not := 1, false
 	if i < len(p) && (p[i] == '!' || p[i] == '^') {
@@ -248,7 +248,7 @@
 	return i, true
 }
 
-// readFilter takes the list of rules that opens a pull.
+// readFilter reads the list of filter rules at the start of a pull.
 func (s *Session) readFilter() *filter {
 	f := &filter{}
 	total := 0
--- a/internal/rsync/flist.go
+++ b/internal/rsync/flist.go
@@ -5,11 +5,11 @@
 	"strings"
 )
 
-// The flags of a file list entry, protocols 27 to 29.
+// Flags of a file list entry in protocols 27 to 29.
 const (
 	flagTopDir       = 1 << 0
 	flagSameMode     = 1 << 1
-	flagExtended     = 1 << 2 // from 28 on: another byte of flags follows
+	flagExtended     = 1 << 2 // protocol 28 and later: another byte of flags follows
 	flagSameUID      = 1 << 3
 	flagSameGID      = 1 << 4
 	flagSameName     = 1 << 5
@@ -19,7 +19,7 @@
 	flagRdevLow8     = 1 << 11
 )
 
-// listCoder is what file list entries share with the entry before.
+// previousEntry holds the fields of a file list entry that the next entry can refer to.
 type previousEntry struct {
 	name     string
 	mode     uint32
@@ -28,7 +28,7 @@
 	rdevHigh int32
 }
 
-// writeEntry sends one entry of the file list. name is how the client is to see it.
+// writeEntry sends one entry of the file list under the given name.
 func (s *Session) writeEntry(prev *previousEntry, f *File, name string, top bool) {
 	o, flags := &s.opt, 0
 	if top {
@@ -58,7 +58,7 @@
 		flags |= flagLongName
 	}
 	if flags == 0 && !f.IsDir() {
-		flags |= flagTopDir // means nothing on a file, and an entry's flags are never 0
+		flags |= flagTopDir // has no effect on a file; flags of 0 would end the list
 	}
 	switch {
 	case s.version >= 28 && flags == 0:
@@ -98,7 +98,7 @@
 	*prev = previousEntry{name: name, mode: f.Mode, mtime: f.MTime, uid: f.UID, gid: f.GID}
 }
 
-// readEntry takes one entry of a client's file list; false at its end.
+// readEntry reads one entry of a client's file list. It returns false at the end of the list.
 func (s *Session) readEntry(prev *previousEntry, number int) (File, bool) {
 	o := &s.opt
 	flags := int(s.readByte())
@@ -167,10 +167,10 @@
 	return f, true
 }
 
-// readRdev passes over a device's numbers.
+// skipRdev skips the device numbers of an entry.
 func (s *Session) skipRdev(prev *previousEntry, flags int) {
 	if s.version < 28 {
-		if flags&flagExtended == 0 { // there this bit says: the same device as before
+		if flags&flagExtended == 0 { // before protocol 28 this bit means: the same device as the previous entry
 			s.readInt()
 		}
 		return
@@ -185,7 +185,7 @@
 	}
 }
 
-// sortList brings a list into the order that both sides count in.
+// sortList sorts a file list into the order that defines the file numbers on both sides.
 func sortList(list []File, version int) {
 	compare := func(a, b File) int { return strings.Compare(a.Path, b.Path) }
 	if version >= 29 {
@@ -194,9 +194,9 @@
 	slices.SortStableFunc(list, compare)
 }
 
-// compareFiles is the order of protocol 29: in each directory first what is no
-// directory, then the directories, each followed by its content; "." first of all.
-// Directories compare with a slash behind their names.
+// compareFiles implements the order of protocol 29: "." first, then in each directory the entries that
+// are not directories, then the directories, each followed by its content. Directory names are compared
+// with a trailing slash.
 func compareFiles(a, b File) int {
 	x, y := a.Path, b.Path
 	if x == "." || y == "." {
@@ -230,7 +230,7 @@
 			}
 			return strings.Compare(nameX, nameY)
 		}
-		switch { // the same name: the directory itself before what is in it
+		switch { // equal names: a directory comes before its content
 		case i < 0 && j < 0:
 			return 0
 		case i < 0:
@@ -242,7 +242,7 @@
 	}
 }
 
-// readIDs passes over one list of names of users or groups.
+// skipIDNames skips one list of user or group names.
 func (s *Session) skipIDNames() {
 	for n := 0; s.readInt() != 0; n++ {
 		if n > maxIDNames {
--- a/internal/rsync/handshake.go
+++ b/internal/rsync/handshake.go
@@ -11,7 +11,7 @@
 	"golang.org/x/crypto/md4"
 )
 
-// run is the whole session, in the order of the protocol.
+// run runs the whole session in the order of the protocol.
 func (s *Session) run() {
 	s.writeString(fmt.Sprintf("@RSYNCD: %d\n", newestVersion))
 	s.parseGreeting(s.readLine())
@@ -74,21 +74,21 @@
 	}
 }
 
-// refuse ends the handshake with the line that clients show and exit 5 on.
+// refuse ends the handshake with an @ERROR line, which clients show before they exit with code 5.
 func (s *Session) refuse(format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	s.writeString("@ERROR: " + text + "\n")
 	fail("%s: refused: %s", s.phase, text)
 }
 
-// printable keeps a client's text from upsetting a terminal or a log.
+// printable escapes control characters in a client's text for terminals and logs.
 func printable(t string) string {
 	q := strconv.Quote(t)
 	return q[1 : len(q)-1]
 }
 
-// greeting takes the client's line: "@RSYNCD: 31.0 sha512 sha256 sha1 md5 md4", with
-// or without what follows the version.
+// parseGreeting parses the client's greeting, "@RSYNCD: 31.0 sha512 sha256 sha1 md5 md4". The text after
+// the version is optional.
 func (s *Session) parseGreeting(line string) {
 	rest, ok := strings.CutPrefix(line, "@RSYNCD: ")
 	number, _, _ := strings.Cut(rest, " ")
@@ -103,9 +103,9 @@
 	s.version = min(v, newestVersion)
 }
 
-// login asks for a user where the module names who may enter. The answer is the
-// base64 of MD4 over password and challenge, as protocols before 30 have it; some
-// clients put four zero bytes before both.
+// authenticate asks for a login if the module restricts its users, and returns the user name. The
+// response is the base64 of MD4 over password and challenge, as in protocols before 30; some clients
+// hash four zero bytes first.
 func (s *Session) authenticate(m Module) string {
 	if len(m.Users) == 0 {
 		return ""
@@ -123,7 +123,7 @@
 	return user
 }
 
-// Response is a client's answer to a challenge. seeded puts four zero bytes first.
+// Response returns a client's response to a challenge. If seeded, four zero bytes are hashed first.
 func Response(secret, challenge string, seeded bool) string {
 	h := md4.New()
 	if seeded {
@@ -134,7 +134,7 @@
 	return base64.RawStdEncoding.EncodeToString(h.Sum(nil))
 }
 
-// arguments reads the argument lines up to the empty one.
+// readArguments reads the argument lines up to the empty line.
 func (s *Session) readArguments() []string {
 	var args []string
 	total := 0
@@ -150,8 +150,8 @@
 	}
 }
 
-// modulePaths turns "module/path" arguments into paths in the module. A trailing
-// slash stays: it asks for a directory's content.
+// modulePaths converts "module/path" arguments to paths in the module. A trailing slash is kept: it
+// requests a directory's content.
 func modulePaths(module string, args []string) ([]string, error) {
 	paths := make([]string, 0, len(args))
 	for _, a := range args {
@@ -182,9 +182,8 @@
 	return paths, nil
 }
 
-// CleanPath checks a relative path that came from a client: no empty name, no "..",
-// no NUL, not absolute, at most 4095 bytes with names of at most 255. Single dots
-// and doubled slashes are dropped.
+// CleanPath validates a relative path from a client: not empty, not absolute, no "..", no NUL, at most
+// 4095 bytes with names of at most 255. It removes "." elements and repeated slashes.
 func CleanPath(p string) (string, error) {
 	switch {
 	case p == "":
--- a/internal/rsync/options.go
+++ b/internal/rsync/options.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// options are what a client's arguments ask for.
+// options are the parsed arguments of a client.
 type options struct {
-	sender bool // the server sends: a pull
+	sender bool // the server is the sender: a pull
 	paths  []string
 
 	recurse, dirs, links, perms, times, owner, group, devices, specials bool
@@ -18,11 +18,11 @@
 	timeout, bwlimit                                                    int
 	verbose                                                             int
 	notes                                                               []string
-	unsupported                                                         error // the first option that is not done
+	unsupported                                                         error // names the first unsupported option
 }
 
-// A short option either sets something, changes nothing that the user gets, or is
-// refused.
+// shortFlags are the supported short options. Those with an empty function are accepted because they
+// do not change the result of the transfer.
 var shortFlags = map[byte]func(*options){
 	'r': func(o *options) { o.recurse = true },
 	'd': func(o *options) { o.dirs = true },
@@ -42,13 +42,14 @@
 	'v': func(o *options) { o.verbose++ },
 	'q': func(*options) {},
 	'h': func(*options) {},
-	'i': func(*options) {}, // the client itemizes
-	'S': func(*options) {}, // sparseness is the client's disk's, content is the same
-	'x': func(*options) {}, // a module is one file system
-	'y': func(*options) {}, // a similar basis saves bytes, content is the same
+	'i': func(*options) {}, // the client prints the itemized changes
+	'S': func(*options) {}, // affects the allocation on the client's disk, not the content
+	'x': func(*options) {}, // a module is a single file system
+	'y': func(*options) {}, // saves traffic only
 	'8': func(*options) {},
 }
 
+// shortUnsupported are the known but unsupported short options, with the text for the refusal.
 var shortUnsupported = map[byte]string{
 	'z': "-z (--compress): compression is not done here",
 	'c': "-c (--checksum)", 'H': "-H (--hard-links)", 'A': "-A (--acls)", 'X': "-X (--xattrs)",
@@ -57,6 +58,7 @@
 	'b': "-b (--backup)", 'C': "-C (--cvs-exclude)", 's': "-s (--secluded-args)", 'F': "-F", 'f': "-f (--filter)",
 }
 
+// longFlags are the supported long options without a value, as shortFlags.
 var longFlags = map[string]func(*options){
 	"server":              func(*options) {},
 	"sender":              func(o *options) { o.sender = true },
@@ -82,17 +84,17 @@
 	"no-W":                func(o *options) { o.wholeFile = false },
 }
 
-// longPlain take a value and change nothing that the user gets from this side.
+// longIgnored are options with a value that do not change what the server does.
 var longIgnored = map[string]bool{"log-format": true, "out-format": true, "info": true, "debug": true,
 	"skip-compress": true}
 
-// parseOptions reads a client's argument lines.
+// parseOptions parses a client's argument lines.
 func parseOptions(args []string) (options, error) {
 	var o options
 	server := false
 	for i, a := range args {
 		switch {
-		case a == ".": // what comes now are paths
+		case a == ".": // the paths follow
 			o.paths = args[i+1:]
 			if !server {
 				return o, fmt.Errorf("arguments: --server is missing")
@@ -111,6 +113,7 @@
 	return o, fmt.Errorf("arguments: no '.' before the paths")
 }
 
+// reject records the first unsupported option.
 func (o *options) reject(what string) {
 	if o.unsupported == nil {
 		o.unsupported = fmt.Errorf("option %s is not served here; leave it out", what)
@@ -120,7 +123,7 @@
 func (o *options) parseShort(bundle string) {
 	for i := 0; i < len(bundle); i++ {
 		c := bundle[i]
-		if c == 'e' { // what follows tells the client's version and abilities
+		if c == 'e' { // the rest describes the client's version and capabilities
 			return
 		}
 		if set := shortFlags[c]; set != nil {
@@ -134,10 +137,10 @@
 }
 
 func (o *options) parseLong(name, value string, hasValue bool) {
-	number := func(to *int, most int) {
+	number := func(to *int, limit int) {
 		n, err := strconv.Atoi(value)
-		if err != nil || n < 0 || n > most {
-			o.reject(fmt.Sprintf("--%s=%s (expected 0 to %d)", name, printable(value), most))
+		if err != nil || n < 0 || n > limit {
+			o.reject(fmt.Sprintf("--%s=%s (expected 0 to %d)", name, printable(value), limit))
 			return
 		}
 		*to = n
@@ -157,7 +160,7 @@
 	}
 }
 
-// check holds the options against the module.
+// check verifies that the module permits what the options request.
 func (o *options) check(m Module) error {
 	switch {
 	case o.sender && m.WriteOnly:
--- a/internal/rsync/receiver.go
+++ b/internal/rsync/receiver.go
@@ -9,16 +9,15 @@
 )
 
 const (
-	maxRequestedFiles = 32 // files asked for whose bytes have not begun to come
-	maxFinishingFiles = 64 // files whose last bytes are on their way to the nodes
+	maxRequestedFiles = 32 // requested files whose data has not begun to arrive
+	maxFinishingFiles = 64 // finished files that are not stored completely yet
 )
 
-// errVerify says that a file came out other than the client has it.
+// errChecksum reports that a reconstructed file differs from the client's file.
 var errChecksum = errors.New("the bytes do not have the sum that the client sent")
 
-// receive serves a push. Two things go on at once: what the generator does (looking
-// through the list, sending block sums of files that are here) runs whenever the
-// session waits for the client's bytes, which the receiver takes.
+// servePush serves a push. The generator, which checks the file list and sends the block sums of stored
+// files, runs whenever the receiver waits for the client's data.
 func (s *Session) servePush(paths []string) {
 	s.phase = "file list"
 	r := &receiver{s: s, files: map[int32]*incomingFile{}}
@@ -32,7 +31,7 @@
 	}
 	s.phase = "transfer"
 	defer func() {
-		if r.basis != nil { // what it holds is given back
+		if r.basis != nil { // release the reader if the session ends early
 			r.basis.reader.Close()
 		}
 	}()
@@ -46,41 +45,41 @@
 	s.phase = "goodbye"
 }
 
-// receiver is the state of one push.
+// receiver is the state of a push.
 type receiver struct {
 	s     *Session
-	list  []File   // as the client names them, in order
-	paths []string // where each one goes in the module
+	list  []File   // in the order of the file numbers, with the client's names
+	paths []string // destination of each entry in the module
 
 	// the generator
-	nextEntry      int // entry to look at
+	nextEntry      int // next entry to check
 	redo           []int32
-	generatorPhase int // phases that were announced over
+	generatorPhase int // phases whose end was sent
 	basis          *basisSums
-	requested      int // files asked for that have not come
+	requested      int // requested files whose data has not begun to arrive
 
 	// the receiver
-	clientPhase int // phases that the client has said are over
+	clientPhase int // phases that the client has ended
 	files       map[int32]*incomingFile
-	finishing   []*incomingFile // finished, not yet done
+	finishing   []*incomingFile // finished files whose writer is not done
 	puts        []pendingPut
 }
 
-// put is an entry without content that is being booked.
+// pendingPut is an entry without content that is being stored.
 type pendingPut struct {
 	Pending
 	path string
 }
 
-// incoming is one file that was asked for.
+// incomingFile is a file that the generator requested.
 type incomingFile struct {
 	ndx     int32
-	old     *File // the version that is here
+	old     *File // the stored version; nil: none
 	retried bool
 	writer  Writer
 }
 
-// basisSums is the reading of an old version for its block sums.
+// basisSums computes the block sums of a stored version.
 type basisSums struct {
 	file    *incomingFile
 	header  sumHeader
@@ -110,13 +109,13 @@
 			s.skipIDNames()
 		}
 	}
-	s.readInt() // the client's own I/O errors: it reports them
+	s.readInt() // the client's I/O errors, which the client reports itself
 	sortList(r.list, s.version)
 }
 
-// place finds where each entry goes, as rsync(1) has it: into the destination if it
-// is a directory, has a trailing slash or more than one entry comes; else a single
-// file takes the destination's name.
+// resolvePaths determines the destination of each entry as described in rsync(1): inside dest if that is
+// a directory, has a trailing slash or there is more than one entry; otherwise the single file gets the
+// name dest.
 func (r *receiver) resolvePaths(dest string) error {
 	s := r.s
 	dir := len(dest) > 0 && dest[len(dest)-1] == '/'
@@ -154,7 +153,7 @@
 	return nil
 }
 
-// parent says what is wrong with the directory that an entry is to lie in.
+// checkParent returns an error if the parent directory of p does not exist.
 func (r *receiver) checkParent(p string) error {
 	dir := path.Dir(p)
 	f, ok, err := r.s.tree.Stat(dir)
@@ -166,7 +165,7 @@
 
 // ---- the generator ----
 
-// generate goes on with the list as far as it can without waiting.
+// generate advances the generator as far as possible without waiting.
 func (r *receiver) generate() {
 	s := r.s
 	r.pollPending()
@@ -186,7 +185,7 @@
 			}
 		case r.generatorPhase == 0:
 			r.endPhase()
-		case r.generatorPhase > r.clientPhase: // the client has not come to the end of this phase
+		case r.generatorPhase > r.clientPhase: // the client has not ended this phase
 			return
 		case len(r.redo) > 0:
 			ndx := r.redo[0]
@@ -204,12 +203,14 @@
 	}
 }
 
+// endPhase tells the client that the generator has ended a phase.
 func (r *receiver) endPhase() {
 	r.s.writeInt(ndxDone)
 	r.generatorPhase++
 }
 
-// look decides what an entry needs.
+// checkEntry compares an entry with the stored one and starts what is needed: nothing, new attributes or
+// a request for the content.
 func (r *receiver) checkEntry(ndx int32) {
 	s, f := r.s, r.list[ndx]
 	f.Path = r.paths[ndx]
@@ -260,12 +261,13 @@
 	}
 }
 
+// differs reports whether the entry's final attributes differ from the stored ones.
 func (r *receiver) differs(f, old File) bool {
 	n := r.finalEntry(f, &old)
 	return n.Mode != old.Mode || n.MTime != old.MTime || n.UID != old.UID || n.GID != old.GID
 }
 
-// attributes books a directory, a link or new attributes of a file.
+// updateAttributes stores a directory, a link or new attributes of a file, if they differ.
 func (r *receiver) updateAttributes(f, old File, exists bool) {
 	if r.s.opt.dryRun || exists && !r.differs(f, old) {
 		return
@@ -281,8 +283,8 @@
 	r.puts = append(r.puts, pendingPut{r.s.tree.Put(n), f.Path})
 }
 
-// final is an entry with the attributes that the client asked to have kept; the
-// others stay as they are, or are plain for a new one.
+// finalEntry returns an entry with the attributes that the client's options preserve. The others keep
+// the stored values, or get defaults for a new entry.
 func (r *receiver) finalEntry(f File, old *File) File {
 	o := &r.s.opt
 	n := f
@@ -298,7 +300,7 @@
 		}
 	}
 	if !o.times || f.IsDir() && o.omitDirTimes || f.IsLink() && o.omitLinkTimes {
-		n.MTime = 0 // the catalogue takes the present for it
+		n.MTime = 0 // replaced by the current time in the catalogue
 		if old != nil && !f.IsRegular() {
 			n.MTime = old.MTime
 		} else if old != nil && old.Size == f.Size && f.MTime == old.MTime {
@@ -320,7 +322,8 @@
 	return n
 }
 
-// ask requests a file's content, with the sums of the version that is here.
+// requestContent requests a file's content. The caller sends the block sums of the stored version
+// afterwards if head describes any.
 func (r *receiver) requestContent(in *incomingFile, head sumHeader) {
 	s := r.s
 	s.writeInt(in.ndx)
@@ -335,15 +338,15 @@
 	if s.opt.dryRun {
 		return
 	}
-	if head.count == 0 { // the strong sums' length still counts for the answer
+	if head.count == 0 { // the answer repeats the length of the strong sums
 		head = sumHeader{strongSize: 2}
 	}
 	s.writeSumHeader(head)
 }
 
-// sumSome goes on with the block sums of an old version; false if it has to wait.
-// They are sent once they are whole: a version that cannot be read costs only the
-// saving.
+// continueSums continues the block sums of a stored version. It returns false if it has to wait. The
+// sums are sent only once they are complete: if the version cannot be read, the whole file is requested
+// instead.
 func (r *receiver) continueSums() bool {
 	s, b := r.s, r.basis
 	h := md4.New()
@@ -383,6 +386,7 @@
 	return true
 }
 
+// reportError logs an error of one file and reports it to the client.
 func (r *receiver) reportError(path string, err error) {
 	r.s.tree.Log("push", path, err)
 	r.s.sendMessage(msgError, "eiderhold: %s: %v", printable(path), err)
@@ -391,7 +395,7 @@
 	}
 }
 
-// settled looks after what is on its way, and says that nothing is.
+// pollPending collects the results of entries and files in progress, and reports whether none is left.
 func (r *receiver) pollPending() bool {
 	puts := r.puts[:0]
 	for _, p := range r.puts {
@@ -416,7 +420,7 @@
 
 // ---- the receiver ----
 
-// take reads what the client sends until it has said that the last phase is over.
+// receiveFiles reads what the client sends until the client ends the last phase.
 func (r *receiver) receiveFiles() {
 	s := r.s
 	phases := 3
@@ -436,7 +440,7 @@
 			flags = s.readShort()
 		}
 		if int(ndx) == len(r.list) && flags == itemNew {
-			continue // a sign of life
+			continue // a keep-alive
 		}
 		if ndx < 0 || int(ndx) >= len(r.list) {
 			fail("file %d of %d", ndx, len(r.list))
@@ -462,7 +466,7 @@
 	}
 }
 
-// content takes one file's tokens.
+// receiveContent reads the tokens of one file.
 func (r *receiver) receiveContent(in *incomingFile) {
 	s := r.s
 	head := s.readSumHeader()
@@ -530,7 +534,8 @@
 	}
 }
 
-// again asks for a file once more, as a whole, in the second phase; once.
+// retry requests a file once more, in the second phase and without a basis. It reports an error if the
+// file was retried already or the first phase has ended.
 func (r *receiver) retry(in *incomingFile, err error) {
 	if in.retried || r.clientPhase > 0 {
 		r.reportError(r.paths[in.ndx], err)
@@ -540,7 +545,7 @@
 	r.redo = append(r.redo, in.ndx)
 }
 
-// literals takes bytes as they come, no more than the writer has room for.
+// receiveLiterals reads n literal bytes as they arrive and waits whenever the writer has no room.
 func (r *receiver) receiveLiterals(in *incomingFile, n int, sum hash.Hash) {
 	s := r.s
 	if n > maxTokenBytes {
@@ -555,7 +560,7 @@
 	}
 }
 
-// pass hands bytes to the file's writer. They are copied before the session waits.
+// writeContent passes bytes to the file's writer, which copies them, and waits until it has room again.
 func (r *receiver) writeContent(in *incomingFile, p []byte) {
 	in.writer.Write(p)
 	for !in.writer.HasRoom() {
--- a/internal/rsync/rsync.go
+++ b/internal/rsync/rsync.go
@@ -1,14 +1,12 @@
-// Package rsync is the server side of the rsync daemon protocol, versions 27 to 29:
-// sessions that are fed the client's bytes and return bytes for it. It opens no
-// socket, reads no clock and knows no storage node: what it needs of the gateway
-// is the interface Gateway, whose methods never block. Its caller is
-// internal/front/rsync. Source: the rsync technical report (A. Tridgell and
-// P. Mackerras, TR-CS-96-05), the manual pages rsync(1) and rsyncd.conf(5), and the
-// protocol as current clients speak it, checked against one.
+// Package rsync implements the server side of the rsync daemon protocol, versions 27 to 29. A session
+// is fed the client's bytes and returns the bytes to send. It opens no socket, reads no clock and knows
+// no storage node: everything it needs from the gateway is in the interface Gateway, whose methods never
+// block. Package internal/front/rsync uses it. Sources: the rsync technical report (A. Tridgell and
+// P. Mackerras, TR-CS-96-05), the manual pages rsync(1) and rsyncd.conf(5), and the protocol as current
+// clients speak it, verified with one of them.
 //
-// A session is written top to bottom, in the order of the protocol, as a coroutine
-// (iter.Pull): where it lacks bytes, room or an extent it yields, and Resume lets it
-// look again.
+// The code of a session follows the order of the protocol and runs as a coroutine (iter.Pull): it
+// yields where it lacks input, output room or an extent, and Resume continues it.
 package rsync
 
 import (
@@ -18,53 +16,52 @@
 	"iter"
 )
 
-// The protocol versions that a session speaks.
+// The newest and oldest supported protocol versions.
 const (
 	newestVersion = 29
 	oldestVersion = 27
 )
 
-// The ceilings of what a client may make a session hold. What goes over one ends
-// the session with an error that names it.
+// Limits on what a client can make a session hold. Exceeding one ends the session with an error that
+// names the limit.
 const (
-	maxLineBytes    = 4096      // bytes of a line of the handshake
+	maxLineBytes    = 4096      // line of the handshake
 	maxArgs         = 1000      // arguments
-	maxArgBytes     = 64 << 10  // bytes of all arguments
-	maxPathBytes    = 4096      // bytes of a path
-	maxRules        = 10_000    // exclusion rules
-	maxRuleBytes    = 1 << 20   // bytes of all rules
+	maxArgBytes     = 64 << 10  // all arguments together
+	maxPathBytes    = 4096      // path, exclusive
+	maxRules        = 10_000    // filter rules
+	maxRuleBytes    = 1 << 20   // all filter rules together
 	maxBlockSums    = 1 << 20   // block sums of one file
-	maxBlockBytes   = 1 << 29   // bytes of a block
-	maxTokenBytes   = 1 << 20   // bytes of literal data behind one count
+	maxBlockBytes   = 1 << 29   // block of a basis
+	maxTokenBytes   = 1 << 20   // literal data of one token
 	maxIDNames      = 100_000   // names of users or groups
-	outputHighWater = 256 << 10 // bytes for the client that wait before a session pauses
-	// InputHigh is how many of the client's bytes a session holds at most before
-	// its caller must stop feeding it.
+	outputHighWater = 256 << 10 // pending output at which a session pauses
+	// MaxInputBytes is the buffered input of a session at which its caller must stop feeding it.
 	MaxInputBytes = 128 << 10
 )
 
-// Module is one module as clients see it.
+// Module is an rsync module as clients see it.
 type Module struct {
 	Name, Comment string
-	Hidden        bool // not listed
+	Hidden        bool // left out of the module list
 	ReadOnly      bool
 	WriteOnly     bool
-	Users         []string // who may enter; empty: everyone, unasked
+	Users         []string // users that may connect; empty: anyone, without a login
 }
 
-// File is an entry of a module's tree. Path is relative to the module's root, with
-// slashes, "." for the root itself. Mode has the type bits of st_mode.
+// File is an entry of a module's tree. Path is relative to the module's root and separated by slashes;
+// the root itself is ".". Mode includes the type bits of st_mode.
 type File struct {
 	Path     string
 	Mode     uint32
-	Size     int64 // bytes; also above 4 GiB
-	MTime    int64 // seconds since 1970
+	Size     int64 // bytes; may exceed 4 GiB
+	MTime    int64 // Unix time in seconds
 	UID, GID uint32
 	Link     string // target of a symbolic link
-	Ref      any    // the catalogue's, untouched here
+	Ref      any    // reference of the Tree; opaque to the session
 }
 
-// The type bits of a mode, as st_mode has them.
+// Type and permission bits of st_mode.
 const (
 	typeMask = 0o170000
 	typeDir  = 0o040000
@@ -73,60 +70,59 @@
 	permMask = 0o7777
 )
 
-// IsDir says that the entry is a directory.
+// IsDir reports whether the entry is a directory.
 func (f *File) IsDir() bool { return f.Mode&typeMask == typeDir }
 
-// IsRegular says that the entry is a file with content.
+// IsRegular reports whether the entry is a regular file.
 func (f *File) IsRegular() bool { return f.Mode&typeMask == typeFile }
 
-// IsLink says that the entry is a symbolic link.
+// IsLink reports whether the entry is a symbolic link.
 func (f *File) IsLink() bool { return f.Mode&typeMask == typeLink }
 
-// Gateway is what a session asks of the program around it. No method blocks.
+// Gateway is what a session needs from the surrounding program. No method blocks.
 type Gateway interface {
 	Modules() []Module
 	Module(name string) (Module, bool)
 	MOTD() string
-	Challenge() string // fresh random text for a login
-	Seed() uint32      // fresh checksum seed, not 0
+	Challenge() string // new random challenge for a login
+	Seed() uint32      // new checksum seed, not 0
 	Secret(module, user string) (string, bool)
-	AcquireConn(module string) (limit int, ok bool) // takes one of the module's connections
+	AcquireConn(module string) (limit int, ok bool) // counts the connection against the module's limit
 	Begin(Transfer) (Tree, error)
-	MaxFiles() int // entries of a file list
-	// Listed books so many more entries of file lists that this session holds; false if
-	// all sessions together would hold more than they may.
+	MaxFiles() int // maximum entries of a file list
+	// ReserveListEntries reserves n more file list entries for this session. It returns false if all
+	// sessions together would hold more than the limit.
 	ReserveListEntries(n int) bool
 }
 
-// Transfer says what a client has asked for once its options are known.
+// Transfer describes the transfer that a client has requested.
 type Transfer struct {
 	Module   string
 	User     string
 	Push     bool
 	Paths    []string
-	Timeout  int // the client's --timeout, seconds; 0: none
-	BWLimit  int // KiB a second; 0: none
+	Timeout  int // the client's --timeout in seconds; 0: none
+	BWLimit  int // KiB per second; 0: no limit
 	DryRun   bool
 	Protocol int
 }
 
-// Tree is a module during one transfer.
+// Tree is the content of a module during one transfer.
 type Tree interface {
 	Stat(path string) (File, bool, error)
-	// Scan returns up to n entries below a directory, without it, in the order of
-	// their paths, that come after the given one ("" for the first); only the
-	// directory's own entries unless deep.
+	// Scan returns up to n entries below dir, without dir itself, in path order, beginning after the path
+	// after ("" for the start). Unless deep, it returns only the entries directly in dir.
 	Scan(dir, after string, deep bool, n int) ([]File, error)
 	Open(File) Reader
-	Create(File) Writer // of a regular file that replaces the one at its path
-	Put(File) Pending   // a directory, a link, or other attributes of a file
+	Create(File) Writer // begins a regular file that replaces the one at its path
+	Put(File) Pending   // stores a directory, a link, or new attributes of a file
 	Log(what, path string, err error)
-	End(err error) // the transfer is over
+	End(err error) // called once, when the transfer ends
 }
 
-const listReserveStep = 500 // entries of a file list booked at a time
+const listReserveStep = 500 // file list entries reserved at a time
 
-// listed books the next entry of a list that has so many.
+// reserveListEntry reserves room for the next entry of a file list that has the given number of entries.
 func (s *Session) reserveListEntry(have int) {
 	if have >= s.gateway.MaxFiles() {
 		s.sendMessage(msgError, "eiderhold: more than %d files in one transfer; take the tree in parts", s.gateway.MaxFiles())
@@ -138,33 +134,32 @@
 	}
 }
 
-// ErrEnd marks an error of a Reader or a Pending after which the whole transfer ends,
-// not only its file.
+// ErrEndTransfer marks an error of a Reader or a Pending that ends the whole transfer, not only its file.
 var ErrEndTransfer = errors.New("the transfer ends")
 
-// Reader reads a file of which only parts are there yet.
+// Reader reads a file whose bytes arrive asynchronously.
 type Reader interface {
-	// At returns up to n bytes at an offset, at least one; ok is false while they
-	// are on their way. The bytes are good until the next call.
+	// At returns between 1 and n bytes at an offset; ok is false while they have not arrived. The bytes
+	// are valid until the next call.
 	At(off int64, n int) (p []byte, ok bool, err error)
 	Close()
 }
 
-// Pending is something under way.
+// Pending is an operation in progress.
 type Pending interface {
 	Done() (bool, error)
 }
 
-// Writer takes a file's bytes in order.
+// Writer writes a file sequentially.
 type Writer interface {
-	Pending             // after Finish: all extents served and the catalogue changed
-	HasRoom() bool      // it can take more
-	Write(p []byte)     // takes all of p, copied
-	Finish(final File)  // no more bytes come
-	Abort(reason error) // the file is not to be
+	Pending             // done after Finish once all extents are served and the catalogue is changed
+	HasRoom() bool      // reports whether it accepts more data
+	Write(p []byte)     // accepts all of p and copies it
+	Finish(final File)  // ends the data
+	Abort(reason error) // gives the file up
 }
 
-// Session is one client's connection.
+// Session is the protocol state of one client connection.
 type Session struct {
 	gateway Gateway
 	next    func() (struct{}, bool)
@@ -172,25 +167,25 @@
 
 	yield       func(struct{}) bool
 	input       []byte
-	consumed    int  // bytes of in that are used up
-	eof         bool // the client will send nothing more
+	consumed    int  // bytes of input that have been read
+	eof         bool // the client sends nothing more
 	output      []byte
-	fileData    []byte // file data not yet in a frame
+	fileData    []byte // file data that is not in a frame yet
 	multiplexed bool
-	onWait      func() // work that goes on while the session waits for input
+	onWait      func() // called before each yield; nil: nothing to do
 
 	readBytes, wroteBytes int64
 	version               int
 	err                   error
 	finished              bool
 	tree                  Tree
-	treeEnded             bool // the tree was told
+	treeEnded             bool // tree.End was called
 	phase                 string
 	opt                   options
 	seed                  uint32
 }
 
-// NewSession starts a session. Out holds the greeting.
+// NewSession starts a session. Its Output is the greeting.
 func NewSession(gw Gateway) *Session {
 	s := &Session{gateway: gw, phase: "greeting"}
 	s.next, s.stop = iter.Pull(func(yield func(struct{}) bool) {
@@ -201,12 +196,12 @@
 	return s
 }
 
-// fault is a failure that ends the session, thrown inside it.
+// sessionError is the value of a panic that ends the session with an error.
 type sessionError struct{ error }
 
 var errStopped = errors.New("rsync: stopped")
 
-// guard runs the session and turns faults into its error.
+// runGuarded runs the session and returns the error of a sessionError panic.
 func (s *Session) runGuarded() (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -221,11 +216,12 @@
 	return nil
 }
 
+// fail ends the session with an error.
 func fail(format string, args ...any) {
 	panic(sessionError{fmt.Errorf("rsync: "+format, args...)})
 }
 
-// Feed takes bytes of the client and lets the session go on.
+// Feed adds bytes from the client and resumes the session.
 func (s *Session) Feed(p []byte) {
 	if s.consumed > 0 && s.consumed == len(s.input) {
 		s.input, s.consumed = s.input[:0], 0
@@ -238,16 +234,16 @@
 	s.Resume()
 }
 
-// EOF says that the client sends nothing more.
+// EOF tells the session that the client sends nothing more.
 func (s *Session) EOF() {
 	s.eof = true
 	s.Resume()
 }
 
-// Held is the number of the client's bytes that the session holds unread.
+// Buffered returns the number of input bytes that the session has not read yet.
 func (s *Session) Buffered() int { return len(s.input) - s.consumed }
 
-// Resume lets the session look again at what it waits for.
+// Resume continues the session, which checks again what it waits for.
 func (s *Session) Resume() {
 	if s.finished {
 		return
@@ -266,10 +262,10 @@
 	}
 }
 
-// Out returns the bytes for the client and forgets them once Sent is called.
+// Output returns the pending bytes for the client. They stay pending until Sent is called.
 func (s *Session) Output() []byte { return s.output }
 
-// Sent says that n bytes of Out have been taken.
+// Sent removes the first n bytes of Output, which the caller has sent.
 func (s *Session) Sent(n int) {
 	s.wroteBytes += int64(n)
 	if n == len(s.output) {
@@ -282,22 +278,22 @@
 	s.output = s.output[:copy(s.output, s.output[n:])]
 }
 
-// Over says that the session has ended and with what. After its last bytes are out
-// the connection is to be closed.
+// Ended reports whether the session has ended, and with which error. The connection should be closed
+// once the remaining output is sent.
 func (s *Session) Ended() (bool, error) { return s.finished, s.err }
 
-// Phase names what the session is at, for logs.
+// Phase returns the name of the session's current phase, for logs.
 func (s *Session) Phase() string { return s.phase }
 
-// InTransfer says that the handshake is over.
+// InTransfer reports whether a transfer has begun.
 func (s *Session) InTransfer() bool { return s.tree != nil }
 
-// Close ends a session whose client has gone or is sent away.
+// Close ends a session whose client has disconnected or is disconnected by the gateway.
 func (s *Session) Close(reason error) {
 	if s.finished {
 		return
 	}
-	s.stop() // the coroutine sees its yield refused and unwinds
+	s.stop() // makes yield return false, so that the coroutine unwinds
 	s.finished = true
 	if s.err == nil || errors.Is(s.err, errStopped) {
 		s.err = reason
@@ -308,7 +304,7 @@
 	}
 }
 
-// wait yields until the caller has news.
+// wait yields until the caller resumes the session.
 func (s *Session) wait() {
 	if s.onWait != nil {
 		s.onWait()
@@ -319,7 +315,7 @@
 	}
 }
 
-// room waits until the client has taken enough of what is for it.
+// waitForRoom waits until pending output is at most outputHighWater.
 func (s *Session) waitForRoom() {
 	for len(s.output)+len(s.fileData) > outputHighWater {
 		s.wait()
@@ -328,7 +324,7 @@
 
 // ---- input ----
 
-// need waits for n bytes and returns them; they are good until the next wait.
+// readN waits for n bytes and returns them. They are valid until the next wait.
 func (s *Session) readN(n int) []byte {
 	for len(s.input)-s.consumed < n {
 		if s.eof {
@@ -351,7 +347,7 @@
 	return int64(binary.LittleEndian.Uint64(s.readN(8)))
 }
 
-// readVString reads a string whose length is one byte or two.
+// readVString reads a string with a length prefix of one or two bytes.
 func (s *Session) readVString() string {
 	n := int(s.readByte())
 	if n&0x80 != 0 {
@@ -363,7 +359,7 @@
 	return string(s.readN(n))
 }
 
-// readLine reads a line of the handshake, without its end.
+// readLine reads a line of the handshake, without its terminator.
 func (s *Session) readLine() string {
 	for at := s.consumed; ; at++ {
 		for at >= len(s.input) {
@@ -392,11 +388,11 @@
 
 const frameBytes = 32 << 10 // bytes of file data in a frame
 
-// The tags of multiplexed output, as protocol 29 knows them.
+// Tags of multiplexed output in protocol 29.
 const (
 	muxBase  = 7
 	msgData  = 0
-	msgError = 1 // counts as an error of the transfer: the client exits with 23
+	msgError = 1 // the client counts it as an error and exits with code 23
 	msgInfo  = 2
 )
 
@@ -437,7 +433,7 @@
 	s.writeString(t)
 }
 
-// flush puts pending file data into a frame.
+// flush writes pending file data as a frame.
 func (s *Session) flush() {
 	if len(s.fileData) == 0 {
 		return
@@ -451,7 +447,7 @@
 	s.output = append(s.output, p...)
 }
 
-// say sends a text to the client's user.
+// sendMessage sends a text that the client shows to its user.
 func (s *Session) sendMessage(tag int, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if len(text) > 1000 {
--- a/internal/rsync/sender.go
+++ b/internal/rsync/sender.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// The flags of a request or answer for a file, protocol 29.
+// Flags of a file request or its answer in protocol 29.
 const (
-	itemBasis    = 1 << 11 // a byte follows: the kind of the basis
-	itemXName    = 1 << 12 // a name follows: of the basis
+	itemBasis    = 1 << 11 // followed by a byte: the kind of the basis
+	itemXName    = 1 << 12 // followed by the name of the basis
 	itemNew      = 1 << 13
 	itemTransfer = 1 << 15
 )
@@ -18,12 +18,12 @@
 const ndxDone = -1
 
 const (
-	scanEntries     = 500 // entries looked up at a time
-	maxOpenAhead    = 16  // requests for files that are begun before their turn
+	scanEntries     = 500 // entries per Tree.Scan
+	maxOpenAhead    = 16  // file requests that are opened ahead
 	maxLiteralBytes = 32 << 10
 )
 
-// send serves a pull.
+// servePull serves a pull: the server is the sender.
 func (s *Session) servePull(paths []string) {
 	s.phase = "filter list"
 	rules := s.readFilter()
@@ -46,7 +46,7 @@
 	s.writeLong(s.wroteBytes + int64(len(s.output)))
 	s.writeLong(sum)
 	if s.version >= 29 {
-		s.writeLong(0) // time to build and to send the list, milliseconds: not kept
+		s.writeLong(0) // milliseconds to build and to send the list: not measured
 		s.writeLong(0)
 	}
 	s.phase = "goodbye"
@@ -55,7 +55,8 @@
 	}
 }
 
-// sendList sends the file list and returns it in the order that both sides count in.
+// sendList sends the file list. It returns it in the order of the file numbers, and whether an error
+// was reported.
 func (s *Session) sendList(paths []string, rules *filter) ([]File, bool) {
 	var list []File
 	coder := &previousEntry{}
@@ -100,11 +101,10 @@
 	return list, ioError != 0
 }
 
-// sendRef keeps the entry as the catalogue has it beside the name as the client
-// sees it.
+// sourceRef is the Ref of a listed file: the original entry, whose path differs from the listed name.
 type sourceRef struct{ file File }
 
-// sendPath sends what one path of the arguments asks for.
+// sendPath lists the entries that one path argument requests.
 func (s *Session) sendPath(arg string, add func(File, string, bool) bool) error {
 	content := strings.HasSuffix(arg, "/")
 	dir := strings.TrimSuffix(arg, "/")
@@ -143,11 +143,11 @@
 	return s.sendBelow(dir, strip, prefix, add)
 }
 
-// sendBelow sends what lies below a directory, chunk by chunk. Below a directory
-// that a rule leaves out nothing is sent.
+// sendBelow lists the entries below a directory in chunks. The content of excluded directories is
+// skipped.
 func (s *Session) sendBelow(dir, strip, prefix string, add func(File, string, bool) bool) error {
 	after := ""
-	excluded := map[string]bool{} // directories left out
+	excluded := map[string]bool{} // excluded directories
 	insideExcluded := func(p string) bool {
 		for i := len(strip); len(excluded) > 0 && i < len(p); i++ {
 			if p[i] == '/' && excluded[p[:i]] {
@@ -173,8 +173,8 @@
 	}
 }
 
-// expand turns the wildcards of an argument into the paths that match, as a shell
-// on the server's side would.
+// expandWildcards expands the wildcards of an argument to the matching paths, as a shell on the server
+// would.
 func (s *Session) expandWildcards(arg string) []string {
 	if !strings.ContainsAny(arg, "*?[") {
 		return []string{arg}
@@ -216,18 +216,18 @@
 	return bases
 }
 
-// job is one file that the client has asked for.
+// fileRequest is a request of the client for one file, or the end of a phase.
 type fileRequest struct {
 	ndx    int32
 	flags  int
 	basis  byte
 	xname  string
-	sums   *blockIndex // nil: nothing but an echo of the flags
+	sums   *blockIndex // nil: no content requested, only an echo of the flags
 	reader Reader
-	done   bool // ndxDone
+	done   bool // the client ended the phase
 }
 
-// sendFiles answers requests for files until the last phase is over.
+// sendFiles answers file requests until the last phase ends.
 func (s *Session) sendFiles(list []File, ioError bool) {
 	phases := 2
 	if s.version < 29 {
@@ -266,7 +266,7 @@
 			}
 		case j.sums == nil:
 			s.echoRequest(j)
-		case j.reader == nil: // it failed before, and the client was told
+		case j.reader == nil: // it failed before, and the error was reported then
 		default:
 			if err := s.sendFile(j, &list[j.ndx]); err != nil {
 				failed[j.ndx] = true
@@ -282,7 +282,7 @@
 	}
 }
 
-// wholeRequest says that the client's next request is here to its last byte.
+// requestBuffered reports whether the client's next request is buffered completely.
 func (s *Session) requestBuffered() bool {
 	p := s.input[s.consumed:]
 	int32At := func(i int) int32 {
@@ -299,7 +299,7 @@
 		flags, at = int(p[4])|int(p[5])<<8, 6
 	}
 	if flags&(itemBasis|itemXName) != 0 {
-		return false // rare: read in turn
+		return false // rare: such requests are not read ahead
 	}
 	if flags&itemTransfer == 0 || s.opt.dryRun {
 		return true
@@ -309,12 +309,12 @@
 	}
 	count, strong := int32At(at), int32At(at+8)
 	if count < 0 || count > maxBlockSums || strong < 0 || strong > 16 {
-		return true // its reading fails and says why
+		return true // reading it fails with an error
 	}
 	return len(p) >= at+16+int(count)*(4+int(strong))
 }
 
-// readRequest takes one request; nil for a sign of life.
+// readRequest reads one request. It returns nil for a keep-alive.
 func (s *Session) readRequest(list []File, phase int) *fileRequest {
 	j := &fileRequest{ndx: s.readInt(), flags: itemTransfer}
 	if j.ndx == ndxDone {
@@ -325,7 +325,7 @@
 		j.flags = s.readShort()
 	}
 	if int(j.ndx) == len(list) && j.flags == itemNew {
-		return nil // what protocol 29 has for a keep-alive
+		return nil // a keep-alive in protocol 29
 	}
 	if j.ndx < 0 || int(j.ndx) >= len(list) {
 		fail("request for file %d of %d", j.ndx, len(list))
@@ -346,7 +346,7 @@
 	return j
 }
 
-// writeAnswer repeats what the client asked for.
+// echoRequest repeats the header of a request as its answer.
 func (s *Session) echoRequest(j *fileRequest) {
 	s.writeInt(j.ndx)
 	if s.version < 29 {
@@ -361,7 +361,7 @@
 	}
 }
 
-// await waits for bytes of a reader.
+// readAt waits until a reader has bytes at an offset, and returns them.
 func (s *Session) readAt(r Reader, off int64, n int) ([]byte, error) {
 	for {
 		p, ok, err := r.At(off, n)
@@ -372,9 +372,8 @@
 	}
 }
 
-// sendFile answers one request. A file whose first bytes cannot be had is left out;
-// one that breaks off later ends with a sum that cannot be right, so that the client
-// throws away what came.
+// sendFile answers one request. A file whose first bytes cannot be read is left out. A file that fails
+// later is ended with a wrong checksum, so that the client discards what it received.
 func (s *Session) sendFile(j *fileRequest, f *File) error {
 	var err error
 	if f.Size > 0 {
@@ -408,6 +407,7 @@
 	return err
 }
 
+// writeLiteral sends p as literal tokens.
 func (s *Session) writeLiteral(p []byte) {
 	for len(p) > 0 {
 		n := min(len(p), maxLiteralBytes)
@@ -417,23 +417,23 @@
 	}
 }
 
-// sendDelta sends a file as blocks that the client has and the bytes between them.
+// sendDelta sends a file as references to blocks that the client has, and literal data between them.
 func (s *Session) sendDelta(j *fileRequest, f *File, updateHash func([]byte)) error {
 	x := j.sums
 	block := int(x.header.blockSize)
-	var buf []byte // bytes of the file from base on
+	var buf []byte // bytes of the file from offset bufStart on
 	bufStart, pos := int64(0), 0
-	literalStart := 0 // buf[lit:pos] is to be sent as it is
+	literalStart := 0 // buf[lit:pos] is unmatched and still to be sent as literal data
 	preferred := int32(0)
 	flush := func() {
 		s.writeLiteral(buf[literalStart:pos])
 		literalStart = pos
 	}
 	var w rollingSum
-	stale := true // w is not that of the window at pos
+	stale := true // w does not belong to the window at pos
 	for {
 		for len(buf)-pos < block+1 && bufStart+int64(len(buf)) < f.Size {
-			if pos > 1<<20 && pos > len(buf)/2 { // forget what is sent
+			if pos > 1<<20 && pos > len(buf)/2 { // discard what was sent
 				flush()
 				buf = buf[:copy(buf, buf[pos:])]
 				bufStart += int64(pos)
--- a/internal/rsync/sums.go
+++ b/internal/rsync/sums.go
@@ -8,22 +8,22 @@
 	"golang.org/x/crypto/md4"
 )
 
-// sumHead says how a file was parted into blocks.
+// sumHeader describes how a file is divided into blocks.
 type sumHeader struct {
-	count      int32 // blocks
+	count      int32 // number of blocks
 	blockSize  int32 // bytes of a block
-	strongSize int32 // bytes of a strong sum that are sent
-	remainder  int32 // bytes of the last block, if it is shorter
+	strongSize int32 // transmitted bytes of each strong sum
+	remainder  int32 // bytes of the last block if it is shorter, else 0
 }
 
-// check names what cannot be.
+// valid reports whether the values are possible and within the limits.
 func (h sumHeader) valid() bool {
 	return h.count >= 0 && h.count <= maxBlockSums && h.blockSize >= 0 && h.blockSize <= maxBlockBytes &&
 		h.strongSize >= 0 && h.strongSize <= md4.Size && h.remainder >= 0 && h.remainder <= h.blockSize &&
 		(h.count == 0 || h.blockSize > 0)
 }
 
-// size is the length of block i.
+// blockLen returns the length of block i.
 func (h sumHeader) blockLen(i int32) int {
 	if i == h.count-1 && h.remainder != 0 {
 		return int(h.remainder)
@@ -31,7 +31,7 @@
 	return int(h.blockSize)
 }
 
-// bytes is the length of the whole file.
+// fileSize returns the length of the whole file.
 func (h sumHeader) fileSize() int64 {
 	if h.count == 0 {
 		return 0
@@ -39,9 +39,9 @@
 	return int64(h.count-1)*int64(h.blockSize) + int64(h.blockLen(h.count-1))
 }
 
-// blocksOf parts a file of so many bytes: blocks of about the square root of its
-// length, and as many bytes of the strong sum as make a false match unlikely. whole
-// asks for all 16, after a file came out wrong.
+// chooseBlocks divides a file of the given size into blocks of about the square root of its length, with
+// as many bytes of the strong sum as make a false match unlikely. fullSums requests all 16 bytes, for a
+// file whose first transfer had a wrong checksum.
 func chooseBlocks(size int64, fullSums bool) sumHeader {
 	if size <= 0 {
 		return sumHeader{}
@@ -84,8 +84,7 @@
 	return h
 }
 
-// weak is the rolling checksum of section 2.2 of the technical report, over signed
-// bytes.
+// rollingSum is the rolling checksum of section 2.2 of the technical report, over signed bytes.
 type rollingSum struct{ a, b uint32 }
 
 func newRollingSum(p []byte) (w rollingSum) {
@@ -98,21 +97,21 @@
 
 func (w rollingSum) sum() uint32 { return w.a&0xffff + w.b<<16 }
 
-// roll moves the window of n bytes on by one.
+// roll moves the window of n bytes forward by one byte.
 func (w *rollingSum) roll(n int, out, in byte) {
 	o := uint32(int32(int8(out)))
 	w.a += uint32(int32(int8(in))) - o
 	w.b += w.a - uint32(n)*o
 }
 
-// drop takes the first byte of a window of n bytes away.
+// dropFirst removes the first byte of a window of n bytes.
 func (w *rollingSum) dropFirst(n int, out byte) {
 	o := uint32(int32(int8(out)))
 	w.a -= o
 	w.b -= uint32(n) * o
 }
 
-// strongOf is the strong sum of a block: MD4 with the seed behind.
+// strongSum returns the strong sum of a block: MD4 over the block followed by the seed.
 func strongSum(h hash.Hash, p []byte, seed uint32, to []byte) []byte {
 	h.Reset()
 	h.Write(p)
@@ -122,7 +121,7 @@
 	return h.Sum(to[:0])
 }
 
-// fileHash is the sum of a whole file: MD4 with the seed before.
+// newFileHash returns the hash for a whole file: MD4 over the seed followed by the file.
 func newFileHash(seed uint32) hash.Hash {
 	h := md4.New()
 	var head [4]byte
@@ -131,11 +130,11 @@
 	return h
 }
 
-// index finds blocks by their weak sum.
+// blockIndex looks up blocks by their rolling sum, with chains of blocks in each bucket.
 type blockIndex struct {
 	header     sumHeader
 	weakSums   []uint32
-	strongSums []byte // head.strong bytes a block
+	strongSums []byte // header.strongSize bytes per block
 	first      []int32
 	next       []int32
 	seed       uint32
@@ -147,7 +146,7 @@
 
 func bucketOf(sum uint32) int { return int((sum + sum>>16) & (indexBuckets - 1)) }
 
-// readSums takes a client's block sums.
+// readBlockSums reads a client's block sums.
 func (s *Session) readBlockSums() *blockIndex {
 	x := &blockIndex{header: s.readSumHeader(), seed: s.seed, hash: md4.New()}
 	h := x.header
@@ -169,7 +168,7 @@
 	return x
 }
 
-// find returns the block that p is, or -1. Of equal ones it prefers want.
+// find returns a block with the content p, or -1. Among several it returns preferred if that matches.
 func (x *blockIndex) find(sum uint32, p []byte, preferred int32) int32 {
 	found := int32(-1)
 	hashed := false
