--- a/internal/front/rsync/conn.go
+++ b/internal/front/rsync/conn.go
@@ -122,7 +122,7 @@
 
 // disconnect ends a connection that exceeds a limit, and counts it as shed.
 func (c *conn) disconnect(why string) {
-	if over, _ := c.session.Ended(); over || c.ended {
+	if ended, _ := c.session.Ended(); ended || c.ended {
 		return
 	}
 	c.front.mu.Lock()
@@ -138,7 +138,7 @@
 		return
 	}
 	now := c.front.opt.Host.Now()
-	if over, _ := c.session.Ended(); over && c.detached && c.detachedFD < 0 {
+	if ended, _ := c.session.Ended(); ended && c.detached && c.detachedFD < 0 {
 		c.teardown(c.closeReason) // the socket could not be registered again
 		return
 	}
@@ -173,7 +173,7 @@
 		if c.writeOutput() {
 			progress = true
 		}
-		if over, err := c.session.Ended(); over {
+		if ended, err := c.session.Ended(); ended {
 			return c.linger(err)
 		}
 		if !progress {
@@ -358,7 +358,7 @@
 	if err == nil {
 		err = c.closeReason
 	}
-	if over, _ := c.session.Ended(); !over {
+	if ended, _ := c.session.Ended(); !ended {
 		c.session.EOF() // the buffered input may be enough to finish successfully
 	}
 	c.teardown(err)
--- a/internal/rsync/fake_test.go
+++ b/internal/rsync/fake_test.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// memory is a gateway with one module in memory.
+// memoryGateway is a Gateway and Tree whose modules share one set of files in memory.
 type memoryGateway struct {
 	files          map[string]*memFile
 	modules        []Module
@@ -19,10 +19,10 @@
 	ended          int
 	endErr         error
 	logs           []string
-	notReadyCalls  int // how often a reader says "not yet" before it has bytes
+	notReadyCalls  int // how many calls of Reader.At return no bytes before one does
 	readErrors     map[string]error
-	openReaders    int // readers that are open
-	listEntries    int // entries booked, and how many may be
+	openReaders    int // readers not closed yet
+	listEntries    int // reserved entries; the next field is their limit, 0: none
 	maxListEntries int
 }
 
@@ -156,7 +156,7 @@
 
 var errDisk = errors.New("a bad disk")
 
-// talk feeds a session input, in pieces of the given size, and collects its output.
+// exchange feeds input to a session in chunks of the given size and collects its output.
 func exchange(m *memoryGateway, input []byte, chunk int) (*Session, []byte) {
 	s := NewSession(m)
 	var out []byte
@@ -174,7 +174,7 @@
 		input = input[n:]
 		take()
 	}
-	for range 50 { // for readers that are slow
+	for range 50 { // for readers that return no bytes at first
 		s.Resume()
 		take()
 	}
--- a/internal/rsync/parts_test.go
+++ b/internal/rsync/parts_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestOrder has the order in which both sides count, protocol 29.
+// TestFileListOrder checks the order of a file list, which defines the file numbers, in protocols 28
+// and 29.
 func TestFileListOrder(t *testing.T) {
 	want := []string{".", "a", "a.txt", "b-", "z", "a-b/", "a-b/x", "a/", "a/b", "a/z", "a/c/", "a/c/d", "aa/", "aa/x"}
 	var list []File
@@ -28,7 +29,7 @@
 		sortList(list, 29)
 		for i, f := range list {
 			if f.Path != strings.TrimSuffix(want[i], "/") || (f.Mode == typeDir) != (strings.HasSuffix(want[i], "/") || want[i] == ".") {
-				t.Fatalf("place %d: %s, want %s", i, f.Path, want[i])
+				t.Fatalf("position %d: %s, want %s", i, f.Path, want[i])
 			}
 		}
 	}
@@ -38,7 +39,8 @@
 	}
 }
 
-// TestOrderIsOne checks that the order is total whatever the names.
+// TestFileListOrderIsTotal checks that the order of protocol 29 is antisymmetric and transitive for any
+// names.
 func TestFileListOrderIsTotal(t *testing.T) {
 	name := rapid.StringMatching(`[-./ab]{1,6}`)
 	rapid.Check(t, func(t *rapid.T) {
@@ -55,10 +57,10 @@
 		}
 		a, b, c := draw("a"), draw("b"), draw("c")
 		if compareFiles(a, b) != -compareFiles(b, a) {
-			t.Fatalf("%+v %+v", a, b)
+			t.Fatalf("the order is not antisymmetric: %+v, %+v", a, b)
 		}
 		if compareFiles(a, b) <= 0 && compareFiles(b, c) <= 0 && compareFiles(a, c) > 0 {
-			t.Fatalf("%+v %+v %+v", a, b, c)
+			t.Fatalf("the order is not transitive: %+v, %+v, %+v", a, b, c)
 		}
 	})
 }
@@ -93,7 +95,7 @@
 
 func TestFilter(t *testing.T) {
 	for _, c := range []struct {
-		rules string // set apart by |
+		rules string // separated by |
 		path  string
 		dir   bool
 		out   bool
@@ -139,17 +141,17 @@
 	}
 }
 
-// TestPatternTimeIsBounded: stars do not multiply.
+// TestPatternTimeIsBounded checks that matching time does not grow exponentially with the number of stars.
 func TestPatternTimeIsBounded(t *testing.T) {
 	done := make(chan bool)
 	go func() { done <- wildMatch(strings.Repeat("*a", 2000), strings.Repeat("a", 4000)+"b") }()
 	select {
 	case got := <-done:
 		if got {
-			t.Error("matched")
+			t.Error("wildMatch matched, want no match")
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("did not end")
+		t.Fatal("wildMatch did not return within a minute")
 	}
 }
 
@@ -167,7 +169,7 @@
 	})
 }
 
-// TestRolling compares the rolled sum with one made anew at each place.
+// TestRollingSum compares the rolled sum with one computed from scratch at each position.
 func TestRollingSum(t *testing.T) {
 	p := make([]byte, 2000)
 	rand.New(rand.NewSource(3)).Read(p)
@@ -175,20 +177,20 @@
 	w := newRollingSum(p[:n])
 	for i := range len(p) - n {
 		if w.sum() != newRollingSum(p[i:i+n]).sum() {
-			t.Fatalf("at %d", i)
+			t.Fatalf("rolled sum differs at offset %d", i)
 		}
 		w.roll(n, p[i], p[i+n])
 	}
 	for k := n; k > 1; k-- {
 		at := len(p) - k
 		if w.sum() != newRollingSum(p[at:]).sum() {
-			t.Fatalf("with %d left", k)
+			t.Fatalf("rolled sum differs with %d bytes left", k)
 		}
 		w.dropFirst(k, p[at])
 	}
 }
 
-// TestSums has sums as other implementations make them (RFC 1320 for MD4).
+// TestChecksums checks the sums against independently computed values (RFC 1320 for MD4).
 func TestChecksums(t *testing.T) {
 	if got := newRollingSum([]byte("abc")).sum(); got != 294|(97+195+294)<<16 {
 		t.Errorf("weak sum of abc: %x", got)
--- a/internal/rsync/session_test.go
+++ b/internal/rsync/session_test.go
@@ -37,7 +37,7 @@
 const pullHandshake = "@RSYNCD: 29\nm\n--server\n--sender\n-rlt\n.\nm/\n\n"
 const pushHandshake = "@RSYNCD: 29\nm\n--server\n-rlt\n.\nm/\n\n"
 
-// TestHandshake has what clients say first and what the daemon answers.
+// TestHandshake checks the answers to the first lines that clients send.
 func TestHandshake(t *testing.T) {
 	for _, c := range []struct{ name, in, want, err string }{
 		{"listing", "@RSYNCD: 29\n\n", "m              \ta module\n", ""},
@@ -51,13 +51,13 @@
 		{"long line", "@RSYNCD: 29" + strings.Repeat(" ", 5000), "", "a line of over 4096"},
 		{"unknown module", "@RSYNCD: 29\nx\x1b[2J\n", `@ERROR: Unknown module 'x\x1b[2J'`, "refused"},
 		{"unknown command", "@RSYNCD: 29\n#early_input=5\n", "@ERROR: Unknown command", "refused"},
-		{"hidden one can be entered", "@RSYNCD: 29\nhid\n", "@RSYNCD: OK", ""},
+		{"hidden module can be opened", "@RSYNCD: 29\nhid\n", "@RSYNCD: OK", ""},
 		{"good login", "@RSYNCD: 29\nprivate\nanna " + Response("pw", "challenge", false) + "\n", "@RSYNCD: OK", ""},
-		{"good login, seeded", "@RSYNCD: 29\nprivate\nanna " + Response("pw", "challenge", true) + "\n", "@RSYNCD: OK", ""},
+		{"good login with seed bytes", "@RSYNCD: 29\nprivate\nanna " + Response("pw", "challenge", true) + "\n", "@RSYNCD: OK", ""},
 		{"wrong password", "@RSYNCD: 29\nprivate\nanna " + Response("no", "challenge", false) + "\n", "@ERROR: auth failed on module private", "refused"},
 		{"not one of the users", "@RSYNCD: 29\nprivate\nbert " + Response("pw", "challenge", false) + "\n", "@ERROR: auth failed", "refused"},
 		{"unknown user with the empty password", "@RSYNCD: 29\nprivate\ncarl " + Response("", "challenge", false) + "\n", "@ERROR: auth failed", "refused"},
-		{"no answer", "@RSYNCD: 29\nprivate\n\n", "@ERROR: auth failed", "refused"},
+		{"empty response", "@RSYNCD: 29\nprivate\n\n", "@ERROR: auth failed", "refused"},
 		{"many arguments", "@RSYNCD: 29\nm\n" + strings.Repeat("-v\n", 1001), "@ERROR: more than 1000 arguments", "refused"},
 	} {
 		for _, piece := range []int{1, 1 << 20} {
@@ -82,10 +82,10 @@
 	}
 }
 
-// TestOptions: each option of a client is done or refused by name.
+// TestOptions checks that each option of a client is either supported or refused by its name.
 func TestOptions(t *testing.T) {
 	for _, c := range []struct {
-		module, args, want string // want "" means: a transfer begins
+		module, args, want string // want is empty if a transfer begins
 	}{
 		{"m", "--server --sender -vlogDtprWIne.iLsfxCIvu --timeout=10 --partial --numeric-ids --bwlimit=7 . m/x", ""},
 		{"m", "--server -vlogDtpr --stats --log-format=%i . m/", ""},
@@ -133,7 +133,7 @@
 	}
 }
 
-// frames takes a session's output apart, from the checksum seed on.
+// parseFrames splits a session's output after the checksum seed into file data and messages.
 func parseFrames(t *testing.T, out []byte) (data []byte, messages []string) {
 	t.Helper()
 	_, rest, ok := bytes.Cut(out, []byte("@RSYNCD: OK\n"))
@@ -145,7 +145,7 @@
 		h := binary.LittleEndian.Uint32(rest)
 		n := int(h & 0xffffff)
 		if len(rest) < 4+n {
-			t.Fatalf("a frame of %d bytes, %d are there", n, len(rest)-4)
+			t.Fatalf("a frame of %d bytes, only %d present", n, len(rest)-4)
 		}
 		if h>>24 == 7 {
 			data = append(data, rest[4:4+n]...)
@@ -157,8 +157,8 @@
 	return data, messages
 }
 
-// TestHostilePush has what a client may send in place of a good file list or file.
-// Each ends the session with an error that names the place, in bounded memory.
+// TestMalformedPush checks that malformed file lists and file contents end the session with an error that
+// names the cause, and store no file.
 func TestMalformedPush(t *testing.T) {
 	entry := func(name string, size, mode int32) []byte {
 		return concat(64, littleEndian(int32(len(name))), name, littleEndian(size), littleEndian(1), littleEndian(mode))
@@ -181,12 +181,12 @@
 		{"negative size", "-9 bytes long", concat(pushHandshake, 64, littleEndian(1), "f", littleEndian(-1), littleEndian(-9, -1))},
 		{"long link", "link target", concat(pushHandshake, entry("l", 3, int32(typeLink|0o777)), littleEndian(1<<30))},
 		{"too many files", "more than 1000 entries", concat(pushHandshake, bytes.Repeat(entry("f", 1, f), 1002))},
-		{"no such file", "file 7 of 1", concat(good, littleEndian(7), []byte{0, 0x80})},
+		{"file number out of range", "file 7 of 1", concat(good, littleEndian(7), []byte{0, 0x80})},
 		{"negative file", "file -2 of 1", concat(good, littleEndian(-2), []byte{0, 0x80})},
-		{"not asked for", "not asked for", concat(pushHandshake, entry("d", 0, int32(typeDir|0o755)), end, ask)},
-		{"sums beyond all", "block sums", concat(good, ask, littleEndian(1<<30, 700, 2, 0))},
+		{"content not requested", "not asked for", concat(pushHandshake, entry("d", 0, int32(typeDir|0o755)), end, ask)},
+		{"too many block sums", "block sums", concat(good, ask, littleEndian(1<<30, 700, 2, 0))},
 		{"negative block", "block sums", concat(good, ask, littleEndian(1, -700, 2, 0))},
-		{"block that is not here", "block 4 of 0", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(-5))},
+		{"block without a basis", "block 4 of 0", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(-5))},
 		{"huge token", "a token of", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(1<<30))},
 		{"ends in a token", "closed the connection", concat(good, ask, littleEndian(0, 0, 2, 0), littleEndian(100), "abc")},
 		{"too many names", "more than 100000 names", concat("@RSYNCD: 29\nm\n--server\n-ro\n.\nm/\n\n",
@@ -196,19 +196,19 @@
 			m := newMemory()
 			s, out := exchange(m, c.in, piece)
 			s.EOF()
-			over, err := s.Ended()
-			if !over || err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%s: over %v, %v, want %q; out %q", c.name, over, err, c.want, out[:min(len(out), 300)])
+			ended, err := s.Ended()
+			if !ended || err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%s: ended %v, %v, want %q; out %q", c.name, ended, err, c.want, out[:min(len(out), 300)])
 			}
 			if m.ended != 1 || m.files["f"] != nil {
-				t.Errorf("%s: the tree was told %d times; files %v", c.name, m.ended, m.files)
+				t.Errorf("%s: Tree.End was called %d times; files %v", c.name, m.ended, m.files)
 			}
 			s.Close(errStopped)
 		}
 	}
 }
 
-// TestHostilePull is the same for what a client sends on a pull.
+// TestMalformedPull checks the same for malformed filter lists and file requests of a pull.
 func TestMalformedPull(t *testing.T) {
 	noRules := littleEndian(0)
 	ask := concat(littleEndian(1), []byte{0, 0x80})
@@ -221,9 +221,9 @@
 		{"many rules", "rule 10001", concat(pullHandshake, bytes.Repeat(concat(littleEndian(3), "- x"), 10_002))},
 		{"merge rule", "refused", concat(pullHandshake, littleEndian(7), ": .rules")},
 		{"no rule", "refused", concat(pullHandshake, littleEndian(1), "x")},
-		{"no such file", "request for file 9 of 2", concat(pullHandshake, noRules, littleEndian(9), []byte{0, 0x80})},
+		{"file number out of range", "request for file 9 of 2", concat(pullHandshake, noRules, littleEndian(9), []byte{0, 0x80})},
 		{"a directory's content", "content of", concat(pullHandshake, noRules, littleEndian(0), []byte{0, 0x80})},
-		{"sums beyond all", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1<<25, 700, 16, 0))},
+		{"too many block sums", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1<<25, 700, 16, 0))},
 		{"strong sums too long", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1, 700, 17, 0))},
 		{"remainder over the block", "block sums", concat(pullHandshake, noRules, ask, littleEndian(1, 700, 16, 701))},
 		{"long xname", "a name of", concat(pullHandshake, noRules, littleEndian(1), []byte{0, 0x90, 0xff, 0xff})},
@@ -232,21 +232,21 @@
 			m := newMemory()
 			m.add("f", typeFile|0o644, "abc")
 			s, out := exchange(m, c.in, piece)
-			over, err := s.Ended()
-			if !over || err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%s: over %v, %v, want %q; out %q", c.name, over, err, c.want, out)
+			ended, err := s.Ended()
+			if !ended || err == nil || !strings.Contains(err.Error(), c.want) {
+				t.Errorf("%s: ended %v, %v, want %q; out %q", c.name, ended, err, c.want, out)
 			}
 			if m.ended != 1 || m.openReaders != 0 {
-				t.Errorf("%s: the tree was told %d times, %d readers are open", c.name, m.ended, m.openReaders)
+				t.Errorf("%s: Tree.End was called %d times, %d readers were not closed", c.name, m.ended, m.openReaders)
 			}
 			s.Close(errStopped)
 		}
 	}
 }
 
-// TestPullBreaksOff: a file that cannot be read from its middle on ends with a sum
-// that cannot be right, the client is told, and the second time it is left out; the
-// others come whole.
+// TestPullReadError checks a file whose second half cannot be read: it ends with a wrong checksum, the
+// error is reported to the client once, and the second request for it is left out. The other files arrive
+// complete.
 func TestPullReadError(t *testing.T) {
 	m := newMemory()
 	m.notReadyCalls = 2
@@ -256,12 +256,12 @@
 	none := littleEndian(0, 0, 0, 0)
 	ask := func(i int32) []byte { return concat(littleEndian(i), []byte{0, 0x80}, none) }
 	s, out := exchange(m, concat(pullHandshake, littleEndian(0), ask(1), ask(2), littleEndian(-1), ask(1), littleEndian(-1, -1, -1)), 11)
-	if over, err := s.Ended(); !over || err != nil {
-		t.Fatalf("over %v, %v, phase %s", over, err, s.Phase())
+	if ended, err := s.Ended(); !ended || err != nil {
+		t.Fatalf("ended %v, %v, phase %s", ended, err, s.Phase())
 	}
-	data, said := parseFrames(t, out)
-	if len(said) != 1 || !strings.Contains(said[0], "bad: a bad disk") {
-		t.Errorf("said %q", said)
+	data, messages := parseFrames(t, out)
+	if len(messages) != 1 || !strings.Contains(messages[0], "bad: a bad disk") {
+		t.Errorf("messages %q", messages)
 	}
 	wrong := md4.New()
 	wrong.Write(littleEndian(12345))
@@ -273,15 +273,15 @@
 	sum.Write(littleEndian(12345))
 	sum.Write([]byte("fine"))
 	if !bytes.Contains(data, concat(littleEndian(4), "fine", littleEndian(0), sum.Sum(nil))) {
-		t.Errorf("the good file did not come")
+		t.Errorf("the good file was not sent")
 	}
 	if m.openReaders != 0 {
-		t.Errorf("%d readers are open", m.openReaders)
+		t.Errorf("%d readers were not closed", m.openReaders)
 	}
 }
 
-// TestListsOfAllTransfers: at the ceiling over all of them a list ends with a word, on
-// either way.
+// TestListEntryLimitOverAllTransfers checks that a file list that reaches the limit over all transfers
+// ends with a message to the client, on a pull and on a push.
 func TestListEntryLimitOverAllTransfers(t *testing.T) {
 	for _, in := range [][]byte{concat(pullHandshake, littleEndian(0)), concat(pushHandshake, bytes.Repeat(concat(64, littleEndian(1), "f", littleEndian(0), littleEndian(1), littleEndian(int32(typeFile|0o644))), 700))} {
 		m := newMemory()
@@ -290,27 +290,29 @@
 			m.add(fmt.Sprintf("f%03d", i), typeFile|0o644, "")
 		}
 		s, out := exchange(m, in, 4096)
-		_, said := parseFrames(t, out)
-		if over, err := s.Ended(); !over || err == nil || !strings.Contains(err.Error(), "rsync.files") ||
-			len(said) != 1 || !strings.Contains(said[0], "come back later") {
-			t.Errorf("over %v, %v, said %q", over, err, said)
+		_, messages := parseFrames(t, out)
+		if ended, err := s.Ended(); !ended || err == nil || !strings.Contains(err.Error(), "rsync.files") ||
+			len(messages) != 1 || !strings.Contains(messages[0], "come back later") {
+			t.Errorf("ended %v, %v, messages %q", ended, err, messages)
 		}
 		s.Close(errStopped)
 	}
 }
 
-// TestKeepAliveIsNoRequest: protocol 29 sends the number behind the last file.
+// TestKeepAliveIsNoRequest checks that a keep-alive, which protocol 29 sends as a request for the number
+// after the last file, is not taken for a file request.
 func TestKeepAliveIsNoRequest(t *testing.T) {
 	m := newMemory()
 	m.add("f", typeFile|0o644, "abc")
 	alive := concat(littleEndian(2), []byte{0, 0x20})
 	s, _ := exchange(m, concat(pullHandshake, littleEndian(0), alive, alive, littleEndian(-1, -1, -1), littleEndian(-1)), 3)
-	if over, err := s.Ended(); !over || err != nil {
-		t.Errorf("over %v, %v", over, err)
+	if ended, err := s.Ended(); !ended || err != nil {
+		t.Errorf("ended %v, %v", ended, err)
 	}
 }
 
-// TestPushVerifies: bytes whose sum is wrong are asked for again, once, as a whole.
+// TestPushChecksumRetry checks that a file with a wrong checksum is requested once more, without a basis,
+// and left out if the checksum is wrong again.
 func TestPushChecksumRetry(t *testing.T) {
 	for _, again := range []bool{true, false} {
 		m := newMemory()
@@ -328,15 +330,15 @@
 			in = concat(in, body(make([]byte, 16)))
 		}
 		s, out := exchange(m, concat(in, littleEndian(-1, -1)), 5)
-		over, err := s.Ended()
-		_, said := parseFrames(t, out)
-		if !over || err != nil || again != (len(said) == 0) || again != (m.files["f"] != nil && string(m.files["f"].data) == "abc") {
-			t.Errorf("second time right: %v: over %v, %v, said %q, files %v", again, over, err, said, m.files)
+		ended, err := s.Ended()
+		_, messages := parseFrames(t, out)
+		if !ended || err != nil || again != (len(messages) == 0) || again != (m.files["f"] != nil && string(m.files["f"].data) == "abc") {
+			t.Errorf("second time right: %v: ended %v, %v, messages %q, files %v", again, ended, err, messages, m.files)
 		}
 	}
 }
 
-// TestLargeFilesAndOldProtocols lists a file of over 4 GiB to clients of each version.
+// TestLargeFilesAndOldProtocols lists a file of over 4 GiB and a long name to clients of each protocol.
 func TestLargeFilesAndOldProtocols(t *testing.T) {
 	for _, v := range []int{27, 28, 29} {
 		m := newMemory()
@@ -353,7 +355,8 @@
 	}
 }
 
-// FuzzSession feeds a session whatever; it must neither panic nor run away.
+// FuzzSession feeds arbitrary input to a session, which must not panic, produce disproportionate output or
+// fail to end its tree.
 func FuzzSession(f *testing.F) {
 	entry := concat(64, littleEndian(1), "f", littleEndian(3), littleEndian(1), littleEndian(int32(typeFile|0o644)), 0, littleEndian(0))
 	f.Add([]byte(pullHandshake), 3)
@@ -369,18 +372,18 @@
 		m.add("d/e", typeFile|0o644, "x")
 		s, out := exchange(m, in, 1+(piece&0xff))
 		if len(out) > 1<<20 && len(out) > 100*len(in) {
-			t.Fatalf("%d bytes came of %d", len(out), len(in))
+			t.Fatalf("%d bytes of output for %d bytes of input", len(out), len(in))
 		}
 		s.EOF()
 		s.Close(errStopped)
 		if m.transfer != nil && m.ended != 1 {
-			t.Fatalf("the tree was told %d times that it ended", m.ended)
+			t.Fatalf("Tree.End was called %d times, want 1", m.ended)
 		}
 	})
 }
 
-// TestDeltaFindsMovedBlocks: bytes that were moved, and ones that were put in, cost
-// only what is new.
+// TestDeltaMatchesMovedBlocks checks that for a file with moved blocks and an insertion only the new bytes
+// and partial blocks are sent as literal data.
 func TestDeltaMatchesMovedBlocks(t *testing.T) {
 	old := make([]byte, 50_000)
 	rand.New(rand.NewSource(1)).Read(old)
@@ -396,13 +399,13 @@
 		ask = concat(ask, littleEndian(int32(newRollingSum(p).sum())), strongSum(h, p, 12345, nil)[:head.strongSize])
 	}
 	s, out := exchange(m, concat(pullHandshake, littleEndian(0), ask, littleEndian(-1, -1, -1), littleEndian(-1)), 1000)
-	if over, err := s.Ended(); !over || err != nil {
-		t.Fatalf("over %v, %v", over, err)
+	if ended, err := s.Ended(); !ended || err != nil {
+		t.Fatalf("ended %v, %v", ended, err)
 	}
 	data, _ := parseFrames(t, out)
 	_, rest, ok := bytes.Cut(data, concat(littleEndian(1), []byte{0, 0x80}, littleEndian(head.count, head.blockSize, head.strongSize, head.remainder)))
 	if !ok {
-		t.Fatal("no answer")
+		t.Fatal("no answer to the file request")
 	}
 	var got []byte
 	literal := 0
