--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -78,7 +78,7 @@
 // Front is a running rsync front.
 type Front struct {
 	opt      Options
-	eng      gnet.Engine
+	engine   gnet.Engine
 	addr     string
 	startErr chan error
 	stopped  chan struct{}
@@ -215,7 +215,7 @@
 	f.cancel()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	err := f.eng.Stop(ctx)
+	err := f.engine.Stop(ctx)
 	<-f.stopped
 	f.mu.Lock()
 	left := make([]*conn, 0, len(f.conns))
@@ -297,7 +297,7 @@
 
 // OnBoot records the address on which the front listens.
 func (h *handler) OnBoot(eng gnet.Engine) gnet.Action {
-	h.front.eng = eng
+	h.front.engine = eng
 	fd, err := eng.Dup()
 	if err == nil {
 		var sa unix.Sockaddr
--- a/internal/rsync/receiver.go
+++ b/internal/rsync/receiver.go
@@ -52,9 +52,9 @@
 	paths []string // destination of each entry in the module
 
 	// the generator
-	nextEntry      int // next entry to check
-	redo           []int32
-	generatorPhase int // phases whose end was sent
+	nextEntry      int     // next entry to check
+	retryFiles     []int32 // files to request again in the second phase
+	generatorPhase int     // phases whose end was sent
 	basis          *basisSums
 	requested      int // requested files whose data has not begun to arrive
 
@@ -92,9 +92,9 @@
 
 func (r *receiver) readList() {
 	s := r.s
-	coder := &previousEntry{}
+	previous := &previousEntry{}
 	for {
-		f, more := s.readEntry(coder, len(r.list))
+		f, more := s.readEntry(previous, len(r.list))
 		if !more {
 			break
 		}
@@ -187,9 +187,9 @@
 			r.endPhase()
 		case r.generatorPhase > r.clientPhase: // the client has not ended this phase
 			return
-		case len(r.redo) > 0:
-			ndx := r.redo[0]
-			r.redo = r.redo[1:]
+		case len(r.retryFiles) > 0:
+			ndx := r.retryFiles[0]
+			r.retryFiles = r.retryFiles[1:]
 			in := r.files[ndx]
 			in.retried = true
 			r.requestContent(in, sumHeader{})
@@ -542,7 +542,7 @@
 		return
 	}
 	r.s.tree.Log("again", r.paths[in.ndx], err)
-	r.redo = append(r.redo, in.ndx)
+	r.retryFiles = append(r.retryFiles, in.ndx)
 }
 
 // receiveLiterals reads n literal bytes as they arrive and waits whenever the writer has no room.
--- a/internal/rsync/rsync.go
+++ b/internal/rsync/rsync.go
@@ -81,12 +81,12 @@
 
 // Gateway is what a session needs from the surrounding program. No method blocks.
 type Gateway interface {
-	Modules() []Module
+	Modules() []Module // in the order of the module list, hidden ones included
 	Module(name string) (Module, bool)
-	MOTD() string
-	Challenge() string // new random challenge for a login
-	Seed() uint32      // new checksum seed, not 0
-	Secret(module, user string) (string, bool)
+	MOTD() string                                   // message of the day; empty: none
+	Challenge() string                              // new random challenge for a login
+	Seed() uint32                                   // new checksum seed, not 0
+	Secret(module, user string) (string, bool)      // password of a user, and whether it is known
 	AcquireConn(module string) (limit int, ok bool) // counts the connection against the module's limit
 	Begin(Transfer) (Tree, error)
 	MaxFiles() int // maximum entries of a file list
@@ -109,15 +109,16 @@
 
 // Tree is the content of a module during one transfer.
 type Tree interface {
+	// Stat returns the entry at a path, and whether there is one.
 	Stat(path string) (File, bool, error)
 	// Scan returns up to n entries below dir, without dir itself, in path order, beginning after the path
 	// after ("" for the start). Unless deep, it returns only the entries directly in dir.
 	Scan(dir, after string, deep bool, n int) ([]File, error)
 	Open(File) Reader
-	Create(File) Writer // begins a regular file that replaces the one at its path
-	Put(File) Pending   // stores a directory, a link, or new attributes of a file
-	Log(what, path string, err error)
-	End(err error) // called once, when the transfer ends
+	Create(File) Writer               // begins a regular file that replaces the one at its path
+	Put(File) Pending                 // stores a directory, a link, or new attributes of a file
+	Log(what, path string, err error) // logs an error of one file
+	End(err error)                    // called once, when the transfer ends
 }
 
 const listReserveStep = 500 // file list entries reserved at a time
--- a/internal/rsync/sender.go
+++ b/internal/rsync/sender.go
@@ -59,7 +59,7 @@
 // was reported.
 func (s *Session) sendList(paths []string, rules *filter) ([]File, bool) {
 	var list []File
-	coder := &previousEntry{}
+	previous := &previousEntry{}
 	ioError := int32(0)
 	seen := map[string]bool{}
 	add := func(f File, name string, top bool) bool {
@@ -71,7 +71,7 @@
 		}
 		s.reserveListEntry(len(list))
 		seen[name] = true
-		s.writeEntry(coder, &f, name, top)
+		s.writeEntry(previous, &f, name, top)
 		s.waitForRoom()
 		shown := f
 		shown.Path = name
