--- a/internal/backend/http/answer.go
+++ b/internal/backend/http/answer.go
@@ -14,121 +14,122 @@
 )
 
 const (
-	interimMost = 8        // 1xx answers in front of one
-	bodyUsual   = 64 << 10 // bytes of a body
+	maxInterim       = 8        // 1xx responses before a final one
+	initialBodyBytes = 64 << 10 // largest capacity allocated before any of a body has arrived
 )
 
-// answer reads one answer. What is over a bound of http1 is an error. One without a length, and not in chunks,
-// ends where the connection does (RFC 9112, 6.3, rule 8): whether it is whole its end says.
-type answer struct {
-	in      []byte // of the head, then the body
-	looked  int
-	interim int
-	headed  bool
-	head    http1.Response // its fields are copied out as the head is read
-	notRun  bool
-	use     string
-	load    string
-	chunks  *http1.Chunks
-	toEnd   bool // it lasts until the connection's end
-	body    []byte
-	behind  int // bytes that came behind it
+// responseReader reads one response incrementally. A response that exceeds a bound of package http1 is an error.
+// A response with neither a length nor chunked coding ends with the connection (RFC 9112, 6.3, rule 8); the way
+// the connection ends shows whether it is complete.
+type responseReader struct {
+	buf          []byte // bytes of the head until it is complete
+	scanned      int
+	interimCount int
+	headParsed   bool
+	head         http1.Response // its fields are copied out as the head is read
+	notStarted   bool
+	volumeUse    string
+	loadReport   string
+	chunks       *http1.Chunks
+	untilClose   bool // the body ends with the connection
+	body         []byte
+	trailing     int // bytes received after the end of the response
 }
 
-// holds is how many bytes are held of it.
-func (a *answer) holds() int { return len(a.in) + len(a.body) }
+// heldBytes returns how many bytes of the response are in memory.
+func (r *responseReader) heldBytes() int { return len(r.buf) + len(r.body) }
 
-// feed takes bytes; done says that the answer is whole.
-func (a *answer) feed(p []byte) (done bool, err error) {
-	if !a.headed {
-		a.in = append(a.in, p...)
+// feed consumes bytes from the connection; done reports that the response is complete.
+func (r *responseReader) feed(p []byte) (done bool, err error) {
+	if !r.headParsed {
+		r.buf = append(r.buf, p...)
 		for {
-			h, n, err := http1.ParseResponse(a.in, a.looked)
+			h, n, err := http1.ParseResponse(r.buf, r.scanned)
 			if err == http1.ErrShort {
-				a.looked = len(a.in)
+				r.scanned = len(r.buf)
 				return false, nil
 			}
 			if err != nil {
 				return false, err
 			}
-			a.looked = 0
+			r.scanned = 0
 			if h.Status == 101 {
 				return false, fmt.Errorf("status 101: no other protocol was asked for")
 			}
 			if h.Status < 200 {
-				if a.interim++; a.interim > interimMost {
-					return false, fmt.Errorf("over %d answers of 1xx in front", interimMost)
+				if r.interimCount++; r.interimCount > maxInterim {
+					return false, fmt.Errorf("over %d answers of 1xx in front", maxInterim)
 				}
-				a.in = a.in[:copy(a.in, a.in[n:])]
+				r.buf = r.buf[:copy(r.buf, r.buf[n:])]
 				continue
 			}
-			if err := a.take(h); err != nil {
+			if err := r.acceptHead(h); err != nil {
 				return false, err
 			}
-			p, a.in = a.in[n:], nil
+			p, r.buf = r.buf[n:], nil
 			break
 		}
 	}
 	switch {
-	case a.chunks != nil:
-		out, rest, done, err := a.chunks.Feed(a.body, p)
-		a.body = out
+	case r.chunks != nil:
+		out, rest, done, err := r.chunks.Feed(r.body, p)
+		r.body = out
 		if done {
-			a.behind = len(rest)
+			r.trailing = len(rest)
 		}
 		return done, err
-	case a.toEnd:
-		if len(a.body)+len(p) > http1.MaxBody {
+	case r.untilClose:
+		if len(r.body)+len(p) > http1.MaxBody {
 			return false, fmt.Errorf("a body of over %d bytes", http1.MaxBody)
 		}
-		a.body = append(a.body, p...)
+		r.body = append(r.body, p...)
 		return false, nil
 	default:
-		want := int(a.head.Body.Length) - len(a.body)
+		want := int(r.head.Body.Length) - len(r.body)
 		if len(p) >= want {
-			a.body = append(a.body, p[:want]...)
-			a.behind = len(p) - want
+			r.body = append(r.body, p[:want]...)
+			r.trailing = len(p) - want
 			return true, nil
 		}
-		a.body = append(a.body, p...)
+		r.body = append(r.body, p...)
 		return false, nil
 	}
 }
 
-// take checks a head and copies what counts.
-func (a *answer) take(h http1.Response) error {
+// acceptHead checks a head and copies the values that are needed after its buffer is reused.
+func (r *responseReader) acceptHead(h http1.Response) error {
 	v, times := h.Header.Get("Not-Started")
-	a.notRun = times == 1 && string(v) == "1"
-	a.use, a.load = h.Header.Text("X-Meter"), h.Header.Text("Server-Load")
-	a.headed, a.head = true, h
-	a.head.Header = nil
+	r.notStarted = times == 1 && string(v) == "1"
+	r.volumeUse, r.loadReport = h.Header.Text("X-Meter"), h.Header.Text("Server-Load")
+	r.headParsed, r.head = true, h
+	r.head.Header = nil
 	switch {
 	case h.Body.Chunked:
-		a.chunks = &http1.Chunks{Max: http1.MaxBody}
+		r.chunks = &http1.Chunks{Max: http1.MaxBody}
 	case h.Body.Length < 0:
-		a.toEnd = true
+		r.untilClose = true
 	case h.Body.Length > http1.MaxBody:
 		return fmt.Errorf("a body of %d bytes: expected %d at most", h.Body.Length, http1.MaxBody)
 	default:
-		a.body = make([]byte, 0, min(h.Body.Length, bodyUsual)) // what is said to come is not held yet
+		r.body = make([]byte, 0, min(h.Body.Length, initialBodyBytes)) // allocates little for a length that is only announced
 	}
 	return nil
 }
 
-// outcome reads a whole answer as the protocol's table has it.
-func (a *answer) outcome(fields []string) host.Outcome {
-	o := host.Outcome{Result: outcome.OfAnswer(a.head.Status, a.notRun), VolumeUse: meter(a.use), Load: report(a.load, fields)}
+// outcome maps a complete response to an outcome, by the table of package outcome.
+func (r *responseReader) outcome(fields []string) host.Outcome {
+	o := host.Outcome{Result: outcome.OfAnswer(r.head.Status, r.notStarted), VolumeUse: parseVolumeUse(r.volumeUse), Load: parseLoadReport(r.loadReport, fields)}
 	if o.Result == control.Done {
-		o.Data = buffer.Get(len(a.body))
-		copy(o.Data.B, a.body)
+		o.Data = buffer.Get(len(r.body))
+		copy(o.Data.B, r.body)
 	} else {
-		o.Text = "status " + strconv.Itoa(a.head.Status)
+		o.Text = "status " + strconv.Itoa(r.head.Status)
 	}
 	return o
 }
 
-// meter reads a volume's use, percent, as 1 + percent; 0 if there is none that can be read.
-func meter(s string) int {
+// parseVolumeUse parses a volume's use in percent and returns 1 + percent; 0 if the text is missing or invalid.
+func parseVolumeUse(s string) int {
 	n, err := strconv.ParseUint(s, 10, 31)
 	if err != nil {
 		return 0
@@ -136,9 +137,9 @@
 	return int(n) + 1
 }
 
-// report reads a load report in the order of the settings' fields; nil unless each is there once, as a
-// number.
-func report(s string, fields []string) []float64 {
+// parseLoadReport parses a load report and returns its values in the order of fields. It returns nil unless each
+// field is present exactly once with a valid number.
+func parseLoadReport(s string, fields []string) []float64 {
 	if s == "" || len(fields) == 0 {
 		return nil
 	}
--- a/internal/backend/http/backend.go
+++ b/internal/backend/http/backend.go
@@ -1,11 +1,11 @@
-// Package http carries attempts to storage nodes that speak HTTP/1.1, one request at a time on a
-// connection, and reports how each ended. It chooses no node and repeats nothing; which connection carries
-// an attempt, and when one is opened or closed, connpool says. Its caller is the host (Send, Drop, Nodes);
-// it answers through Host.Ended. All its state belongs to one event loop.
+// Package http sends attempts to storage nodes that speak HTTP/1.1, one request at a time per connection, and
+// reports how each ended. It neither chooses nodes nor retries; package connpool decides which connection carries
+// an attempt and when connections are opened and closed. The host calls it (Send, Drop, Nodes) and receives
+// results through its Ended method. All state belongs to one event loop.
 //
-// What an outcome proves: Unreachable is reported only of attempts whose last byte was not handed to the
-// kernel, Busy only of a whole answer that says Not-Started. Whatever else happens after the last byte was
-// handed over may have run.
+// What an outcome proves: Unreachable is reported only for attempts whose last byte was not handed to the kernel,
+// Busy only for a complete response that carries Not-Started. In every other case after the last byte was handed
+// over, the request may have run.
 package http
 
 import (
@@ -30,90 +30,90 @@
 )
 
 const (
-	waitingMost = 1024                   // attempts that wait for a connection, a node
-	lookEvery   = 250 * time.Millisecond // for idle connections
-	dialMost    = time.Second            // where no time is told: a connection that never comes up frees its place
+	maxWaiting         = 1024                   // attempts waiting for a connection, per node
+	sweepInterval      = 250 * time.Millisecond // between checks for idle connections
+	defaultDialTimeout = time.Second            // so that a dial that never completes frees its place in the pool
 )
 
-// Settings bound what the backend opens.
+// Settings configure a Backend and bound its connections and memory.
 type Settings struct {
-	Conns       int           // connections at a time, all nodes
-	Bytes       int64         // held of answers that are not whole, all nodes
-	Idle        time.Duration // nodes close connections that have idled for so long
-	DialTimeout time.Duration // 0: dialMost
+	Conns       int           // most connections at a time, all nodes together
+	Bytes       int64         // most bytes of incomplete responses in memory, all nodes together
+	Idle        time.Duration // idle time after which nodes close a connection
+	DialTimeout time.Duration // 0: defaultDialTimeout
 	Service     string        // the Host field of requests
-	LoadFields  []string      // names of the values of a load report, in the order in which the host takes them
+	LoadFields  []string      // names of the values of a load report, in the order the host expects
 }
 
-// Backend is the set of connections.
+// Backend is the set of connections to all nodes.
 type Backend struct {
-	set    Settings
-	owner  backend.Owner
-	log    *slog.Logger
-	loop   *loop.Loop
-	ctx    context.Context
-	cancel context.CancelFunc
-	began  time.Time
-
-	// the rest belongs to the loop
-	pool  *connpool.Pool[*conn]
-	nodes map[string]*node
-	tries map[uint64]*try
-	stats Stats
-	held  int64 // bytes of answers that are not whole
-	ended bool
-}
-
-// Stats are counts since the start; Conns and Out are of now.
+	settings  Settings
+	owner     backend.Owner
+	log       *slog.Logger
+	loop      *loop.Loop
+	ctx       context.Context
+	cancel    context.CancelFunc
+	startTime time.Time
+
+	// The remaining fields are accessed only on the loop.
+	pool      *connpool.Pool[*conn]
+	nodes     map[string]*node
+	attempts  map[uint64]*attempt
+	stats     Stats
+	heldBytes int64 // bytes of incomplete responses
+	closed    bool
+}
+
+// Stats are counters since the start; Conns, Out and Waiting are current values.
 type Stats struct {
 	Dials, DialsFailed, Written, Answers, Spoilt, Excess, Stale, Given uint64
-	Rested                                                             uint64        // attempts that waited for a connection to rest
-	Barred                                                             uint64        // attempts that were not to begin any more when they could have
-	Queued                                                             time.Duration // that all attempts written had waited, in sum
+	Rested                                                             uint64        // attempts that waited for a connection in its rest period
+	Barred                                                             uint64        // attempts rejected while they waited for a connection
+	Queued                                                             time.Duration // total time that written attempts had waited
 	Conns, Out, Waiting                                                int
 }
 
 type node struct {
-	id, addr string
-	listed   bool
-	draining bool
-	waiting  []*try
-	rung     bool // a timer for resting connections runs
-	passed   Passed
+	id, addr    string
+	listed      bool
+	draining    bool
+	waiting     []*attempt
+	wakePending bool // a timer for connections in their rest period is set
+	traffic     Passed
 }
 
-type try struct {
+type attempt struct {
 	host.Attempt
-	at   time.Time
-	conn *conn // nil: waits
+	queuedAt time.Time
+	conn     *conn // nil: waiting for a connection
 }
 
-// New makes a backend on a loop.
-func New(set Settings, l *loop.Loop, log *slog.Logger) *Backend {
-	if set.DialTimeout <= 0 {
-		set.DialTimeout = dialMost
+// New returns a backend that runs on a loop.
+func New(settings Settings, l *loop.Loop, log *slog.Logger) *Backend {
+	if settings.DialTimeout <= 0 {
+		settings.DialTimeout = defaultDialTimeout
 	}
-	b := &Backend{set: set, loop: l, log: log, began: time.Now(), nodes: map[string]*node{}, tries: map[uint64]*try{},
-		pool: connpool.New[*conn](connpool.Settings{Total: set.Conns, Idle: set.Idle})}
+	b := &Backend{settings: settings, loop: l, log: log, startTime: time.Now(), nodes: map[string]*node{}, attempts: map[uint64]*attempt{},
+		pool: connpool.New[*conn](connpool.Settings{Total: settings.Conns, Idle: settings.Idle})}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	go l.Every(b.ctx, lookEvery, b.look)
+	go l.Every(b.ctx, sweepInterval, b.sweep)
 	return b
 }
 
-// Own names the owner. It must be called before the first Send.
+// Own sets the owner, which receives outcomes. It must be called before the first Send.
 func (b *Backend) Own(o backend.Owner) { b.owner = o }
 
-// Close opens nothing any more; the connections end with the loop.
+// Close stops opening connections; those that are open end with the loop.
 func (b *Backend) Close() {
 	b.cancel()
-	b.loop.Do(func() { b.ended = true })
+	b.loop.Do(func() { b.closed = true })
 }
 
-// Stats has f called, on the loop, with the counts.
+// Stats calls f, on the loop, with the counters.
 func (b *Backend) Stats(f func(Stats)) {
 	b.loop.Do(func() {
 		s := b.stats
-		s.Conns, s.Out = b.pool.Total(), len(b.tries)
+		s.Conns, s.Out = b.pool.Total(), len(b.attempts)
 		for _, n := range b.nodes {
 			s.Waiting += len(n.waiting)
 		}
@@ -121,20 +121,20 @@
 	})
 }
 
-// Passed is what passed on the sockets of one node.
+// Passed is the traffic on the connections of one node.
 type Passed struct {
 	Out, Waiting, Idle, Opening int
 	Written, Answered, Spoilt   uint64
-	Answer                      time.Duration // mean from the request's last byte to the answer's, of late
-	Load                        []float64     // the last report
+	Answer                      time.Duration // moving average of the time from a request's last byte to its response's
+	Load                        []float64     // the last load report
 }
 
-// Passed has f called, on the loop, with what passed, by node.
+// Passed calls f, on the loop, with the traffic by node.
 func (b *Backend) Passed(f func(map[string]Passed)) {
 	b.loop.Do(func() {
 		m := make(map[string]Passed, len(b.nodes))
 		for id, n := range b.nodes {
-			p := n.passed
+			p := n.traffic
 			p.Waiting = len(n.waiting)
 			p.Out, p.Idle, p.Opening = b.pool.Count(id)
 			m[id] = p
@@ -143,10 +143,10 @@
 	})
 }
 
-func (b *Backend) now() time.Duration { return time.Since(b.began) }
+func (b *Backend) now() time.Duration { return time.Since(b.startTime) }
 
-// Nodes takes the nodes that are listed now. Connections to others, and to former addresses, are closed
-// when what is out on them has ended.
+// Nodes replaces the list of nodes. Connections to unlisted nodes, and to former addresses, are closed once the
+// attempts on them have ended.
 func (b *Backend) Nodes(list []host.Node) {
 	list = slices.Clone(list)
 	b.loop.Do(func() {
@@ -163,15 +163,15 @@
 		}
 		for _, n := range b.nodes {
 			if !n.listed || n.draining {
-				b.serve(n, false) // what waits for a connection there does not go
+				b.dispatch(n, false) // rejects the attempts that wait there
 			}
 		}
-		b.look()
+		b.sweep()
 	})
 }
 
-// look closes what has idled too long, and forgets nodes that are neither listed nor in use.
-func (b *Backend) look() {
+// sweep closes connections that have idled too long and removes nodes that are neither listed nor in use.
+func (b *Backend) sweep() {
 	old := b.pool.Old(b.now(), func(id string) bool { n := b.nodes[id]; return n != nil && n.listed })
 	for _, c := range old {
 		c.pooled = false
@@ -184,324 +184,326 @@
 	}
 }
 
-// Probe is for nodes that can be asked how they are; these cannot.
+// Probe reports NotSent: the HTTP protocol of these nodes has no probe.
 func (b *Backend) Probe(id string) { b.owner.Probed(id, control.NotSent, 0, nil) }
 
-// Send hands an attempt to a connection, or has it wait for one.
+// Send writes an attempt to a connection, or queues it until one is available.
 func (b *Backend) Send(a host.Attempt) {
-	t := &try{Attempt: a, at: time.Now()}
-	b.loop.Do(func() { b.send(t) })
+	att := &attempt{Attempt: a, queuedAt: time.Now()}
+	b.loop.Do(func() { b.send(att) })
 }
 
-func (b *Backend) send(t *try) {
-	n := b.nodes[t.Node]
-	if n == nil || !n.listed || b.ended || t.Request.Message == nil {
-		b.report(t, host.Outcome{Result: control.NotSent, Text: "the node is not listed"})
+func (b *Backend) send(a *attempt) {
+	n := b.nodes[a.Node]
+	if n == nil || !n.listed || b.closed || a.Request.Message == nil {
+		b.report(a, host.Outcome{Result: control.NotSent, Text: "the node is not listed"})
 		return
 	}
-	if len(n.waiting) >= waitingMost {
-		b.report(t, host.Outcome{Result: control.NotSent,
-			Text: fmt.Sprintf("%d attempts wait for a connection to the node already", waitingMost)})
+	if len(n.waiting) >= maxWaiting {
+		b.report(a, host.Outcome{Result: control.NotSent,
+			Text: fmt.Sprintf("%d attempts wait for a connection to the node already", maxWaiting)})
 		return
 	}
-	b.tries[t.Ref] = t
-	n.waiting = append(n.waiting, t)
-	b.serve(n, true)
+	b.attempts[a.Ref] = a
+	n.waiting = append(n.waiting, a)
+	b.dispatch(n, true)
 }
 
-// serve gives connections to attempts that wait, in their order. more says that the last one has just come,
-// and that a connection may be opened for it.
-func (b *Backend) serve(n *node, more bool) {
-	for len(n.waiting) > 0 && !b.ended {
-		if why := b.barred(n, n.waiting[0]); why != "" {
-			t := n.waiting[0]
+// dispatch assigns connections to waiting attempts, in order of arrival. mayDial says that a connection may be
+// opened: the last attempt in the queue is new, or a place in the pool has become free.
+func (b *Backend) dispatch(n *node, mayDial bool) {
+	for len(n.waiting) > 0 && !b.closed {
+		if why := b.rejectReason(n, n.waiting[0]); why != "" {
+			a := n.waiting[0]
 			n.waiting = slices.Delete(n.waiting, 0, 1)
 			b.stats.Barred++
-			b.report(t, host.Outcome{Result: control.NotSent, Text: why})
+			b.report(a, host.Outcome{Result: control.NotSent, Text: why})
 			continue
 		}
-		before := len(n.waiting) - 1
-		if !more {
-			before = 1 << 30 // those that wait have had one opened, or there was no room
+		ahead := len(n.waiting) - 1
+		if !mayDial {
+			ahead = 1 << 30 // a connection was opened for each, or there was no room: prevents another dial
 		}
-		c, v := b.pool.Take(b.now(), n.id, before)
-		switch v {
+		c, verdict := b.pool.Take(b.now(), n.id, ahead)
+		switch verdict {
 		case connpool.Use:
-			c.busy = true
+			c.inUse = true
 			if c.stale() {
 				b.stats.Stale++
 				b.loop.Close(c.g)
 				continue
 			}
-			t := n.waiting[0]
+			a := n.waiting[0]
 			n.waiting = slices.Delete(n.waiting, 0, 1)
-			c.hand(t)
+			c.writeRequest(a)
 			continue
 		case connpool.Resume:
-			if more {
+			if mayDial {
 				b.stats.Rested++
 			}
 		case connpool.Evict:
 			c.pooled = false
 			b.loop.Close(c.g)
-			b.open(n)
+			b.dial(n)
 		case connpool.Open:
-			b.open(n)
+			b.dial(n)
 		}
-		b.wakeAt(n)
+		b.scheduleDispatch(n)
 		return
 	}
 }
 
-// barred says why an attempt may not begin any more; empty: it may. It is asked right before the first byte is
-// written, on the loop on which clients' connections close and lists arrive: a decision to send may have waited
-// for a connection since, and what it rested on may be over.
-func (b *Backend) barred(n *node, t *try) string {
+// rejectReason returns why a waiting attempt may no longer be sent; empty if it may. It is evaluated right before
+// the first byte is written, on the loop that also handles closed client connections and new node lists: while
+// the attempt waited for a connection, the conditions of the decision to send may have changed.
+func (b *Backend) rejectReason(n *node, a *attempt) string {
 	switch {
-	case t.Request.Abandoned():
+	case a.Request.Abandoned():
 		return "its client has gone"
 	case !n.listed:
 		return "the node is not listed"
 	case n.draining:
 		return "the node drains"
-	case t.left() < time.Millisecond:
+	case a.remaining() < time.Millisecond:
 		return "the client's time is over"
-	case t.Begin > 0 && time.Since(t.at) >= t.Begin:
+	case a.Begin > 0 && time.Since(a.queuedAt) >= a.Begin:
 		return "its effect would be repeated: the window for that is over"
 	}
 	return ""
 }
 
-// left is the client's time left.
-func (t *try) left() time.Duration { return t.Left - time.Since(t.at) }
+// remaining returns the time left until the client's deadline.
+func (a *attempt) remaining() time.Duration { return a.Left - time.Since(a.queuedAt) }
 
-// wakeAt serves the node's attempts again when a resting connection may be used.
-func (b *Backend) wakeAt(n *node) {
+// scheduleDispatch calls dispatch when the rest period of a connection to the node ends.
+func (b *Backend) scheduleDispatch(n *node) {
 	at, ok := b.pool.Due(n.id)
-	if !ok || n.rung || len(n.waiting) == 0 {
+	if !ok || n.wakePending || len(n.waiting) == 0 {
 		return
 	}
-	n.rung = true
+	n.wakePending = true
 	time.AfterFunc(max(0, at-b.now()), func() {
 		b.loop.Do(func() {
-			n.rung = false
-			b.serve(n, false)
+			n.wakePending = false
+			b.dispatch(n, false)
 		})
 	})
 }
 
-// open opens one more connection to a node, in a goroutine of its own.
-func (b *Backend) open(n *node) {
+// dial opens one more connection to a node in its own goroutine.
+func (b *Backend) dial(n *node) {
 	b.stats.Dials++
 	c := &conn{b: b, node: n, addr: n.addr}
 	go func() {
-		d := net.Dialer{Timeout: b.set.DialTimeout, KeepAlive: -1}
+		d := net.Dialer{Timeout: b.settings.DialTimeout, KeepAlive: -1}
 		raw, err := d.DialContext(b.ctx, "tcp", c.addr)
 		if err == nil {
 			err = b.loop.Add(raw, c)
 		}
 		if err != nil {
-			b.loop.Do(func() { b.failed(n, err) })
+			b.loop.Do(func() { b.dialFailed(n, err) })
 		}
 	}()
 }
 
-// failed books a dial that came to nothing: the attempt that has waited longest never left.
-func (b *Backend) failed(n *node, err error) {
+// dialFailed handles a failed dial: the attempt that has waited longest ends as Unreachable, unless the idle
+// and opening connections suffice for all that wait.
+func (b *Backend) dialFailed(n *node, err error) {
 	b.stats.DialsFailed++
 	b.pool.Failed(n.id)
-	if b.ended || len(n.waiting) == 0 || errors.Is(err, context.Canceled) {
+	if b.closed || len(n.waiting) == 0 || errors.Is(err, context.Canceled) {
 		return
 	}
 	if _, idle, opening := b.pool.Count(n.id); len(n.waiting) <= idle+opening {
 		return
 	}
-	t := n.waiting[0]
+	a := n.waiting[0]
 	n.waiting = slices.Delete(n.waiting, 0, 1)
-	b.report(t, host.Outcome{Result: control.Unreachable, Text: err.Error()})
+	b.report(a, host.Outcome{Result: control.Unreachable, Text: err.Error()})
 }
 
-// Drop gives up an attempt whose answer is no longer wanted: its connection is closed.
+// Drop abandons an attempt whose response is no longer needed and closes its connection.
 func (b *Backend) Drop(ref uint64) {
 	b.loop.Do(func() {
-		t := b.tries[ref]
-		if t == nil {
+		a := b.attempts[ref]
+		if a == nil {
 			return
 		}
-		delete(b.tries, ref)
-		if t.conn == nil {
-			b.unqueue(t)
+		delete(b.attempts, ref)
+		if a.conn == nil {
+			b.dequeue(a)
 			return
 		}
 		b.stats.Given++
-		t.conn.try = nil
-		t.conn.cut()
-		b.loop.Close(t.conn.g)
+		a.conn.attempt = nil
+		a.conn.discardUnsent()
+		b.loop.Close(a.conn.g)
 	})
 }
 
-// Withdraw ends an attempt that waits for a connection, as not sent.
+// Withdraw ends an attempt that waits for a connection; its result is NotSent.
 func (b *Backend) Withdraw(ref uint64) {
 	b.loop.Do(func() {
-		if t := b.tries[ref]; t != nil && t.conn == nil {
-			b.unqueue(t)
+		if a := b.attempts[ref]; a != nil && a.conn == nil {
+			b.dequeue(a)
 			b.stats.Barred++
-			b.report(t, host.Outcome{Result: control.NotSent, Text: "withdrawn before it left"})
+			b.report(a, host.Outcome{Result: control.NotSent, Text: "withdrawn before it left"})
 		}
 	})
 }
 
-// unqueue takes an attempt from those that wait for a connection to its node.
-func (b *Backend) unqueue(t *try) {
-	if n := b.nodes[t.Node]; n != nil {
-		n.waiting = slices.DeleteFunc(n.waiting, func(w *try) bool { return w == t })
+// dequeue removes an attempt from the queue of its node.
+func (b *Backend) dequeue(a *attempt) {
+	if n := b.nodes[a.Node]; n != nil {
+		n.waiting = slices.DeleteFunc(n.waiting, func(w *attempt) bool { return w == a })
 	}
 }
 
-// report ends an attempt.
-func (b *Backend) report(t *try, o host.Outcome) {
-	delete(b.tries, t.Ref)
-	o.Ref, o.Shard = t.Ref, control.AnyShard
+// report ends an attempt and passes its outcome to the owner.
+func (b *Backend) report(a *attempt, o host.Outcome) {
+	delete(b.attempts, a.Ref)
+	o.Ref, o.Shard = a.Ref, control.AnyShard
 	b.owner.Ended(o)
 }
 
 // conn is one connection to a node.
 type conn struct {
-	b        *Backend
-	node     *node
-	addr     string
-	g        gnet.Conn
-	pooled   bool // the pool has it
-	busy     bool // in the pool's books
-	gone     bool
-	try      *try // out on it
-	progress outcome.Progress
-	wrote    time.Duration
-	answer   answer
-	held     int // bytes of answer, in the backend's books
-}
-
-// Opened makes it available.
+	b         *Backend
+	node      *node
+	addr      string
+	g         gnet.Conn
+	pooled    bool // registered in the pool
+	inUse     bool // counted as busy by the pool
+	closed    bool
+	attempt   *attempt // in flight; nil: none
+	progress  outcome.Progress
+	writtenAt time.Duration
+	response  responseReader
+	heldBytes int // bytes of response, as counted in Backend.heldBytes
+}
+
+// Opened adds a new connection to the pool.
 func (c *conn) Opened(g gnet.Conn) {
 	c.g, c.pooled = g, true
 	c.b.pool.Opened(c.b.now(), c.node.id, c)
-	c.b.serve(c.node, false)
+	c.b.dispatch(c.node, false)
 }
 
-// stale says that an idle connection has ended, or has bytes that nobody asked for: what is written to
-// the one might have run, what is read from the other would be taken for an answer.
+// stale reports whether an idle connection has ended, has unsolicited bytes to read, or leads to a former address
+// of its node. A request written to an ended connection might have run, and unsolicited bytes would be taken for
+// the response to the next request.
 func (c *conn) stale() bool {
 	var p [1]byte
 	n, _, err := unix.Recvfrom(c.g.Fd(), p[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return n > 0 || err != unix.EAGAIN || c.addr != c.node.addr
 }
 
-// hand writes the attempt's request.
-func (c *conn) hand(t *try) {
-	m := t.Request.Message
-	c.try, t.conn = t, c
-	c.progress, c.answer = outcome.NotBegun, answer{in: c.answer.in[:0]}
-	left := max(1, t.left().Milliseconds())
-	p := make([]byte, 0, 256+len(m.Target)+len(m.Body))
-	p = http1.AppendRequestLine(p, m.Method, m.Target)
-	p = http1.AppendField(p, "Host", c.b.set.Service)
-	p = http1.AppendField(p, "Request-Id", m.ID)
+// writeRequest writes an attempt's request to the connection.
+func (c *conn) writeRequest(a *attempt) {
+	m := a.Request.Message
+	c.attempt, a.conn = a, c
+	c.progress, c.response = outcome.NotBegun, responseReader{buf: c.response.buf[:0]}
+	remaining := max(1, a.remaining().Milliseconds())
+	buf := make([]byte, 0, 256+len(m.Target)+len(m.Body))
+	buf = http1.AppendRequestLine(buf, m.Method, m.Target)
+	buf = http1.AppendField(buf, "Host", c.b.settings.Service)
+	buf = http1.AppendField(buf, "Request-Id", m.ID)
 	if m.Key != "" {
-		p = http1.AppendField(p, "Idempotency-Key", m.Key)
+		buf = http1.AppendField(buf, "Idempotency-Key", m.Key)
 	}
-	p = http1.AppendInt(p, "Request-Timeout-Ms", left)
+	buf = http1.AppendInt(buf, "Request-Timeout-Ms", remaining)
 	if len(m.Body) > 0 || m.Method != "GET" {
-		p = http1.AppendInt(p, "Content-Length", int64(len(m.Body)))
+		buf = http1.AppendInt(buf, "Content-Length", int64(len(m.Body)))
 	}
-	p = append(http1.AppendEnd(p), m.Body...)
-	if _, err := c.g.Write(p); err != nil {
-		return // Closed has reported it: not one byte was taken
+	buf = append(http1.AppendEnd(buf), m.Body...)
+	if _, err := c.g.Write(buf); err != nil {
+		return // Closed has reported it: no byte was written
 	}
-	if c.gone {
+	if c.closed {
 		return
 	}
 	c.b.stats.Written++
-	c.b.stats.Queued += time.Since(t.at)
-	c.node.passed.Written++
-	c.wrote = c.b.now()
+	c.b.stats.Queued += time.Since(a.queuedAt)
+	c.node.traffic.Written++
+	c.writtenAt = c.b.now()
 	c.progress = outcome.Complete
 	if c.g.OutboundBuffered() > 0 {
 		c.progress = outcome.Partial
 	}
 }
 
-// Traffic takes bytes of an answer.
+// Traffic reads bytes of a response.
 func (c *conn) Traffic(g gnet.Conn) gnet.Action {
 	p, err := g.Next(-1)
-	if err != nil || c.gone {
+	if err != nil || c.closed {
 		return gnet.None
 	}
-	if c.try == nil { // more than belongs to the last answer, or noise
+	if c.attempt == nil { // bytes beyond the last response, or garbage
 		c.b.stats.Excess++
 		c.b.pool.Excess(c.b.now())
 		return gnet.Close
 	}
-	done, err := c.answer.feed(p)
-	c.hold(c.answer.holds())
+	done, err := c.response.feed(p)
+	c.setHeldBytes(c.response.heldBytes())
 	switch {
 	case err != nil:
-		c.spoilt(err)
+		c.rejectResponse(err)
 	case !done:
-		c.b.makeRoom()
+		c.b.enforceByteLimit()
 		return gnet.None
 	default:
-		c.over(c.answered())
-		if outcome.Reusable(c.answer.head.Close, c.answer.behind, g.OutboundBuffered()) && c.addr == c.node.addr && c.node.listed && !c.b.ended {
-			c.rest()
+		c.endAttempt(c.finishResponse())
+		if outcome.Reusable(c.response.head.Close, c.response.trailing, g.OutboundBuffered()) && c.addr == c.node.addr && c.node.listed && !c.b.closed {
+			c.release()
 			return gnet.None
 		}
 	}
-	c.cut()
+	c.discardUnsent()
 	return gnet.Close
 }
 
-// hold books how many bytes of an answer are held.
-func (c *conn) hold(n int) {
-	c.b.held += int64(n - c.held)
-	c.held = n
+// setHeldBytes updates the number of bytes held of the connection's response, here and in the total.
+func (c *conn) setHeldBytes(n int) {
+	c.b.heldBytes += int64(n - c.heldBytes)
+	c.heldBytes = n
 }
 
-// spoilt ends the attempt that is out: its answer cannot be read.
-func (c *conn) spoilt(err error) {
+// rejectResponse ends the attempt in flight because its response is invalid or too large.
+func (c *conn) rejectResponse(err error) {
 	c.b.stats.Spoilt++
-	c.node.passed.Spoilt++
-	c.over(host.Outcome{Result: outcome.OfSpoilt(), Text: "spoilt answer: " + err.Error()})
-}
-
-// makeRoom gives up the answers of which most is held while more is held than allowed. Guards against answers that
-// keep coming, on many connections at once.
-func (b *Backend) makeRoom() {
-	for b.held > b.set.Bytes {
-		var most *conn
-		for _, t := range b.tries {
-			if t.conn != nil && (most == nil || t.conn.held > most.held) {
-				most = t.conn
+	c.node.traffic.Spoilt++
+	c.endAttempt(host.Outcome{Result: outcome.OfSpoilt(), Text: "spoilt answer: " + err.Error()})
+}
+
+// enforceByteLimit rejects the largest incomplete responses until the total is within the limit. It bounds memory
+// when endless responses arrive on many connections at once.
+func (b *Backend) enforceByteLimit() {
+	for b.heldBytes > b.settings.Bytes {
+		var largest *conn
+		for _, a := range b.attempts {
+			if a.conn != nil && (largest == nil || a.conn.heldBytes > largest.heldBytes) {
+				largest = a.conn
 			}
 		}
-		if most == nil {
+		if largest == nil {
 			return
 		}
-		most.spoilt(fmt.Errorf("over %d bytes of answers that are not whole", b.set.Bytes))
-		most.cut()
-		b.loop.Close(most.g)
+		largest.rejectResponse(fmt.Errorf("over %d bytes of answers that are not whole", b.settings.Bytes))
+		largest.discardUnsent()
+		b.loop.Close(largest.g)
 	}
 }
 
-// answered books a whole answer, and is what it proves.
-func (c *conn) answered() host.Outcome {
+// finishResponse counts a complete response and returns its outcome.
+func (c *conn) finishResponse() host.Outcome {
 	c.b.stats.Answers++
-	o := c.answer.outcome(c.b.set.LoadFields)
-	c.node.passed.answered(c.b.now()-c.wrote, o.Load)
+	o := c.response.outcome(c.b.settings.LoadFields)
+	c.node.traffic.addResponse(c.b.now()-c.writtenAt, o.Load)
 	return o
 }
 
-// answered books an answer.
-func (p *Passed) answered(took time.Duration, load []float64) {
+// addResponse records a complete response and its load report.
+func (p *Passed) addResponse(took time.Duration, load []float64) {
 	p.Answered++
 	if p.Answer == 0 {
 		p.Answer = took
@@ -512,66 +514,66 @@
 	}
 }
 
-// over ends the attempt that is out.
-func (c *conn) over(o host.Outcome) {
-	t := c.try
-	c.try = nil
-	c.hold(0)
-	c.b.report(t, o)
+// endAttempt ends the attempt in flight with an outcome.
+func (c *conn) endAttempt(o host.Outcome) {
+	a := c.attempt
+	c.attempt = nil
+	c.setHeldBytes(0)
+	c.b.report(a, o)
 }
 
-// rest puts the connection back.
-func (c *conn) rest() {
-	c.busy = false
+// release returns the connection to the pool.
+func (c *conn) release() {
+	c.inUse = false
 	c.b.pool.Done(c.b.now(), c.node.id, c)
-	c.b.wakeAt(c.node)
-	if c.b.pool.Total() >= c.b.set.Conns {
-		c.b.retry() // it may make room for another node's
+	c.b.scheduleDispatch(c.node)
+	if c.b.pool.Total() >= c.b.settings.Conns {
+		c.b.dispatchWaiting() // this idle connection may be evicted for another node's
 	}
 }
 
-// cut sees to it that what was not written yet does not follow: gnet sends it as it closes.
-func (c *conn) cut() {
+// discardUnsent shuts the socket down if output is buffered, because gnet would otherwise send it on close.
+func (c *conn) discardUnsent() {
 	if c.g.OutboundBuffered() > 0 {
 		_ = unix.Shutdown(c.g.Fd(), unix.SHUT_RDWR)
 	}
 }
 
-// Closed reports what was out, and books the end of the connection.
+// Closed reports the attempt in flight and removes the connection from the pool.
 func (c *conn) Closed(g gnet.Conn, err error) {
-	c.gone = true
-	c.hold(0)
+	c.closed = true
+	c.setHeldBytes(0)
 	b := c.b
 	if c.pooled {
-		if c.busy {
+		if c.inUse {
 			b.pool.Ended(c.node.id)
 		} else {
 			b.pool.Lost(c.node.id, c)
 		}
 	}
-	if t := c.try; t != nil && !b.ended && c.answer.toEnd && outcome.Ends(err) {
-		c.over(c.answered())
+	if a := c.attempt; a != nil && !b.closed && c.response.untilClose && outcome.Ends(err) {
+		c.endAttempt(c.finishResponse())
 	}
-	if t := c.try; t != nil && !b.ended {
-		c.try = nil
+	if a := c.attempt; a != nil && !b.closed {
+		c.attempt = nil
 		text := "connection closed"
 		if err != nil {
 			text = err.Error()
 		}
 		o := host.Outcome{Result: outcome.OfEnd(c.progress, g.OutboundBuffered()), Text: text}
 		if o.Result == control.Unreachable {
-			_ = unix.Shutdown(g.Fd(), unix.SHUT_RDWR) // nor may the rest follow
+			_ = unix.Shutdown(g.Fd(), unix.SHUT_RDWR) // prevents that buffered output is still sent
 		}
-		b.report(t, o)
+		b.report(a, o)
 	}
-	b.retry()
+	b.dispatchWaiting()
 }
 
-// retry serves attempts that found the ceiling reached: a place has come free.
-func (b *Backend) retry() {
+// dispatchWaiting dispatches the attempts that found the connection limit reached, after a place became free.
+func (b *Backend) dispatchWaiting() {
 	for _, n := range b.nodes {
 		if _, idle, opening := b.pool.Count(n.id); len(n.waiting) > idle+opening {
-			b.loop.Do(func() { b.serve(n, true) })
+			b.loop.Do(func() { b.dispatch(n, true) })
 		}
 	}
 }
