--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -1,7 +1,7 @@
-// Package http is the platform's front: clients' HTTP/1.1 connections, one request at a time on each, and
-// the way from a request to host.Submit and from its final answer to bytes. It knows no node, chooses none
-// and repeats nothing. How many connections there may be, and which go when there is no room, limits
-// says. All its state belongs to one event loop; only accepting is done beside it.
+// Package http is the HTTP/1.1 front of a host: it accepts client connections, reads one request at a time
+// from each, passes it to host.Submit and writes the final answer. It neither chooses nodes nor retries. Package
+// limits decides which connections are evicted when the connection limit is reached. All state belongs to one
+// event loop; only accepting runs in a goroutine of its own. Package live runs it.
 package http
 
 import (
@@ -26,68 +26,68 @@
 )
 
 const (
-	lookEvery  = 100 * time.Millisecond // for connections whose time is up
-	acceptLast = 20 * time.Millisecond  // for connections that wait in the kernel as listening ends
-	acceptTop  = 100 * time.Millisecond // longest pause after a connection could not be accepted
-	bindWithin = 3 * time.Second        // a former process may still hold the address
-	heldMost   = http1.MaxHead + http1.MaxBody
+	sweepInterval      = 100 * time.Millisecond // between checks for connections whose time is over
+	finalAcceptTimeout = 20 * time.Millisecond  // for connections in the kernel's queue when listening ends
+	maxAcceptPause     = 100 * time.Millisecond // longest pause after a failed accept
+	bindTimeout        = 3 * time.Second        // the previous process may still hold the address
+	maxBufferedBytes   = http1.MaxHead + http1.MaxBody
 )
 
-// Host takes requests.
+// Host serves requests; internal/host implements it.
 type Host interface {
 	Submit(*host.Request) (uint64, error)
 	Leave(id uint64)
 	Now() time.Duration
 }
 
-// Options are what a front is made of.
+// Options configure a Front.
 type Options struct {
 	Listen   string
 	Settings control.Settings
-	Conns    int   // connections at a time
-	Bytes    int64 // of requests held
+	Conns    int   // most connections at a time
+	Bytes    int64 // most bytes of requests in memory
 	Host     Host
-	Ready    func() bool // whether the host can take requests
+	Ready    func() bool // reports whether the host can serve requests
 	Loop     *loop.Loop
 	Log      *slog.Logger
 }
 
 // Front is a running front.
 type Front struct {
-	opt    Options
-	rules  rules
-	ln     net.Listener
-	cancel context.CancelFunc // ends looking after connections
-	done   sync.WaitGroup
-
-	mu     sync.Mutex // guards taken
-	room   *sync.Cond
-	taken  int  // connections accepted and not yet closed
-	closed bool // no more are taken but those that the kernel has
-
-	// the rest belongs to the loop
-	conns    map[*conn]bool
-	ids      map[string]*conn // of requests that are open, by Request-Id
-	held     int64
-	keep     bool
-	draining bool
-	until    time.Duration // requests end by then; 0: no such end
-	stats    Stats
-}
-
-// Stats are counts since the start; Conns, Open and Held are of now.
+	opt        Options
+	rules      rules
+	ln         net.Listener
+	cancel     context.CancelFunc // stops the periodic sweep
+	background sync.WaitGroup
+
+	mu       sync.Mutex // guards accepted and closing
+	changed  *sync.Cond
+	accepted int  // connections accepted and not yet closed, one being accepted included
+	closing  bool // only connections already in the kernel's queue are accepted
+
+	// The remaining fields are accessed only on the loop.
+	conns        map[*conn]bool
+	openRequests map[string]*conn // by Request-Id
+	heldBytes    int64
+	keepAlive    bool
+	draining     bool
+	endBy        time.Duration // requests end at this time of the host's clock; 0: no limit
+	stats        Stats
+}
+
+// Stats are counters since the start; Conns, Open and Held are current values.
 type Stats struct {
 	Accepted, Requests, Served, Refused, Failed, Wrong, Left, Evicted, Late uint64
 	Conns, Open                                                             int
 	Held                                                                    int64
 }
 
-// Start listens and serves.
+// Start listens on the configured address and serves clients.
 func Start(opt Options) (*Front, error) {
-	f := &Front{opt: opt, rules: newRules(opt.Settings), conns: map[*conn]bool{}, ids: map[string]*conn{}}
-	f.room = sync.NewCond(&f.mu)
+	f := &Front{opt: opt, rules: newRules(opt.Settings), conns: map[*conn]bool{}, openRequests: map[string]*conn{}}
+	f.changed = sync.NewCond(&f.mu)
 	var err error
-	for until := time.Now().Add(bindWithin); ; time.Sleep(20 * time.Millisecond) {
+	for until := time.Now().Add(bindTimeout); ; time.Sleep(20 * time.Millisecond) {
 		if f.ln, err = net.Listen("tcp", opt.Listen); err == nil {
 			break
 		}
@@ -97,131 +97,132 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.done.Add(2)
-	go func() { defer f.done.Done(); f.accept() }()
-	go func() { defer f.done.Done(); opt.Loop.Every(ctx, lookEvery, f.look) }()
+	f.background.Add(2)
+	go func() { defer f.background.Done(); f.accept() }()
+	go func() { defer f.background.Done(); opt.Loop.Every(ctx, sweepInterval, f.sweep) }()
 	return f, nil
 }
 
-// Addr is where the front listens.
+// Addr returns the address on which the front listens.
 func (f *Front) Addr() string { return f.ln.Addr().String() }
 
-// Stats has fn called, on the loop, with the counts.
+// Stats calls fn, on the loop, with the counters.
 func (f *Front) Stats(fn func(Stats)) {
 	f.opt.Loop.Do(func() {
 		s := f.stats
-		s.Conns, s.Open, s.Held = len(f.conns), len(f.ids), f.held
+		s.Conns, s.Open, s.Held = len(f.conns), len(f.openRequests), f.heldBytes
 		fn(s)
 	})
 }
 
-// accept takes new connections as long as there is room for them. Guards against running out of
-// descriptors: what is over the ceiling waits in the kernel until another connection has gone.
+// accept accepts connections up to the limit, so that the process does not run out of file descriptors. Further
+// connections wait in the kernel's queue until another one has closed.
 func (f *Front) accept() {
 	defer f.ln.Close()
 	pause := time.Millisecond
 	for {
 		f.mu.Lock()
-		for f.taken >= f.opt.Conns && !f.closed {
-			f.opt.Loop.Do(f.makeRoom)
-			f.room.Wait()
+		for f.accepted >= f.opt.Conns && !f.closing {
+			f.opt.Loop.Do(f.evictIfFull)
+			f.changed.Wait()
 		}
-		if f.taken >= f.opt.Conns { // closed, and no place for those that wait
+		if f.accepted >= f.opt.Conns { // no place for the connections in the kernel's queue
 			f.mu.Unlock()
 			return
 		}
-		f.taken++
+		f.accepted++
 		f.mu.Unlock()
 		c, err := f.ln.Accept()
 		if err != nil {
-			f.free()
+			f.releasePlace()
 			if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 				return
 			}
 			f.opt.Log.Warn("http front: accept", "err", err, "again_in", pause)
-			time.Sleep(pause) // no descriptor for it: a later try may find one
-			pause = min(2*pause, acceptTop)
+			time.Sleep(pause) // out of descriptors; a later attempt may succeed
+			pause = min(2*pause, maxAcceptPause)
 			continue
 		}
 		pause = time.Millisecond
 		if err := f.opt.Loop.Add(c, &conn{f: f}); err != nil {
-			f.free()
-			f.opt.Log.Warn("http front: connection", "err", err)
+			f.releasePlace()
+			f.opt.Log.Warn("http front: cannot add a connection to the event loop", "err", err)
 		}
 	}
 }
 
-// free gives a connection's place back.
-func (f *Front) free() {
+// releasePlace releases the place of a connection.
+func (f *Front) releasePlace() {
 	f.mu.Lock()
-	f.taken--
-	f.room.Broadcast()
+	f.accepted--
+	f.changed.Broadcast()
 	f.mu.Unlock()
 }
 
-// places says how many of the places are taken. One that is being accepted counts only if it has come.
-func (f *Front) places() (taken, of int) {
+// usage returns the number of places in use and their limit. The place for the connection that accept waits for is
+// in use, too.
+func (f *Front) usage() (used, limit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.taken, f.opt.Conns
+	return f.accepted, f.opt.Conns
 }
 
-// look ends connections whose time is up.
-func (f *Front) look() {
+// sweep closes connections whose time is over.
+func (f *Front) sweep() {
 	now := f.opt.Host.Now()
-	taken, of := f.places()
+	used, limit := f.usage()
 	for c := range f.conns {
-		if c.ending {
+		if c.closing {
 			continue
 		}
-		if c.out && c.g.OutboundBuffered() == 0 { // a slow reader has taken its answer
-			c.out = false
-			c.since = now
-			c.next()
-			if c.ending {
+		if c.flushing && c.g.OutboundBuffered() == 0 { // the last answer is now written completely
+			c.flushing = false
+			c.stateSince = now
+			c.processBuffered()
+			if c.closing {
 				continue
 			}
 		}
-		switch limits.Judge(now, c.known(), taken, of) {
+		switch limits.Judge(now, c.state(), used, limit) {
 		case limits.Leave:
 			c.evict()
 		case limits.Late:
 			f.stats.Late++
-			c.refuse(408, "the request did not come in time")
+			c.reject(408, "the request did not come in time")
 		}
 	}
-	if taken >= of {
-		f.makeRoom()
+	if used >= limit {
+		f.evictIfFull()
 	}
 	f.mu.Lock()
-	f.room.Broadcast() // accept asks again
+	f.changed.Broadcast() // accept checks the limit again
 	f.mu.Unlock()
 }
 
-// makeRoom ends the connection that may best go, if all places are taken.
-func (f *Front) makeRoom() {
-	if taken, of := f.places(); taken < of {
+// evictIfFull closes the connection with the highest eviction rank if all places are in use.
+func (f *Front) evictIfFull() {
+	if used, limit := f.usage(); used < limit {
 		return
 	}
 	now := f.opt.Host.Now()
 	var worst *conn
-	top := 0.0
+	worstRank := 0.0
 	for c := range f.conns {
-		if rank, may := limits.Rank(now, c.known()); may && (worst == nil || rank > top) {
-			worst, top = c, rank
+		if rank, evictable := limits.Rank(now, c.state()); evictable && (worst == nil || rank > worstRank) {
+			worst, worstRank = c, rank
 		}
 	}
 	if worst != nil {
 		f.stats.Evicted++
-		f.opt.Loop.Close(worst.g) // its place is needed now
+		f.opt.Loop.Close(worst.g) // at once: its place is needed
 	}
 }
 
-// evict ends a connection that asks nothing, or does not take its answer. What has come on it meanwhile is read
-// instead.
+// evict closes a connection that sends no request or does not read its answer. If unread bytes have arrived on it
+// meanwhile, it stays open and they are read.
 func (c *conn) evict() {
 	switch {
-	case c.out || !c.asked && !c.known().Begun && !loop.Unread(c.g): // it was never answered: nothing to be lost
+	case c.flushing || !c.hadRequest && !c.state().Begun && !loop.Unread(c.g): // no answer can be lost
 		c.f.opt.Loop.Close(c.g)
 	case loop.Unread(c.g):
 		return
@@ -231,22 +232,22 @@
 	c.f.stats.Evicted++
 }
 
-// finish closes the connection in order: nothing that comes on it is read as a request any more.
+// finish closes the connection gracefully: bytes that still arrive are not read as requests.
 func (c *conn) finish() {
-	c.ending, c.since = true, c.f.opt.Host.Now()
-	c.f.drop(c)
+	c.closing, c.stateSince = true, c.f.opt.Host.Now()
+	c.f.discardBuffered(c)
 	c.f.opt.Loop.Finish(c.g)
 }
 
-// EndBy has requests that come from now on end by a reading of the host's clock, even if their client would
-// wait longer.
-func (f *Front) EndBy(until time.Duration) { f.opt.Loop.Do(func() { f.until = until }) }
+// EndBy limits the deadline of further requests to a time of the host's clock, even if their clients would wait
+// longer.
+func (f *Front) EndBy(until time.Duration) { f.opt.Loop.Do(func() { f.endBy = until }) }
 
-// KeepAlive has connections go on after their answers, however few places are left: clients find no others any
-// more.
-func (f *Front) KeepAlive() { f.opt.Loop.Do(func() { f.keep = true }) }
+// KeepAlive keeps connections open after their answers however few places are left. It is used during shutdown,
+// when clients can open no other connections.
+func (f *Front) KeepAlive() { f.opt.Loop.Do(func() { f.keepAlive = true }) }
 
-// Drain has every answer end its connection, and ends those that are idle.
+// Drain closes idle connections, and each other connection after its next answer.
 func (f *Front) Drain() {
 	f.opt.Loop.Do(func() {
 		f.draining = true
@@ -254,18 +255,17 @@
 	})
 }
 
-// closeIdle ends connections on which nothing has come since the last answer. One on which a request has, read or
-// not, goes on until its answer.
+// closeIdle closes connections that have received nothing since the last answer. A connection with a request, read
+// or unread, stays open until that request is answered.
 func (f *Front) closeIdle() {
 	for c := range f.conns {
-		if c.req == nil && !c.known().Begun && !c.out && !c.ending && !loop.Unread(c.g) {
+		if c.req == nil && !c.state().Begun && !c.flushing && !c.closing && !loop.Unread(c.g) {
 			c.finish()
 		}
 	}
 }
 
-// CloseIdle has fn called, on the loop, with the number of connections left after those that are idle were ended
-// again.
+// CloseIdle closes idle connections again and calls fn, on the loop, with the number of connections left.
 func (f *Front) CloseIdle(fn func(conns int)) {
 	f.opt.Loop.Do(func() {
 		f.closeIdle()
@@ -273,15 +273,15 @@
 	})
 }
 
-// Shut ends all connections without an open request, whatever has come of the next one: what is half read gets
-// its refusal, what is not read is not.
+// Shut closes all connections without an open request. A partly read request is refused; unread bytes are
+// discarded.
 func (f *Front) Shut() {
 	f.opt.Loop.Do(func() {
 		for c := range f.conns {
 			switch {
-			case c.ending || c.req != nil:
-			case c.known().Begun && !c.out:
-				c.refuse(503, "the host ends")
+			case c.closing || c.req != nil:
+			case c.state().Begun && !c.flushing:
+				c.reject(503, "the host ends")
 			default:
 				c.finish()
 			}
@@ -289,325 +289,326 @@
 	})
 }
 
-// StopListening takes the connections that the kernel has accepted already, then no more.
+// StopListening accepts the connections already in the kernel's queue, then no more.
 func (f *Front) StopListening() {
 	f.mu.Lock()
-	f.closed = true
-	f.room.Broadcast()
+	f.closing = true
+	f.changed.Broadcast()
 	f.mu.Unlock()
 	if l, ok := f.ln.(*net.TCPListener); ok {
-		_ = l.SetDeadline(time.Now().Add(acceptLast))
+		_ = l.SetDeadline(time.Now().Add(finalAcceptTimeout))
 	}
 }
 
-// Close ends listening and waits for what runs beside the loop. The connections end with the loop.
+// Close stops listening and waits for the front's goroutines. The connections end with the loop.
 func (f *Front) Close() {
 	f.StopListening()
 	f.cancel()
-	f.done.Wait()
+	f.background.Wait()
 }
 
-// conn is one client's connection.
+// conn is one client connection.
 type conn struct {
-	f       *Front
-	g       gnet.Conn
-	in      []byte
-	looked  int
-	headed  bool          // the head of a request is whole, its body may not be
-	pending *host.Request // read from it; nil: it asks for health
-	headLen int
-	want    int           // bytes of head and body
-	chunks  *http1.Chunks // of the body, where its length is not stated: what it has is taken out of in
-	data    []byte        // read from chunks
-	req     *host.Request // open
-	id      uint64        // of req, at the host
-	body    int           // bytes of req's body, held until its answer
-	close   bool          // after the answer
-	doomed  bool          // what comes is thrown away, and the connection ends with the answer
-	asked   bool
-	out     bool // the last answer is not yet out whole
-	ending  bool // it is being closed: nothing is read from it any more
-	gone    bool
-	opened  time.Duration
-	since   time.Duration
-}
-
-func (c *conn) known() limits.Conn {
-	return limits.Conn{Open: c.req != nil, Taking: c.out, Ending: c.ending, Asked: c.asked, Begun: len(c.in) > 0 || c.chunks != nil,
-		Opened: c.opened, Since: c.since}
-}
-
-// Opened takes a new client.
+	f          *Front
+	g          gnet.Conn
+	buf        []byte
+	scanned    int
+	headParsed bool          // the head of the present request is complete, its body may not be
+	pending    *host.Request // the request of that head; nil: a health check
+	headLen    int
+	messageLen int           // bytes of head and body together
+	chunks     *http1.Chunks // decodes the body, where it is chunked; nil: it has a length
+	chunkData  []byte        // the body as decoded so far
+	req        *host.Request // open at the host; nil: none
+	hostID     uint64        // of req, as returned by Submit
+	bodyBytes  int           // bytes of req's body, counted as held until its answer
+	closeAfter bool          // the connection closes after the next answer
+	discarding bool          // input is discarded, and the connection closes after the next answer
+	hadRequest bool
+	flushing   bool // the last answer is not written completely
+	closing    bool // being closed: no requests are read from it
+	closed     bool
+	openedAt   time.Duration
+	stateSince time.Duration
+}
+
+func (c *conn) state() limits.Conn {
+	return limits.Conn{Open: c.req != nil, Taking: c.flushing, Ending: c.closing, Asked: c.hadRequest, Begun: len(c.buf) > 0 || c.chunks != nil,
+		Opened: c.openedAt, Since: c.stateSince}
+}
+
+// Opened registers a new connection.
 func (c *conn) Opened(g gnet.Conn) {
 	c.g = g
-	c.opened = c.f.opt.Host.Now()
-	c.since = c.opened
+	c.openedAt = c.f.opt.Host.Now()
+	c.stateSince = c.openedAt
 	c.f.conns[c] = true
 	c.f.stats.Accepted++
 }
 
-// Closed books that the client has gone, or was sent away.
+// Closed removes a connection that the client or the front has closed, and abandons its open request.
 func (c *conn) Closed(gnet.Conn, error) {
 	f := c.f
-	c.gone = true
+	c.closed = true
 	delete(f.conns, c)
-	f.drop(c)
+	f.discardBuffered(c)
 	if c.req != nil {
 		f.stats.Left++
 		c.req.Abandon()
-		f.opt.Host.Leave(c.id)
-		c.over()
+		f.opt.Host.Leave(c.hostID)
+		c.requestDone()
 	}
-	f.free()
+	f.releasePlace()
 }
 
-// roomFor says whether so many more bytes may be held for a connection. Those who hold most of a request that
-// is not whole make room.
-func (f *Front) roomFor(c *conn, n int) bool {
-	for f.held+int64(n) > f.opt.Bytes {
-		var most *conn
+// reclaimBytes reports whether n more bytes may be held for a connection. If necessary it refuses the connections
+// that hold the most bytes of an incomplete request.
+func (f *Front) reclaimBytes(c *conn, n int) bool {
+	for f.heldBytes+int64(n) > f.opt.Bytes {
+		var largest *conn
 		for o := range f.conns {
-			if o != c && o.req == nil && !o.out && !o.ending && (most == nil || o.holds() > most.holds()) {
-				most = o
+			if o != c && o.req == nil && !o.flushing && !o.closing && (largest == nil || o.bufferedBytes() > largest.bufferedBytes()) {
+				largest = o
 			}
 		}
-		if most == nil || !limits.Yields(most.holds(), c.holds()+n) {
+		if largest == nil || !limits.Yields(largest.bufferedBytes(), c.bufferedBytes()+n) {
 			return false
 		}
-		most.refuse(503, "more bytes of requests held than allowed")
+		largest.reject(503, "more bytes of requests held than allowed")
 	}
 	return true
 }
 
-// holds is how many bytes are held of a request that is not whole.
-func (c *conn) holds() int { return len(c.in) + len(c.data) }
+// bufferedBytes returns how many bytes of incomplete requests are held.
+func (c *conn) bufferedBytes() int { return len(c.buf) + len(c.chunkData) }
 
-// drop throws away what a connection holds unread.
-func (f *Front) drop(c *conn) {
-	f.held -= int64(c.holds())
-	c.in, c.data, c.chunks = nil, nil, nil
+// discardBuffered discards the bytes of incomplete requests of a connection.
+func (f *Front) discardBuffered(c *conn) {
+	f.heldBytes -= int64(c.bufferedBytes())
+	c.buf, c.chunkData, c.chunks = nil, nil, nil
 }
 
-// over books that the request that was open is so no longer.
-func (c *conn) over() {
-	delete(c.f.ids, c.req.Message.ID)
-	c.f.held -= int64(c.body)
-	c.req, c.body = nil, 0
+// requestDone removes the open request.
+func (c *conn) requestDone() {
+	delete(c.f.openRequests, c.req.Message.ID)
+	c.f.heldBytes -= int64(c.bodyBytes)
+	c.req, c.bodyBytes = nil, 0
 }
 
-// Traffic takes bytes from the client. While a request is open the next one waits, up to what one may
-// have; who sends more is served the one that is open, and then leaves.
+// Traffic reads bytes from the client. While a request is open, up to one further request is buffered. If the
+// client sends more, the open request is still answered and then the connection is closed.
 func (c *conn) Traffic(g gnet.Conn) gnet.Action {
 	p, err := g.Next(-1)
-	if err != nil || c.gone {
+	if err != nil || c.closed {
 		return gnet.None
 	}
-	if c.doomed {
+	if c.discarding {
 		return gnet.None
 	}
-	if len(c.in) == 0 && c.req == nil && !c.out {
-		c.since = c.f.opt.Host.Now()
+	if len(c.buf) == 0 && c.req == nil && !c.flushing {
+		c.stateSince = c.f.opt.Host.Now()
 	}
-	busy := c.req != nil || c.out
-	short := !c.f.roomFor(c, len(p))
-	if busy && (short || len(c.in)+len(p) > heldMost) {
-		c.f.drop(c)
-		c.doomed, c.close = true, true
+	busy := c.req != nil || c.flushing
+	short := !c.f.reclaimBytes(c, len(p))
+	if busy && (short || len(c.buf)+len(p) > maxBufferedBytes) {
+		c.f.discardBuffered(c)
+		c.discarding, c.closeAfter = true, true
 		return gnet.None
 	}
 	if short {
-		c.refuse(503, "more bytes of requests held than allowed")
+		c.reject(503, "more bytes of requests held than allowed")
 		return gnet.None
 	}
-	c.f.held += int64(len(p))
-	c.in = append(c.in, p...)
-	c.next()
+	c.f.heldBytes += int64(len(p))
+	c.buf = append(c.buf, p...)
+	c.processBuffered()
 	return gnet.None
 }
 
-// next goes on with what has come, until a request is open.
-func (c *conn) next() {
-	for c.req == nil && !c.out && !c.ending && !c.gone && len(c.in) > 0 {
-		if !c.headed {
-			if n := http1.EmptyLines(c.in); n > 0 {
-				c.f.held -= int64(n)
-				c.looked = 0
-				if c.in = c.in[:copy(c.in, c.in[n:])]; len(c.in) == 0 {
+// processBuffered reads buffered requests until one is open.
+func (c *conn) processBuffered() {
+	for c.req == nil && !c.flushing && !c.closing && !c.closed && len(c.buf) > 0 {
+		if !c.headParsed {
+			if n := http1.EmptyLines(c.buf); n > 0 {
+				c.f.heldBytes -= int64(n)
+				c.scanned = 0
+				if c.buf = c.buf[:copy(c.buf, c.buf[n:])]; len(c.buf) == 0 {
 					return
 				}
 			}
-			h, n, err := http1.ParseRequest(c.in, c.looked)
+			h, n, err := http1.ParseRequest(c.buf, c.scanned)
 			if err == http1.ErrShort {
-				c.looked = len(c.in)
+				c.scanned = len(c.buf)
 				return
 			}
 			if err == nil {
-				err = c.begin(&h, n)
+				err = c.acceptHead(&h, n)
 			}
 			if err != nil {
-				c.refuse(statusOf(err), err.Error())
+				c.reject(statusOf(err), err.Error())
 				return
 			}
 		}
 		if c.chunks != nil {
-			done, err := c.unchunk()
+			done, err := c.decodeChunks()
 			if err != nil {
-				c.refuse(statusOf(err), err.Error())
+				c.reject(statusOf(err), err.Error())
 				return
 			}
 			if !done {
 				return
 			}
-		} else if len(c.in) < c.want {
+		} else if len(c.buf) < c.messageLen {
 			return
 		}
-		c.whole()
+		c.submit()
 	}
 }
 
-// unchunk moves what has come of a chunked body from in to data; done: it is whole, and in is what follows.
-func (c *conn) unchunk() (done bool, err error) {
-	before := len(c.in) + len(c.data)
-	data, rest, done, err := c.chunks.Feed(c.data, c.in)
-	c.data, c.in = data, c.in[:copy(c.in, rest)]
-	c.f.held += int64(len(c.in) + len(c.data) - before)
+// decodeChunks moves the data of a chunked body from buf to chunkData. done reports that the body is complete; buf
+// then holds what follows it.
+func (c *conn) decodeChunks() (done bool, err error) {
+	before := len(c.buf) + len(c.chunkData)
+	data, rest, done, err := c.chunks.Feed(c.chunkData, c.buf)
+	c.chunkData, c.buf = data, c.buf[:copy(c.buf, rest)]
+	c.f.heldBytes += int64(len(c.buf) + len(c.chunkData) - before)
 	return done, err
 }
 
-// begin takes a head.
-func (c *conn) begin(h *http1.Request, n int) error {
+// acceptHead checks a request's head, of n bytes, and prepares to read its body.
+func (c *conn) acceptHead(h *http1.Request, n int) error {
 	if h.Body.Length > http1.MaxBody {
-		return wrong(413, "a body of %d bytes: %d at most", h.Body.Length, http1.MaxBody)
+		return newRequestError(413, "a body of %d bytes: %d at most", h.Body.Length, http1.MaxBody)
 	}
-	c.close = h.Close
-	c.headed = true
+	c.closeAfter = h.Close
+	c.headParsed = true
 	switch {
-	case !health(h):
-		r, err := c.f.rules.read(h)
+	case !isHealthCheck(h):
+		r, err := c.f.rules.parse(h)
 		if err != nil {
 			return err
 		}
 		c.pending = r
 	case string(h.Method) != "GET":
-		return wrong(405, "method of /_health: expected GET")
+		return newRequestError(405, "method of /_health: expected GET")
 	}
-	expects := h.Minor > 0 && http1.Continue(h.Header) && len(c.in) == n
+	expects := h.Minor > 0 && http1.Continue(h.Header) && len(c.buf) == n
 	if h.Body.Chunked {
 		c.chunks = &http1.Chunks{Max: http1.MaxBody}
-		c.f.held -= int64(n)
-		c.in = c.in[:copy(c.in, c.in[n:])]
+		c.f.heldBytes -= int64(n)
+		c.buf = c.buf[:copy(c.buf, c.buf[n:])]
 	} else {
-		c.headLen, c.want = n, n+int(h.Body.Length)
+		c.headLen, c.messageLen = n, n+int(h.Body.Length)
 		expects = expects && h.Body.Length > 0
 	}
-	if expects { // its client waits for this word before it sends the body: RFC 9110, 10.1.1
+	if expects { // the client sends the body after this: RFC 9110, 10.1.1
 		_, _ = c.g.Write(http1.AppendEnd(http1.AppendStatus(nil, 100)))
 	}
 	return nil
 }
 
-// whole hands a request that has come whole to the host.
-func (c *conn) whole() {
-	f, r, body := c.f, c.pending, c.data
+// submit passes a complete request to the host.
+func (c *conn) submit() {
+	f, r, body := c.f, c.pending, c.chunkData
 	if c.chunks == nil {
-		body = append([]byte(nil), c.in[c.headLen:c.want]...)
-		c.in = c.in[:copy(c.in, c.in[c.want:])]
-		f.held -= int64(c.want)
+		body = append([]byte(nil), c.buf[c.headLen:c.messageLen]...)
+		c.buf = c.buf[:copy(c.buf, c.buf[c.messageLen:])]
+		f.heldBytes -= int64(c.messageLen)
 	}
-	f.held -= int64(len(c.data))
-	c.chunks, c.data = nil, nil
-	if len(c.in) == 0 {
-		c.in = nil
+	f.heldBytes -= int64(len(c.chunkData))
+	c.chunks, c.chunkData = nil, nil
+	if len(c.buf) == 0 {
+		c.buf = nil
 	}
 	if r != nil && len(body) > 0 {
 		r.Message.Body = body
 	}
-	c.headed, c.pending, c.looked, c.asked = false, nil, 0, true
+	c.headParsed, c.pending, c.scanned, c.hadRequest = false, nil, 0, true
 	if r == nil {
 		status := 503
 		if f.opt.Ready() {
 			status = 200
 		}
-		c.answer(status, "", nil)
+		c.respond(status, "", nil)
 		return
 	}
-	if f.ids[r.Message.ID] != nil {
-		c.answer(409, "", []byte("Request-Id: a request with it is open\n"))
+	if f.openRequests[r.Message.ID] != nil {
+		c.respond(409, "", []byte("Request-Id: a request with it is open\n"))
 		return
 	}
-	if f.until > 0 {
-		r.Expires = min(r.Expires, max(time.Millisecond, f.until-f.opt.Host.Now()))
+	if f.endBy > 0 {
+		r.Expires = min(r.Expires, max(time.Millisecond, f.endBy-f.opt.Host.Now()))
 	}
 	f.stats.Requests++
-	r.Answer = func(a host.Answer) { f.opt.Loop.Do(func() { c.final(r, a) }) }
+	r.Answer = func(a host.Answer) { f.opt.Loop.Do(func() { c.deliver(r, a) }) }
 	id, err := f.opt.Host.Submit(r)
-	if err != nil { // nothing has run: trying again is harmless
+	if err != nil { // nothing has run, so the client may retry
 		f.stats.Refused++
-		c.answer(503, seconds(limits.Again), []byte(err.Error()+"\n"))
+		c.respond(503, formatRetryAfter(limits.Again), []byte(err.Error()+"\n"))
 		return
 	}
-	c.req, c.id, c.body = r, id, len(r.Message.Body)
-	f.held += int64(c.body)
-	f.ids[r.Message.ID] = c
+	c.req, c.hostID, c.bodyBytes = r, id, len(r.Message.Body)
+	f.heldBytes += int64(c.bodyBytes)
+	f.openRequests[r.Message.ID] = c
 }
 
-// final passes the host's final answer on.
-func (c *conn) final(r *host.Request, a host.Answer) {
+// deliver writes the host's final answer to the client.
+func (c *conn) deliver(r *host.Request, a host.Answer) {
 	defer a.Data.Release()
-	if c.gone || c.req != r {
+	if c.closed || c.req != r {
 		return
 	}
 	f := c.f
-	c.over()
+	c.requestDone()
 	switch a.Kind {
 	case host.Served:
 		f.stats.Served++
-		c.answer(200, "", a.Data.B)
+		c.respond(200, "", a.Data.B)
 	case host.Refused:
 		f.stats.Refused++
-		c.answer(503, seconds(a.RetryAfter), nil)
+		c.respond(503, formatRetryAfter(a.RetryAfter), nil)
 	default:
 		f.stats.Failed++
-		c.answer(504, "", []byte(a.Cause+"\n"))
+		c.respond(504, "", []byte(a.Cause+"\n"))
 	}
-	c.next()
+	c.processBuffered()
 }
 
-// seconds is a Retry-After.
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+// formatRetryAfter returns the value of a Retry-After header, in seconds.
+func formatRetryAfter(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-// refuse answers what cannot be taken. The connection ends with it: what follows could be part of it.
-func (c *conn) refuse(status int, text string) {
+// reject answers an invalid request and closes the connection, because the bytes that follow may belong to it.
+func (c *conn) reject(status int, text string) {
 	c.f.stats.Wrong++
-	c.close = true
-	c.f.drop(c)
-	again := ""
+	c.closeAfter = true
+	c.f.discardBuffered(c)
+	retryIn := ""
 	if status == 503 {
-		again = seconds(limits.Again)
+		retryIn = formatRetryAfter(limits.Again)
 	}
-	c.answer(status, again, []byte(text+"\n"))
+	c.respond(status, retryIn, []byte(text+"\n"))
 }
 
-// answer writes one answer, and ends the connection if it is the last one.
-func (c *conn) answer(status int, retryAfter string, body []byte) {
-	end := c.close || c.doomed || c.f.draining || !c.f.keep && !limits.Keep(c.f.places())
+// respond writes one answer and closes the connection if no further request is served on it.
+func (c *conn) respond(status int, retryAfter string, body []byte) {
+	closeConn := c.closeAfter || c.discarding || c.f.draining || !c.f.keepAlive && !limits.Keep(c.f.usage())
 	b := make([]byte, 0, 192+len(body))
 	b = http1.AppendStatus(b, status)
 	b = http1.AppendInt(b, "Content-Length", int64(len(body)))
 	if retryAfter != "" {
 		b = http1.AppendField(b, "Retry-After", retryAfter)
 	}
-	if end {
+	if closeConn {
 		b = http1.AppendField(b, "Connection", "close")
 	}
 	b = append(http1.AppendEnd(b), body...)
-	if _, err := c.g.Write(b); err != nil || c.gone {
+	if _, err := c.g.Write(b); err != nil || c.closed {
 		return
 	}
-	c.since = c.f.opt.Host.Now()
-	if end {
+	c.stateSince = c.f.opt.Host.Now()
+	if closeConn {
 		c.finish()
 		return
 	}
-	c.out = c.g.OutboundBuffered() > 0
+	c.flushing = c.g.OutboundBuffered() > 0
 }
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -21,14 +21,14 @@
 	"eiderhold/internal/standin"
 )
 
-// fakeHost takes requests and answers as a test says. Its clock is the test's.
+// fakeHost records submitted requests, which the test answers. The test sets its clock.
 type fakeHost struct {
-	mu    sync.Mutex
-	now   time.Duration
-	next  uint64
-	full  bool
-	taken chan *host.Request
-	left  chan uint64
+	mu        sync.Mutex
+	now       time.Duration
+	next      uint64
+	full      bool
+	submitted chan *host.Request
+	left      chan uint64
 }
 
 func (h *fakeHost) Submit(r *host.Request) (uint64, error) {
@@ -38,7 +38,7 @@
 		return 0, host.ErrFull
 	}
 	h.next++
-	h.taken <- r
+	h.submitted <- r
 	return h.next, nil
 }
 
@@ -50,25 +50,26 @@
 	return h.now
 }
 
-func (h *fakeHost) pass(d time.Duration) {
+func (h *fakeHost) advance(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.now += d
 }
 
-type rig struct {
+// harness is a front on its own loop, with a fake host.
+type harness struct {
 	*Front
 	t    *testing.T
 	host *fakeHost
 }
 
-func newRig(t *testing.T, conns int) *rig {
+func newHarness(t *testing.T, conns int) *harness {
 	t.Helper()
 	l, err := loop.Start(slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeHost{taken: make(chan *host.Request, 10_000), left: make(chan uint64, 10_000)}
+	h := &fakeHost{submitted: make(chan *host.Request, 10_000), left: make(chan uint64, 10_000)}
 	f, err := Start(Options{Listen: "127.0.0.1:0", Conns: conns, Bytes: 4 << 20, Host: h, Ready: func() bool { return true }, Loop: l,
 		Settings: control.Settings{Shards: 8, MostUnits: 6, Plans: []control.Plan{{Name: "gold"}}, Classes: []control.Class{
 			{Name: "read"}, {Name: "write", Effect: control.Keyed, Group: control.GroupCell, Writes: true}}},
@@ -82,7 +83,7 @@
 			t.Error(err)
 		}
 	})
-	return &rig{f, t, h}
+	return &harness{f, t, h}
 }
 
 // client is one connection, read with the standard library.
@@ -92,7 +93,7 @@
 	t *testing.T
 }
 
-func (r *rig) dial() *client {
+func (r *harness) dial() *client {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
@@ -102,10 +103,10 @@
 	return &client{c, bufio.NewReader(c), r.t}
 }
 
-// send writes; that the front has closed meanwhile is no error.
+// send writes text and ignores errors, as the front may have closed the connection.
 func (c *client) send(text string) { _, _ = io.WriteString(c, text) }
 
-// answer reads an answer; status 0 means that the connection ended without one.
+// answer reads a response; status 0 means that the connection ended without one.
 func (c *client) answer() (status int, body string, h http.Header) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -116,14 +117,14 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	if resp.Close { // the library takes the field out
+	if resp.Close { // net/http removes the field from the header
 		resp.Header.Set("Connection", "close")
 	}
 	return resp.StatusCode, string(b), resp.Header
 }
 
-// ended waits for the connection's end.
-func (c *client) ended() { _, _ = io.Copy(io.Discard, c.r) }
+// waitClosed waits until the front has closed the connection.
+func (c *client) waitClosed() { _, _ = io.Copy(io.Discard, c.r) }
 
 const (
 	path = "/api/00000003b4d60021/7f3a9c21e0b4d655"
@@ -142,13 +143,13 @@
 	return host.Answer{Kind: host.Served, Data: b}
 }
 
-// TestKinds: a request is read as it is meant, and each final answer is told as what it is.
-func TestKinds(t *testing.T) {
-	r := newRig(t, 10)
+// TestRequestsAndAnswers checks the fields read from a request and the status of each kind of final answer.
+func TestRequestsAndAnswers(t *testing.T) {
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send("PUT " + path + "?q=1 HTTP/1.1\r\nHost: o\r\nRequest-Id: " + id(1) + "\r\nRequest-Class: write\r\nX-Storage-Class: gold\r\n" +
 		"Request-Timeout-Ms: 480\r\nX-Extent: hosts=3, units=1.5,shard=-1\r\nIdempotency-Key: kk\r\nClient-Retry: 1\r\nContent-Length: 4\r\n\r\nbody")
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	if q.Class != "write" || q.Plan != "gold" || q.Volume != "00000003b4d60021" || q.Item != "7f3a9c21e0b4d655" || q.Units != 1.5 ||
 		q.Shard != control.AnyShard || q.Hosts != 3 || q.Expires != 480*time.Millisecond || !q.Retry || q.Message.Key != "kk" ||
 		string(q.Message.Body) != "body" || q.Message.Target != path+"?q=1" || q.Message.ID != id(1) || q.Message.Method != "PUT" {
@@ -159,12 +160,12 @@
 		t.Fatalf("%d %q", s, body)
 	}
 	c.send(get(id(2)))
-	(<-r.host.taken).Answer(host.Answer{Kind: host.Refused, RetryAfter: 125 * time.Millisecond})
+	(<-r.host.submitted).Answer(host.Answer{Kind: host.Refused, RetryAfter: 125 * time.Millisecond})
 	if s, _, h := c.answer(); s != 503 || h.Get("Retry-After") != "0.125" {
 		t.Fatalf("%d %v", s, h)
 	}
 	c.send(get(id(3)))
-	(<-r.host.taken).Answer(host.Answer{Kind: host.Failed, Cause: "why"})
+	(<-r.host.submitted).Answer(host.Answer{Kind: host.Failed, Cause: "why"})
 	if s, _, h := c.answer(); s != 504 || h.Get("Retry-After") != "" {
 		t.Fatalf("%d %v", s, h)
 	}
@@ -181,21 +182,21 @@
 	}
 }
 
-// TestBadClients: each gets its error and a closed connection, nothing reaches the host, and a good client
-// is served beside.
+// TestBadClients checks that an invalid request is answered with its status and a closed connection, that it does
+// not reach the host, and that a valid client is served afterwards.
 func TestBadClients(t *testing.T) {
 	change := func(old, new string) string { return strings.Replace(get(id(1)), old, new, 1) }
 	put := "PUT " + path + " HTTP/1.1\r\nHost: o\r\nRequest-Id: " + id(1) + "\r\n" + strings.Replace(good, "read", "write", 1)
-	r := newRig(t, 100)
+	r := newHarness(t, 100)
 	for _, c := range []struct {
 		name, text string
 		status     int
 	}{
-		{"noise", "\x00\x01\xff\xfe", 400},
+		{"garbage", "\x00\x01\xff\xfe", 400},
 		{"a head that never ends", "GET / HTTP/1.1\r\nA: " + strings.Repeat("x", 1<<20), 431},
 		{"lines without CR", "GET / HTTP/1.1\nA: b\n\n", 400},
 		{"both framings", put + "Idempotency-Key: k\r\nContent-Length: 30\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + get(id(9)), 400},
-		{"spoilt chunks", put + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
+		{"invalid chunks", put + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", 400},
 		{"a chunk longer than it says", put + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n0\r\n\r\n", 400},
 		{"chunks of over 1 MiB", put + "Idempotency-Key: k\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			strings.Repeat("1000\r\n"+strings.Repeat("x", 4096)+"\r\n", 257), 413},
@@ -210,7 +211,7 @@
 		{"deadline", change("480", "soon"), 400},
 		{"deadline 0", change("480", "0"), 400},
 		{"deadline negative", change("480", "-5"), 400},
-		{"deadline for ever", change("480", "99999999999"), 400},
+		{"deadline too long", change("480", "99999999999"), 400},
 		{"no id", change("Request-Id", "X-Id"), 400},
 		{"short id", change(id(1), "12"), 400},
 		{"id of no digits", change(id(1), "zzzzzzzzzzzzzzzz"), 400},
@@ -230,23 +231,23 @@
 			if s, body, _ := bad.answer(); s != c.status {
 				t.Fatalf("%d %q, expected %d", s, body, c.status)
 			}
-			bad.ended()
+			bad.waitClosed()
 		})
 	}
-	if len(r.host.taken) != 0 {
-		t.Fatalf("%d requests reached the host", len(r.host.taken))
+	if len(r.host.submitted) != 0 {
+		t.Fatalf("%d requests reached the host", len(r.host.submitted))
 	}
 	c := r.dial()
 	c.send(get(id(7)))
-	(<-r.host.taken).Answer(served("x"))
+	(<-r.host.submitted).Answer(served("x"))
 	if s, _, _ := c.answer(); s != 200 {
 		t.Fatalf("%d", s)
 	}
 }
 
-// TestForms: a request in each form that HTTP/1.1 has for it, at once and byte by byte, is one request with the
-// same body, and what follows it is the next.
-func TestForms(t *testing.T) {
+// TestRequestForms checks that a request is read with the same body in each form that HTTP/1.1 allows, sent at once
+// or byte by byte, and that what follows it is read as the next request.
+func TestRequestForms(t *testing.T) {
 	put := "PUT " + path + " HTTP/1.1\r\nHost: o\r\nRequest-Id: " + id(1) + "\r\n" + strings.Replace(good, "read", "write", 1) + "Idempotency-Key: k\r\n"
 	for name, text := range map[string]string{
 		"a length":           put + "Content-Length: 11\r\n\r\nhello world",
@@ -257,7 +258,7 @@
 	} {
 		for _, piece := range []int{1, 1 << 20} {
 			t.Run(fmt.Sprint(name, ", pieces of ", piece), func(t *testing.T) {
-				r := newRig(t, 10)
+				r := newHarness(t, 10)
 				c := r.dial()
 				all := text + get(id(2))
 				go func() {
@@ -267,7 +268,7 @@
 						all = all[n:]
 					}
 				}()
-				q := <-r.host.taken
+				q := <-r.host.submitted
 				if q.Message.ID != id(1) || string(q.Message.Body) != "hello world" {
 					t.Fatalf("%s with %q", q.Message.ID, q.Message.Body)
 				}
@@ -275,7 +276,7 @@
 				if s, body, _ := c.answer(); s != 200 || body != "one" {
 					t.Fatalf("%d %q", s, body)
 				}
-				q = <-r.host.taken
+				q = <-r.host.submitted
 				if q.Message.ID != id(2) || len(q.Message.Body) != 0 {
 					t.Fatalf("%s with %q", q.Message.ID, q.Message.Body)
 				}
@@ -284,15 +285,16 @@
 					t.Fatalf("%d %q", s, body)
 				}
 				c.Close()
-				r.empty()
+				r.waitEmpty()
 			})
 		}
 	}
 }
 
-// TestExpect: a client that waits for leave to send its body gets it, and then its answer.
-func TestExpect(t *testing.T) {
-	r := newRig(t, 10)
+// TestExpectContinue checks that a client that sends Expect: 100-continue gets the interim response and then its
+// answer.
+func TestExpectContinue(t *testing.T) {
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send("PUT " + path + " HTTP/1.1\r\nExpect: 100-Continue\r\nContent-Length: 4\r\nRequest-Id: " + id(1) + "\r\n" +
 		strings.Replace(good, "read", "write", 1) + "Idempotency-Key: k\r\n\r\n")
@@ -301,7 +303,7 @@
 		t.Fatalf("%q, %v", line, err)
 	}
 	c.send("data")
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	if string(q.Message.Body) != "data" {
 		t.Fatalf("%q", q.Message.Body)
 	}
@@ -311,12 +313,12 @@
 	}
 }
 
-// TestIDInUse: the id of a request that is open gets its error, and the open one its answer.
+// TestIDInUse checks that a request with the id of an open one is refused, and that the open one is answered.
 func TestIDInUse(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	a, b := r.dial(), r.dial()
 	a.send(get(id(1)))
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	b.send(get(id(1)))
 	if s, _, _ := b.answer(); s != 409 {
 		t.Fatalf("%d", s)
@@ -327,17 +329,17 @@
 	}
 }
 
-// TestPipelined: further requests wait until the one before has its answer, and get theirs in order.
+// TestPipelined checks that pipelined requests are submitted one at a time and answered in order.
 func TestPipelined(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	c := r.dial()
 	for i := range 50 {
 		c.send(get(id(i)))
 	}
 	for i := range 50 {
-		q := <-r.host.taken
-		if q.Message.ID != id(i) || len(r.host.taken) != 0 {
-			t.Fatalf("%s, and %d more at once", q.Message.ID, len(r.host.taken))
+		q := <-r.host.submitted
+		if q.Message.ID != id(i) || len(r.host.submitted) != 0 {
+			t.Fatalf("%s, and %d more at once", q.Message.ID, len(r.host.submitted))
 		}
 		q.Answer(served(q.Message.ID))
 		if s, body, _ := c.answer(); s != 200 || body != id(i) {
@@ -346,9 +348,9 @@
 	}
 }
 
-// TestPipelinedAtOnce: requests that the front answers itself do not stop what came with them.
+// TestPipelinedAtOnce checks that requests received together with health checks are still served.
 func TestPipelinedAtOnce(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send("GET /_health HTTP/1.1\r\n\r\nGET /_health HTTP/1.1\r\n\r\n" + get(id(1)))
 	for range 2 {
@@ -356,7 +358,7 @@
 			t.Fatalf("%d", s)
 		}
 	}
-	(<-r.host.taken).Answer(served("x"))
+	(<-r.host.submitted).Answer(served("x"))
 	if s, body, _ := c.answer(); s != 200 || body != "x" {
 		t.Fatalf("%d %q", s, body)
 	}
@@ -364,9 +366,9 @@
 
 const large = 256 << 10 // bytes of a body
 
-// TestBodies: bodies of requests that are open count as held, until their answers.
-func TestBodies(t *testing.T) {
-	r := newRig(t, 100)
+// TestOpenBodiesCountAsHeld checks that bodies of open requests count as held bytes until they are answered.
+func TestOpenBodiesCountAsHeld(t *testing.T) {
+	r := newHarness(t, 100)
 	put := func(n int) string {
 		return "PUT " + path + " HTTP/1.1\r\nRequest-Id: " + id(n) + "\r\n" + strings.Replace(good, "read", "write", 1) +
 			fmt.Sprintf("Idempotency-Key: k\r\nContent-Length: %d\r\n\r\n", large) + strings.Repeat("x", large)
@@ -376,45 +378,45 @@
 		clients[i] = r.dial()
 		go clients[i].send(put(i))
 	}
-	turned := 0
-	for taken := 0; taken+turned < len(clients); {
+	rejected := 0
+	for taken := 0; taken+rejected < len(clients); {
 		got := make(chan Stats)
 		r.Stats(func(s Stats) { got <- s })
 		s := <-got
 		if s.Held > r.opt.Bytes+large {
 			t.Fatalf("%d bytes held, %d allowed", s.Held, r.opt.Bytes)
 		}
-		taken, turned = int(s.Requests), int(s.Wrong)
+		taken, rejected = int(s.Requests), int(s.Wrong)
 	}
-	if turned == 0 || len(r.host.taken) == 0 {
-		t.Fatalf("%d turned away, %d taken", turned, len(r.host.taken))
+	if rejected == 0 || len(r.host.submitted) == 0 {
+		t.Fatalf("%d rejected, %d submitted", rejected, len(r.host.submitted))
 	}
-	for len(r.host.taken) > 0 {
-		(<-r.host.taken).Answer(host.Answer{Kind: host.Failed})
+	for len(r.host.submitted) > 0 {
+		(<-r.host.submitted).Answer(host.Answer{Kind: host.Failed})
 	}
 	for _, c := range clients {
 		c.answer()
 		c.Close()
 	}
-	r.empty()
+	r.waitEmpty()
 }
 
-// TestTooMuchBehind: who sends on and on behind an open request is served that one, and then leaves; what
-// it sent meanwhile is not held.
-func TestTooMuchBehind(t *testing.T) {
-	r := newRig(t, 10)
+// TestTooMuchPipelined checks that a client that keeps sending while a request is open gets that answer and a closed
+// connection, and that the excess bytes are not held.
+func TestTooMuchPipelined(t *testing.T) {
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send(get(id(1)))
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	go c.send(strings.Repeat("x", 4<<20))
 	for doomed := false; !doomed; {
 		got := make(chan bool)
 		r.opt.Loop.Do(func() {
 			one := false
 			for c := range r.conns {
-				one = c.doomed
-				if r.held > heldMost {
-					r.t.Errorf("%d bytes held", r.held)
+				one = c.discarding
+				if r.heldBytes > maxBufferedBytes {
+					r.t.Errorf("%d bytes held", r.heldBytes)
 				}
 			}
 			got <- one
@@ -425,46 +427,47 @@
 	if s, _, h := c.answer(); s != 200 || h.Get("Connection") != "close" {
 		t.Fatalf("%d %v", s, h)
 	}
-	c.ended()
+	c.waitClosed()
 }
 
-// TestLeaves: a client that closes has gone, in the middle of a request or after it.
-func TestLeaves(t *testing.T) {
-	behind := strings.Repeat("x", 100)
+// TestClientLeaves checks that a request is abandoned when its client closes the connection, whatever else it has
+// sent, and that a client that closes in the middle of a request leaves nothing behind.
+func TestClientLeaves(t *testing.T) {
+	more := strings.Repeat("x", 100)
 	for name, leave := range map[string]func(c *client){
 		"closes":                         func(c *client) { c.Close() },
 		"resets":                         func(c *client) { standin.Hang(c.Conn) },
 		"ends its sending":               func(c *client) { _ = c.Conn.(*net.TCPConn).CloseWrite() },
-		"closes with more behind":        func(c *client) { c.send(behind); c.Close() },
-		"closes with too much behind":    func(c *client) { c.send(strings.Repeat("x", heldMost+1)); c.Close() },
+		"closes with more sent":          func(c *client) { c.send(more); c.Close() },
+		"closes with too much sent":      func(c *client) { c.send(strings.Repeat("x", maxBufferedBytes+1)); c.Close() },
 		"resets with pipelined requests": func(c *client) { c.send(get(id(8)) + get(id(9))); standin.Hang(c.Conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, 10)
+			r := newHarness(t, 10)
 			c := r.dial()
 			c.send(get(id(1)))
-			req := <-r.host.taken
+			req := <-r.host.submitted
 			leave(c)
 			if got := <-r.host.left; got != 1 || !req.Abandoned() {
 				t.Fatalf("request %d left, abandoned: %v", got, req.Abandoned())
 			}
-			r.empty()
-			if len(r.host.taken) != 0 {
-				t.Fatal("a request that was not read is taken")
+			r.waitEmpty()
+			if len(r.host.submitted) != 0 {
+				t.Fatal("a request that was not read was submitted")
 			}
 		})
 	}
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	half := r.dial()
 	half.send(get(id(2))[:60])
 	half.Close()
-	r.empty()
+	r.waitEmpty()
 }
 
-// TestLeaveTogether: hundreds leave at once, and each request is told.
-func TestLeaveTogether(t *testing.T) {
+// TestManyClientsLeave checks that each request is abandoned when hundreds of clients close at once.
+func TestManyClientsLeave(t *testing.T) {
 	const many = 300
-	r := newRig(t, 2*many)
+	r := newHarness(t, 2*many)
 	var clients []*client
 	for i := range many {
 		c := r.dial()
@@ -473,7 +476,7 @@
 	}
 	var open []*host.Request
 	for range many {
-		open = append(open, <-r.host.taken)
+		open = append(open, <-r.host.submitted)
 	}
 	for _, c := range clients {
 		c.Close()
@@ -486,11 +489,11 @@
 			t.Fatal("a request whose client has gone is not abandoned")
 		}
 	}
-	r.empty()
+	r.waitEmpty()
 }
 
-// on has f run on the loop with the front's only connection.
-func (r *rig) on(f func(*conn)) {
+// on runs f on the loop with the front's only connection.
+func (r *harness) on(f func(*conn)) {
 	r.t.Helper()
 	done := make(chan bool)
 	r.opt.Loop.Do(func() {
@@ -505,10 +508,10 @@
 	<-done
 }
 
-// TestReadAfterShut: a request that comes after its connection was shut is thrown away, and its client reads an
-// end, no reset.
+// TestReadAfterShut checks that a request that arrives after its connection was shut is discarded, and that its
+// client reads the end of the stream rather than a reset.
 func TestReadAfterShut(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send("GET /_health HTTP/1.1\r\n\r\n")
 	c.answer()
@@ -518,65 +521,66 @@
 		t.Fatalf("%v, expected the connection's end", err)
 	}
 	c.Close()
-	r.empty()
-	if len(r.host.taken) != 0 {
-		t.Fatal("the request is taken")
+	r.waitEmpty()
+	if len(r.host.submitted) != 0 {
+		t.Fatal("the request was submitted")
 	}
 }
 
-// TestUnreadAtDrain: a request that the kernel has when idle connections are closed is served.
+// TestUnreadAtDrain checks that a request still in the kernel's buffer when idle connections are closed is served.
 func TestUnreadAtDrain(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send("GET /_health HTTP/1.1\r\n\r\n")
 	c.answer()
 	r.on(func(k *conn) {
 		go c.send(get(id(1)))
-		for !loop.Unread(k.g) { // the loop stands still until it is there
+		for !loop.Unread(k.g) { // blocks the loop until the request has arrived
 		}
 		r.draining = true
 		r.closeIdle()
 	})
-	(<-r.host.taken).Answer(served("x"))
+	(<-r.host.submitted).Answer(served("x"))
 	if s, body, h := c.answer(); s != 200 || body != "x" || h.Get("Connection") != "close" {
 		t.Fatalf("%d %q %v", s, body, h)
 	}
 }
 
-// TestShut: at the last, half a request is refused and an idle connection ended; one that is open gets its answer.
+// TestShut checks that Shut refuses a partly read request, closes idle connections and leaves an open request to be
+// answered.
 func TestShut(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	open, half, idle := r.dial(), r.dial(), r.dial()
 	open.send(get(id(1)))
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	half.send(get(id(2))[:60])
 	idle.send("GET /_health HTTP/1.1\r\n\r\n")
 	idle.answer()
-	r.begun(1, 3)
+	r.waitBegun(1, 3)
 	r.Drain()
 	r.Shut()
 	if s, _, h := half.answer(); s != 503 || h.Get("Connection") != "close" {
 		t.Fatalf("%d %v", s, h)
 	}
 	half.send(get(id(2))[60:])
-	half.ended()
-	idle.ended()
+	half.waitClosed()
+	idle.waitClosed()
 	q.Answer(served("x"))
 	if s, _, h := open.answer(); s != 200 || h.Get("Connection") != "close" {
 		t.Fatalf("%d %v", s, h)
 	}
-	if len(r.host.taken) != 0 {
-		t.Fatal("half a request is taken")
+	if len(r.host.submitted) != 0 {
+		t.Fatal("an incomplete request was submitted")
 	}
 }
 
-// TestManyAtTheEnd: of many commands sent at once to a host that ends, the first is answered and its client reads
-// that answer whole, then an end; the others are not taken.
-func TestManyAtTheEnd(t *testing.T) {
-	r := newRig(t, 10)
+// TestPipelinedAtDrain checks that of many requests pipelined to a draining front only the first is served, and that
+// its client reads the complete answer and then the end of the stream.
+func TestPipelinedAtDrain(t *testing.T) {
+	r := newHarness(t, 10)
 	c := r.dial()
 	c.send(get(id(1)))
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	r.Drain()
 	body := strings.Repeat("x", 4<<20) // more than the kernel takes at once
 	r.on(func(k *conn) {
@@ -585,9 +589,9 @@
 				c.send(get(id(2 + i)))
 			}
 		}()
-		for !loop.Unread(k.g) { // the loop stands still until some are there
+		for !loop.Unread(k.g) { // blocks the loop until some have arrived
 		}
-		k.final(q, served(body))
+		k.deliver(q, served(body))
 	})
 	if s, got, h := c.answer(); s != 200 || got != body || h.Get("Connection") != "close" {
 		t.Fatalf("%d, %d bytes, %v", s, len(got), h)
@@ -595,13 +599,13 @@
 	if _, err := c.r.ReadByte(); err != io.EOF {
 		t.Fatalf("%v, expected the connection's end", err)
 	}
-	if len(r.host.taken) != 0 {
-		t.Fatalf("%d more were taken", len(r.host.taken))
+	if len(r.host.submitted) != 0 {
+		t.Fatalf("%d more were submitted", len(r.host.submitted))
 	}
 }
 
-// empty waits until no connection is left, and holds that nothing else is.
-func (r *rig) empty() {
+// waitEmpty waits until no connection is left and checks that no request and no bytes are either.
+func (r *harness) waitEmpty() {
 	r.t.Helper()
 	for {
 		got := make(chan Stats)
@@ -615,46 +619,47 @@
 	}
 }
 
-// TestHalf: half a request is told that it came too late; silence is closed.
-func TestHalf(t *testing.T) {
-	r := newRig(t, 10)
+// TestIncompleteRequestTimesOut checks that an incomplete request is answered 408 after its time, and that a silent
+// connection is closed without an answer.
+func TestIncompleteRequestTimesOut(t *testing.T) {
+	r := newHarness(t, 10)
 	half, silent := r.dial(), r.dial()
 	half.send(get(id(1))[:60])
-	r.begun(1, 2)
-	r.host.pass(2500 * time.Millisecond)
+	r.waitBegun(1, 2)
+	r.host.advance(2500 * time.Millisecond)
 	if s, _, _ := half.answer(); s != 408 {
 		t.Fatalf("%d", s)
 	}
 	if s, _, _ := silent.answer(); s != 0 {
-		t.Fatalf("silence is answered %d", s)
+		t.Fatalf("a silent connection was answered %d", s)
 	}
-	r.empty()
+	r.waitEmpty()
 }
 
-// answerAll answers every request from now on, until the test ends.
-func (r *rig) answerAll() {
-	over := make(chan bool)
-	r.t.Cleanup(func() { close(over) })
+// answerAll answers all further requests until the test ends.
+func (r *harness) answerAll() {
+	done := make(chan bool)
+	r.t.Cleanup(func() { close(done) })
 	go func() {
 		for {
 			select {
-			case q := <-r.host.taken:
+			case q := <-r.host.submitted:
 				q.Answer(served("x"))
-			case <-over:
+			case <-done:
 				return
 			}
 		}
 	}()
 }
 
-// begun waits until so many connections, of so many, have sent something.
-func (r *rig) begun(begun, all int) {
+// waitBegun waits until there are all connections and begun of them have sent part of a request.
+func (r *harness) waitBegun(begun, all int) {
 	for {
 		got := make(chan [2]int)
 		r.opt.Loop.Do(func() {
 			n := 0
 			for c := range r.conns {
-				if len(c.in) > 0 {
+				if len(c.buf) > 0 {
 					n++
 				}
 			}
@@ -666,36 +671,36 @@
 	}
 }
 
-// TestSilentCrowd: those that hold connections by the hundred and say nothing make room for good clients,
-// and no more are held than allowed.
-func TestSilentCrowd(t *testing.T) {
+// TestSilentClientsEvicted checks that hundreds of silent connections are evicted for clients that send requests,
+// and that the number of connections stays within the limit.
+func TestSilentClientsEvicted(t *testing.T) {
 	const places = 20
-	r := newRig(t, places)
+	r := newHarness(t, places)
 	busy := r.dial()
 	busy.send(get(id(0)))
-	open := <-r.host.taken
+	open := <-r.host.submitted
 	for range 200 {
 		r.dial()
 	}
-	over := make(chan bool)
-	go func() { // time passes as long as the test lasts
+	done := make(chan bool)
+	go func() { // advances the host's clock until the test ends
 		for {
 			select {
-			case <-over:
+			case <-done:
 				return
 			case <-time.After(time.Millisecond):
-				r.host.pass(20 * time.Millisecond)
+				r.host.advance(20 * time.Millisecond)
 			}
 		}
 	}()
-	defer close(over)
+	defer close(done)
 	c := r.dial()
 	c.send(get(id(1)))
-	(<-r.host.taken).Answer(served("x"))
+	(<-r.host.submitted).Answer(served("x"))
 	if s, _, _ := c.answer(); s != 200 {
 		t.Fatalf("%d", s)
 	}
-	if taken, of := r.places(); taken > of {
+	if taken, of := r.usage(); taken > of {
 		t.Fatalf("%d connections of %d", taken, of)
 	}
 	open.Answer(served("y"))
@@ -704,10 +709,10 @@
 	}
 }
 
-// TestAskOnceAndStay: clients that ask once and keep their connection for good, many more than there are
-// places, keep no one from being served: while there is little room an answer ends its connection.
-func TestAskOnceAndStay(t *testing.T) {
-	r := newRig(t, 20)
+// TestIdleClientsYieldPlaces checks that clients that send one request and keep their connection, many more than
+// there are places, do not block others: while few places are left, an answer closes its connection.
+func TestIdleClientsYieldPlaces(t *testing.T) {
+	r := newHarness(t, 20)
 	r.answerAll()
 	ended := 0
 	for i := range 200 {
@@ -718,7 +723,7 @@
 			t.Fatalf("client %d: %d", i, s)
 		}
 		if h.Get("Connection") == "close" {
-			c.ended()
+			c.waitClosed()
 			c.Close()
 			ended++
 		}
@@ -726,7 +731,7 @@
 	if ended < 180 || ended == 200 {
 		t.Fatalf("%d connections of 200 ended with their answer, of 20 places", ended)
 	}
-	r.KeepAlive() // the host ends: who is there stays
+	r.KeepAlive() // during shutdown connections stay open
 	c := r.dial()
 	for i := range 3 {
 		c.send(get(id(i)))
@@ -736,11 +741,11 @@
 	}
 }
 
-// TestHundredsAtOnce: hundreds of requests at once, more than there are places, are all answered, and never
-// more of them open than places.
-func TestHundredsAtOnce(t *testing.T) {
+// TestMoreClientsThanPlaces checks that hundreds of simultaneous requests, more than there are places, are all
+// answered, and that never more are open than there are places.
+func TestMoreClientsThanPlaces(t *testing.T) {
 	const places, clients = 50, 300
-	r := newRig(t, places)
+	r := newHarness(t, places)
 	answers := make(chan int, clients)
 	for i := range clients {
 		c := r.dial()
@@ -748,18 +753,18 @@
 			c.send(get(id(i)))
 			s, _, h := c.answer()
 			if h.Get("Connection") == "close" {
-				c.ended()
+				c.waitClosed()
 				c.Close()
 			}
 			answers <- s
 		}()
 	}
 	var first []*host.Request
-	for range places - 1 { // one place is kept for who is being accepted
-		first = append(first, <-r.host.taken)
+	for range places - 1 { // one place is kept for the connection being accepted
+		first = append(first, <-r.host.submitted)
 	}
-	if taken, of := r.places(); taken > of || len(r.host.taken) > 1 {
-		t.Fatalf("%d places of %d, and %d more requests", taken, of, len(r.host.taken))
+	if taken, of := r.usage(); taken > of || len(r.host.submitted) > 1 {
+		t.Fatalf("%d places of %d, and %d more requests", taken, of, len(r.host.submitted))
 	}
 	for _, q := range first {
 		q.Answer(served("x"))
@@ -772,52 +777,52 @@
 	}
 }
 
-// TestBytes: what all clients may have held together is bounded, and those who begin large requests and do
-// not end them keep no one else from being served.
-func TestBytes(t *testing.T) {
-	r := newRig(t, 100)
+// TestHeldBytesBounded checks that the bytes held for all clients together are bounded, and that clients that do not
+// finish large requests do not block others.
+func TestHeldBytesBounded(t *testing.T) {
+	r := newHarness(t, 100)
 	head := "PUT " + path + " HTTP/1.1\r\nRequest-Id: " + id(1) + "\r\n" + strings.Replace(good, "read", "write", 1) +
 		fmt.Sprintf("Idempotency-Key: k\r\nContent-Length: %d\r\n\r\n", large)
 	for range 20 {
 		go r.dial().send(head + strings.Repeat("x", large-1))
 	}
-	for turned := uint64(0); turned < 5; {
+	for rejected := uint64(0); rejected < 5; {
 		got := make(chan Stats)
 		r.Stats(func(s Stats) { got <- s })
 		s := <-got
-		turned = s.Wrong
+		rejected = s.Wrong
 		if s.Held > r.opt.Bytes {
 			t.Fatalf("%d bytes held", s.Held)
 		}
 	}
 	c := r.dial()
 	c.send(get(id(2)))
-	(<-r.host.taken).Answer(served("x"))
+	(<-r.host.submitted).Answer(served("x"))
 	if s, _, _ := c.answer(); s != 200 {
 		t.Fatalf("%d", s)
 	}
 }
 
-// TestDrain: what is open is answered and told that the connection ends; idle ones are closed, new ones
-// are served until listening has stopped.
+// TestDrain checks that while draining an open request is answered with Connection: close, idle connections are
+// closed, and new ones are served until listening has stopped.
 func TestDrain(t *testing.T) {
-	r := newRig(t, 10)
+	r := newHarness(t, 10)
 	open, idle := r.dial(), r.dial()
 	open.send(get(id(1)))
-	q := <-r.host.taken
+	q := <-r.host.submitted
 	idle.send("GET /_health HTTP/1.1\r\n\r\n")
 	idle.answer()
 	r.Drain()
-	idle.ended()
+	idle.waitClosed()
 	late := r.dial()
 	late.send(get(id(2)))
-	(<-r.host.taken).Answer(served("late"))
+	(<-r.host.submitted).Answer(served("late"))
 	if s, _, h := late.answer(); s != 200 || h.Get("Connection") != "close" {
 		t.Fatalf("%d %v", s, h)
 	}
-	late.ended()
+	late.waitClosed()
 	r.StopListening()
-	for { // those that the kernel takes at the last moment are taken
+	for { // connections that the kernel still queues are accepted
 		c, err := net.Dial("tcp", r.Addr())
 		if err != nil {
 			break
@@ -828,13 +833,13 @@
 	if s, _, h := open.answer(); s != 200 || h.Get("Connection") != "close" {
 		t.Fatalf("%d %v", s, h)
 	}
-	open.ended()
-	r.empty()
+	open.waitClosed()
+	r.waitEmpty()
 }
 
-// TestForEver: ids and connections that are always new leave nothing behind.
-func TestForEver(t *testing.T) {
-	r := newRig(t, 10)
+// TestChurnKeepsNoState checks that ever new request ids and connections leave no state behind.
+func TestChurnKeepsNoState(t *testing.T) {
+	r := newHarness(t, 10)
 	r.answerAll()
 	c, times := r.dial(), 100_000
 	if testing.Short() {
@@ -856,21 +861,21 @@
 		}
 	}
 	c.Close()
-	r.empty()
+	r.waitEmpty()
 	runtime.GC()
 	runtime.ReadMemStats(&end)
 	if grown := int64(end.HeapAlloc) - int64(half.HeapAlloc); grown > 1<<20 {
 		t.Errorf("%d bytes more in the second half", grown)
 	}
 	got := make(chan int)
-	r.opt.Loop.Do(func() { got <- len(r.conns) + len(r.ids) })
+	r.opt.Loop.Do(func() { got <- len(r.conns) + len(r.openRequests) })
 	if n := <-got; n != 0 {
-		t.Fatalf("%d remembered", n)
+		t.Fatalf("%d entries remain", n)
 	}
 }
 
-// FuzzRead holds of any head that is taken: it names known things only.
-func FuzzRead(f *testing.F) {
+// FuzzParseRequest checks that any accepted head refers only to known classes, plans and shards and has valid ids.
+func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(get(id(1))))
 	f.Add([]byte(strings.Replace(get(id(1)), "units=2", "units=1e309", 1)))
 	rs := newRules(control.Settings{Shards: 8, MostUnits: 6, Plans: []control.Plan{{Name: "gold"}}, Classes: []control.Class{{Name: "read"}}})
@@ -879,9 +884,9 @@
 		if err != nil {
 			return
 		}
-		r, err := rs.read(&h)
+		r, err := rs.parse(&h)
 		if err == nil && (r.Class != "read" || r.Plan != "gold" || !(r.Units > 0 && r.Units <= 6) || r.Shard < -1 || r.Shard > 7 ||
-			r.Expires <= 0 || !hexID(r.Volume) || !hexID(r.Item) || !hexID(r.Message.ID)) {
+			r.Expires <= 0 || !isHexID(r.Volume) || !isHexID(r.Item) || !isHexID(r.Message.ID)) {
 			t.Fatalf("%q: %+v", b, r)
 		}
 	})
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -13,95 +13,95 @@
 	"eiderhold/internal/http1"
 )
 
-// refusal is a request that is answered by the front itself, with a status that promises nothing.
-type refusal struct {
+// requestError is an invalid request, which the front answers itself with the status.
+type requestError struct {
 	status int
 	text   string
 }
 
-func (r *refusal) Error() string { return r.text }
+func (r *requestError) Error() string { return r.text }
 
-func wrong(status int, format string, args ...any) error {
-	return &refusal{status, fmt.Sprintf(format, args...)}
+func newRequestError(status int, format string, args ...any) error {
+	return &requestError{status, fmt.Sprintf(format, args...)}
 }
 
 const (
 	idDigits    = 16
-	timeoutMost = time.Hour
-	hostsMost   = 1 << 20
-	keyMost     = 256 // bytes of an Idempotency-Key
+	maxTimeout  = time.Hour
+	maxHosts    = 1 << 20
+	maxKeyBytes = 256 // bytes of an Idempotency-Key
 )
 
-// rules are the settings that requests are checked against.
+// rules are the settings against which requests are checked.
 type rules struct {
-	classes   map[string]control.Class
-	plans     map[string]bool
-	shards    int     // 0: not told
-	mostUnits float64 // 0: not told
+	classes  map[string]control.Class
+	plans    map[string]bool
+	shards   int     // 0: unknown
+	maxUnits float64 // 0: unknown
 }
 
-func newRules(set control.Settings) rules {
-	r := rules{classes: map[string]control.Class{}, plans: map[string]bool{}, shards: set.Shards, mostUnits: set.MostUnits}
-	for _, c := range set.Classes {
+func newRules(settings control.Settings) rules {
+	r := rules{classes: map[string]control.Class{}, plans: map[string]bool{}, shards: settings.Shards, maxUnits: settings.MostUnits}
+	for _, c := range settings.Classes {
 		r.classes[c.Name] = c
 	}
-	for _, p := range set.Plans {
+	for _, p := range settings.Plans {
 		r.plans[p.Name] = true
 	}
 	return r
 }
 
-// read turns a request's head into what the host takes; its body has not come yet.
-func (rs rules) read(h *http1.Request) (*host.Request, error) {
+// parse converts a request's head to a host request, without the body, which is read later.
+func (rs rules) parse(h *http1.Request) (*host.Request, error) {
 	m := &http1.Message{Method: string(h.Method), Target: string(h.Target), ID: h.Header.Text("Request-Id")}
 	r := &host.Request{Message: m}
-	if !hexID(m.ID) {
-		return nil, wrong(400, "Request-Id: expected %d hexadecimal digits, once", idDigits)
+	if !isHexID(m.ID) {
+		return nil, newRequestError(400, "Request-Id: expected %d hexadecimal digits, once", idDigits)
 	}
 	r.Class, r.Plan = h.Header.Text("Request-Class"), h.Header.Text("X-Storage-Class")
 	class, known := rs.classes[r.Class]
 	if !known {
-		return nil, wrong(400, "Request-Class %q: not in the settings", clip(r.Class))
+		return nil, newRequestError(400, "Request-Class %q: not in the settings", truncate(r.Class))
 	}
 	if !rs.plans[r.Plan] {
-		return nil, wrong(400, "X-Storage-Class %q: not in the settings", clip(r.Plan))
+		return nil, newRequestError(400, "X-Storage-Class %q: not in the settings", truncate(r.Plan))
 	}
 	want := "GET"
 	if class.Writes {
 		want = "PUT"
 	}
 	if m.Method != want {
-		return nil, wrong(405, "method %q: class %s takes %s", clip(m.Method), r.Class, want)
+		return nil, newRequestError(405, "method %q: class %s takes %s", truncate(m.Method), r.Class, want)
 	}
 	if m.Method == "GET" && h.Body.Length != 0 {
-		return nil, wrong(400, "GET with a body")
+		return nil, newRequestError(400, "GET with a body")
 	}
 	var err error
-	if r.Volume, r.Item, err = names(m.Target); err != nil {
+	if r.Volume, r.Item, err = parsePath(m.Target); err != nil {
 		return nil, err
 	}
-	if r.Expires, err = timeout(h.Header.Text("Request-Timeout-Ms")); err != nil {
+	if r.Expires, err = parseTimeout(h.Header.Text("Request-Timeout-Ms")); err != nil {
 		return nil, err
 	}
 	if class.Effect == control.Keyed {
-		if m.Key = h.Header.Text("Idempotency-Key"); m.Key == "" || len(m.Key) > keyMost {
-			return nil, wrong(400, "Idempotency-Key: class %s needs one, of up to %d bytes", r.Class, keyMost)
+		if m.Key = h.Header.Text("Idempotency-Key"); m.Key == "" || len(m.Key) > maxKeyBytes {
+			return nil, newRequestError(400, "Idempotency-Key: class %s needs one, of up to %d bytes", r.Class, maxKeyBytes)
 		}
 	}
 	r.Retry = h.Header.Text("Client-Retry") == "1"
-	return r, rs.extent(r, h.Header.Text("X-Extent"))
+	return r, rs.parseExtent(r, h.Header.Text("X-Extent"))
 }
 
-// extent reads units=U,shard=S,hosts=H, in any order.
-func (rs rules) extent(r *host.Request, s string) error {
+// parseExtent parses units=U,shard=S,hosts=H, in any order.
+func (rs rules) parseExtent(r *host.Request, s string) error {
 	seen, times := 0, 0
 	for part := range strings.SplitSeq(s, ",") {
 		name, value, _ := strings.Cut(strings.Trim(part, " \t"), "=")
 		switch name {
 		case "units":
 			u, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(u > 0 && u <= 1e6) || rs.mostUnits > 0 && u > rs.mostUnits {
-				return wrong(400, "X-Extent: units %q: expected more than 0 and %g at most", clip(value), rs.mostUnits)
+			if err != nil || !(u > 0 && u <= 1e6) || rs.maxUnits > 0 && u > rs.maxUnits {
+				return newRequestError(400, "X-Extent: units %q: expected more than 0 and %g at most", truncate(value), rs.maxUnits)
 			}
 			r.Units = u
 			seen |= 1
@@ -109,15 +109,15 @@
 		case "shard":
 			n, err := strconv.Atoi(value)
 			if err != nil || n < control.AnyShard || rs.shards > 0 && n >= rs.shards {
-				return wrong(400, "X-Extent: shard %q: expected -1 to %d", clip(value), rs.shards-1)
+				return newRequestError(400, "X-Extent: shard %q: expected -1 to %d", truncate(value), rs.shards-1)
 			}
 			r.Shard = n
 			seen |= 2
 			times++
 		case "hosts":
 			n, err := strconv.Atoi(value)
-			if err != nil || n < 1 || n > hostsMost {
-				return wrong(400, "X-Extent: hosts %q: expected 1 or more", clip(value))
+			if err != nil || n < 1 || n > maxHosts {
+				return newRequestError(400, "X-Extent: hosts %q: expected 1 or more", truncate(value))
 			}
 			r.Hosts = n
 			seen |= 4
@@ -125,34 +125,34 @@
 		}
 	}
 	if seen != 7 || times != 3 {
-		return wrong(400, "X-Extent %q: expected units, shard and hosts, once each", clip(s))
+		return newRequestError(400, "X-Extent %q: expected units, shard and hosts, once each", truncate(s))
 	}
 	return nil
 }
 
-// names are the last two parts of a path, volume and item.
-func names(target string) (volume, item string, err error) {
+// parsePath returns the last two elements of a path, volume and item.
+func parsePath(target string) (volume, item string, err error) {
 	path, _, _ := strings.Cut(target, "?")
 	if !strings.HasPrefix(path, "/") {
-		return "", "", wrong(400, "target %q: expected a path", clip(target))
+		return "", "", newRequestError(400, "target %q: expected a path", truncate(target))
 	}
 	path, item = path[:strings.LastIndexByte(path, '/')], path[strings.LastIndexByte(path, '/')+1:]
 	volume = path[strings.LastIndexByte(path, '/')+1:]
-	if !hexID(volume) || !hexID(item) {
-		return "", "", wrong(404, "path %q: expected a volume and an item of %d hexadecimal digits", clip(target), idDigits)
+	if !isHexID(volume) || !isHexID(item) {
+		return "", "", newRequestError(404, "path %q: expected a volume and an item of %d hexadecimal digits", truncate(target), idDigits)
 	}
 	return volume, item, nil
 }
 
-func timeout(s string) (time.Duration, error) {
+func parseTimeout(s string) (time.Duration, error) {
 	ms, err := strconv.ParseUint(s, 10, 31)
-	if err != nil || ms == 0 || time.Duration(ms)*time.Millisecond > timeoutMost {
-		return 0, wrong(400, "Request-Timeout-Ms %q: expected whole milliseconds, 1 to %d", clip(s), timeoutMost.Milliseconds())
+	if err != nil || ms == 0 || time.Duration(ms)*time.Millisecond > maxTimeout {
+		return 0, newRequestError(400, "Request-Timeout-Ms %q: expected whole milliseconds, 1 to %d", truncate(s), maxTimeout.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-func hexID(s string) bool {
+func isHexID(s string) bool {
 	if len(s) != idDigits {
 		return false
 	}
@@ -164,17 +164,17 @@
 	return true
 }
 
-func clip(s string) string {
-	const most = 40
-	if len(s) > most {
-		return s[:most] + "..."
+func truncate(s string) string {
+	const limit = 40
+	if len(s) > limit {
+		return s[:limit] + "..."
 	}
 	return s
 }
 
-// statusOf is what an error is answered with.
+// statusOf returns the status with which an error is answered.
 func statusOf(err error) int {
-	var r *refusal
+	var r *requestError
 	var e *http1.Error
 	switch {
 	case errors.As(err, &r):
@@ -185,8 +185,8 @@
 	return 400
 }
 
-// health says that a request asks whether this host is ready.
-func health(h *http1.Request) bool {
+// isHealthCheck reports whether a request asks if this host is ready.
+func isHealthCheck(h *http1.Request) bool {
 	path, _, _ := bytes.Cut(h.Target, []byte("?"))
 	return string(path) == "/_health"
 }
