--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -429,7 +429,7 @@
 func (c *conn) processBuffered() {
 	for c.req == nil && !c.flushing && !c.closing && !c.closed && len(c.buf) > 0 {
 		if !c.headParsed {
-			if n := http1.EmptyLines(c.buf); n > 0 {
+			if n := http1.LeadingEmptyLines(c.buf); n > 0 {
 				c.f.heldBytes -= int64(n)
 				c.scanned = 0
 				if c.buf = c.buf[:copy(c.buf, c.buf[n:])]; len(c.buf) == 0 {
@@ -492,7 +492,7 @@
 	case string(h.Method) != "GET":
 		return newRequestError(405, "method of /_health: expected GET")
 	}
-	expects := h.Minor > 0 && http1.Continue(h.Header) && len(c.buf) == n
+	expects := h.Minor > 0 && http1.ExpectsContinue(h.Header) && len(c.buf) == n
 	if h.Body.Chunked {
 		c.chunks = &http1.Chunks{Max: http1.MaxBody}
 		c.f.heldBytes -= int64(n)
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -4,105 +4,106 @@
 	"bytes"
 )
 
-// Chunks reads a chunked body: RFC 9112, 7.1. It is fed bytes in any pieces.
+// Chunks decodes a chunked body (RFC 9112, 7.1) that is fed in pieces of any size.
 type Chunks struct {
-	Max  int64 // bytes of the whole body; 0: unbounded, for a stream that is consumed as it comes
-	left int64 // of the present chunk's data
-	read int64
-	at   part
-	line []byte // of a line that is not whole
-	tail int    // bytes of the trailer section
+	Max          int64 // most bytes of the body; 0: unbounded, for a stream that is consumed as it arrives
+	remaining    int64 // bytes left of the current chunk's data
+	total        int64
+	state        chunkState
+	partialLine  []byte // bytes of an incomplete line
+	trailerBytes int    // bytes read of the trailer section
 }
 
-type part int
+// chunkState is the element of the chunked coding that is read next.
+type chunkState int
 
 const (
-	atSize part = iota
-	atData
-	atDataEnd
-	atTrailer
-	atEnd
+	stateSize chunkState = iota
+	stateData
+	stateDataEnd
+	stateTrailer
+	stateEnd
 )
 
-// Feed reads b and appends the data in it to dst. rest is what follows the body's end; done says that it
-// has been reached.
+// Feed decodes b and appends its data to dst, which it returns as out. done reports that the end of the body has
+// been reached; rest is then what follows it.
 func (c *Chunks) Feed(dst, b []byte) (out, rest []byte, done bool, err error) {
 	for {
-		switch c.at {
-		case atEnd:
+		switch c.state {
+		case stateEnd:
 			return dst, b, true, nil
-		case atData:
-			n := min(int64(len(b)), c.left)
-			dst, b, c.left = append(dst, b[:n]...), b[n:], c.left-n
-			if c.left > 0 {
+		case stateData:
+			n := min(int64(len(b)), c.remaining)
+			dst, b, c.remaining = append(dst, b[:n]...), b[n:], c.remaining-n
+			if c.remaining > 0 {
 				return dst, nil, false, nil
 			}
-			c.at = atDataEnd
+			c.state = stateDataEnd
 			continue
 		}
-		line, rest, ok, err := c.whole(b)
+		line, rest, ok, err := c.readLine(b)
 		if err != nil || !ok {
 			return dst, nil, false, err
 		}
 		b = rest
-		switch c.at {
-		case atSize:
-			if c.left, err = chunkSize(line); err != nil {
+		switch c.state {
+		case stateSize:
+			if c.remaining, err = parseChunkSize(line); err != nil {
 				return dst, nil, false, err
 			}
-			c.read += c.left
-			if c.Max > 0 && c.read > c.Max {
-				return dst, nil, false, bad(413, "a chunked body of over %d bytes", c.Max)
+			c.total += c.remaining
+			if c.Max > 0 && c.total > c.Max {
+				return dst, nil, false, newError(413, "a chunked body of over %d bytes", c.Max)
 			}
-			if c.at = atData; c.left == 0 {
-				c.at = atTrailer
+			if c.state = stateData; c.remaining == 0 {
+				c.state = stateTrailer
 			}
-		case atDataEnd:
+		case stateDataEnd:
 			if len(line) != 0 {
-				return dst, nil, false, bad(400, "a chunk longer than it says")
+				return dst, nil, false, newError(400, "a chunk longer than it says")
 			}
-			c.at = atSize
-		case atTrailer:
+			c.state = stateSize
+		case stateTrailer:
 			if len(line) == 0 {
-				c.at = atEnd
+				c.state = stateEnd
 			}
 		}
-		c.line = c.line[:0]
+		c.partialLine = c.partialLine[:0]
 	}
 }
 
-// whole takes one line, with what an earlier call held of it.
-func (c *Chunks) whole(b []byte) (line, rest []byte, ok bool, err error) {
+// readLine reads one line, including the part of it that earlier calls have stored.
+func (c *Chunks) readLine(b []byte) (line, rest []byte, ok bool, err error) {
 	i := bytes.IndexByte(b, '\n')
 	n := i + 1
 	if i < 0 {
 		n = len(b)
 	}
-	if c.at == atTrailer {
-		if c.tail += n; c.tail > maxTrailer {
-			return nil, nil, false, bad(431, "trailers of over %d bytes", maxTrailer)
+	if c.state == stateTrailer {
+		if c.trailerBytes += n; c.trailerBytes > maxTrailer {
+			return nil, nil, false, newError(431, "trailers of over %d bytes", maxTrailer)
 		}
 	}
-	if len(c.line)+n > maxChunk {
-		return nil, nil, false, bad(400, "a chunk's line of over %d bytes", maxChunk)
+	if len(c.partialLine)+n > maxChunkLine {
+		return nil, nil, false, newError(400, "a chunk's line of over %d bytes", maxChunkLine)
 	}
-	c.line = append(c.line, b[:n]...)
+	c.partialLine = append(c.partialLine, b[:n]...)
 	if i < 0 {
 		return nil, nil, false, nil
 	}
-	line, ok = bytes.CutSuffix(c.line, []byte("\r\n"))
+	line, ok = bytes.CutSuffix(c.partialLine, []byte("\r\n"))
 	if !ok {
-		return nil, nil, false, bad(400, "a chunk's line that ends in LF alone")
+		return nil, nil, false, newError(400, "a chunk's line that ends in LF alone")
 	}
 	return line, b[n:], true, nil
 }
 
-// chunkSize reads a size in hexadecimal digits, before any extension.
-func chunkSize(line []byte) (int64, error) {
+// parseChunkSize parses the hexadecimal size of a chunk and ignores extensions.
+func parseChunkSize(line []byte) (int64, error) {
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	size = bytes.TrimRight(size, " \t")
 	if len(size) == 0 || len(size) > 15 {
-		return 0, bad(400, "chunk size %q: expected 1 to 15 hexadecimal digits", clip(size))
+		return 0, newError(400, "chunk size %q: expected 1 to 15 hexadecimal digits", truncate(size))
 	}
 	n := int64(0)
 	for _, d := range size {
@@ -112,7 +113,7 @@
 		case 'a' <= c && c <= 'f':
 			n = n<<4 + int64(c-'a') + 10
 		default:
-			return 0, bad(400, "chunk size %q: expected hexadecimal digits", clip(size))
+			return 0, newError(400, "chunk size %q: expected hexadecimal digits", truncate(size))
 		}
 	}
 	return n, nil
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -14,7 +14,7 @@
 	"pgregory.net/rapid"
 )
 
-// badRequests are heads with the status that each is answered with.
+// badRequests are invalid heads with the status of the error that each gives.
 var badRequests = []struct {
 	name, text string
 	status     int
@@ -34,7 +34,7 @@
 	{"bare LF", "PUT /a HTTP/1.1\nA: b\n\n", 400},
 	{"LF in a whole head", "PUT /a HTTP/1.1\r\nA: b\nContent-Length: 4\r\n\r\n", 400},
 	{"NUL", "PUT /a HTTP/1.1\r\nA: b\x00", 400},
-	{"noise", "\x16\x03\x01\x02", 400},
+	{"garbage", "\x16\x03\x01\x02", 400},
 	{"empty name", "PUT /a HTTP/1.1\r\n: b\r\n\r\n", 400},
 	{"no colon", "PUT /a HTTP/1.1\r\nnothing\r\n\r\n", 400},
 	{"no target", "PUT HTTP/1.1\r\n\r\n", 400},
@@ -69,29 +69,29 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
 	} {
 		if r, _, err := ParseResponse([]byte(text), 0); err == nil || errors.Is(err, ErrShort) {
-			t.Errorf("%q was taken as %+v (%v)", text, r, err)
+			t.Errorf("%q was accepted as %+v (%v)", text, r, err)
 		}
 	}
 }
 
-// TestTrickle feeds a head byte by byte: it is short until its last byte, and the same then.
-func TestTrickle(t *testing.T) {
+// TestHeadByteByByte feeds a head byte by byte and checks that it is short until its last byte and then parsed.
+func TestHeadByteByByte(t *testing.T) {
 	text := []byte("GET /api/x HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nConnection: Close\r\n\r\nabc")
 	end := len(text) - 3
-	looked := 0
+	scanned := 0
 	for i := range end {
-		if _, _, err := ParseRequest(text[:i], looked); err != ErrShort {
+		if _, _, err := ParseRequest(text[:i], scanned); err != ErrShort {
 			t.Fatalf("after %d bytes: %v", i, err)
 		}
-		looked = i
+		scanned = i
 	}
-	r, n, err := ParseRequest(text, looked)
+	r, n, err := ParseRequest(text, scanned)
 	if err != nil || n != end || string(r.Method) != "GET" || string(r.Target) != "/api/x" || r.Body.Length != 3 || !r.Close {
 		t.Fatalf("%+v, %d bytes of %d, %v", r, n, end, err)
 	}
 }
 
-// genHead draws valid header fields.
+// genFields draws valid header fields.
 func genFields(t *rapid.T) (lines string, fields [][2]string) {
 	for range rapid.IntRange(0, 8).Draw(t, "fields") {
 		name := rapid.StringMatching(`X-[A-Za-z0-9-]{1,12}`).Draw(t, "name")
@@ -103,7 +103,7 @@
 	return lines, fields
 }
 
-// TestRequestsAsNetHTTP reads valid requests and compares with what the standard library reads.
+// TestRequestsAsNetHTTP compares the parsing of valid requests with that of net/http.
 func TestRequestsAsNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines, fields := genFields(t)
@@ -132,8 +132,9 @@
 	})
 }
 
-// TestAnswersAsNetHTTP does the same for answers, chunked ones too, fed in pieces of any size.
-func TestAnswersAsNetHTTP(t *testing.T) {
+// TestResponsesAsNetHTTP compares the parsing of valid responses with that of net/http, chunked bodies included, fed
+// in pieces of any size.
+func TestResponsesAsNetHTTP(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines, _ := genFields(t)
 		body := rapid.StringMatching(`[ -~]{0,60}`).Draw(t, "body")
@@ -187,15 +188,16 @@
 
 func TestBadChunks(t *testing.T) {
 	for _, text := range []string{"x\r\n", "\r\n", "-1\r\n", "1\nab", "2\r\nabc\r\n", "ffffffffffffffff\r\n", fmt.Sprintf("%x\r\n", MaxBody+1),
-		strings.Repeat("0", maxChunk+1), "0\r\n" + strings.Repeat("A: bbbbbbbbbbbbbbbbbbbbbbbb\r\n", 100)} {
+		strings.Repeat("0", maxChunkLine+1), "0\r\n" + strings.Repeat("A: bbbbbbbbbbbbbbbbbbbbbbbb\r\n", 100)} {
 		c := Chunks{Max: MaxBody}
 		if _, _, done, err := c.Feed(nil, []byte(text)); done || err == nil {
-			t.Errorf("%.40q was taken (done %v)", text, done)
+			t.Errorf("%.40q was accepted (done %v)", text, done)
 		}
 	}
 }
 
-// FuzzRequest holds of any bytes: no panic, and what is taken is taken the same with more behind it.
+// FuzzRequest checks that any input causes no panic, and that an accepted head has the same length when other bytes
+// follow it.
 func FuzzRequest(f *testing.F) {
 	for _, c := range badRequests {
 		f.Add([]byte(c.text))
@@ -214,7 +216,7 @@
 	})
 }
 
-// FuzzAnswer is the same of answers and their chunks.
+// FuzzAnswer checks that any response causes no panic and that the decoded body of a chunked one is bounded.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc"))
--- a/internal/http1/message.go
+++ b/internal/http1/message.go
@@ -1,6 +1,6 @@
 package http1
 
-// Message is what of a client's request a node gets unchanged.
+// Message is the part of a client's request that is forwarded to a node unchanged.
 type Message struct {
 	Method, Target string
 	ID             string // Request-Id
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -2,39 +2,39 @@
 
 import "strconv"
 
-// reasons are the phrases of the statuses that this host sends.
-var reasons = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+// reasonPhrases are the reason phrases of the statuses that this host sends.
+var reasonPhrases = map[int]string{100: "Continue", 200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 411: "Length Required", 413: "Content Too Large",
 	429: "Too Many Requests", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
 	501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout",
 	505: "HTTP Version Not Supported"}
 
-// AppendStatus begins an answer.
+// AppendStatus appends the status line of a response.
 func AppendStatus(b []byte, status int) []byte {
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reasons[status]...)
+	b = append(b, reasonPhrases[status]...)
 	return append(b, "\r\n"...)
 }
 
-// AppendRequestLine begins a request.
+// AppendRequestLine appends the request line of a request.
 func AppendRequestLine(b []byte, method, target string) []byte {
 	b = append(append(b, method...), ' ')
 	return append(append(b, target...), " HTTP/1.1\r\n"...)
 }
 
-// AppendField adds a header field.
+// AppendField appends a header field.
 func AppendField(b []byte, name, value string) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(append(b, value...), "\r\n"...)
 }
 
-// AppendInt adds a header field that is a number.
+// AppendInt appends a header field with a number as its value.
 func AppendInt(b []byte, name string, value int64) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(strconv.AppendInt(b, value, 10), "\r\n"...)
 }
 
-// AppendEnd ends a head.
+// AppendEnd appends the empty line that ends a head.
 func AppendEnd(b []byte) []byte { return append(b, "\r\n"...) }
