--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,11 +1,10 @@
-// Package backend carries attempts to storage nodes over pipelined connections on
-// gnet's event loops, and reports how each ended. It chooses no node and repeats
-// nothing. Its caller is the host (Send, Drop, Probe, Nodes); it answers through
-// Host.Ended and Host.Probed.
+// Package backend sends attempts to storage nodes over pipelined connections on gnet event loops, and reports how
+// each ended. It neither chooses nodes nor retries. The host calls it (Send, Drop, Probe, Nodes) and receives
+// results through its Ended and Probed methods.
 //
-// What an outcome proves: NotSent and Unreachable are reported only of attempts no
-// byte of which was handed to a socket. From the moment a frame is handed over, a
-// connection that ends makes it Reset, however much of the frame had left.
+// What an outcome proves: NotSent and Unreachable are reported only for attempts of which no byte was handed to a
+// socket. Once a frame has been handed over, an attempt whose connection ends is reported as Reset, however much of
+// the frame was sent.
 package backend
 
 import (
@@ -27,93 +26,93 @@
 	"eiderhold/internal/nodewire"
 )
 
-// Settings bound what the backend opens.
+// Settings configure a Backend and bound its connections.
 type Settings struct {
-	Name        string        // the gateway's, for the hello
-	Conns       int           // connections a node, at most
-	Streams     int           // attempts on a connection before another is opened
-	Waiting     int           // attempts that wait for a dial, a node
-	DialTimeout time.Duration // for connection and hello
-	IdleClose   time.Duration // a connection without attempts is closed after it
-	Cancelling  bool          // tell the node of attempts dropped
+	Name        string        // of the gateway, for the hello
+	Conns       int           // most connections per node
+	Streams     int           // attempts in flight on a connection before another one is opened
+	Waiting     int           // most attempts that wait for a connection, per node
+	DialTimeout time.Duration // for connecting and the node's hello
+	IdleClose   time.Duration // idle time after which a connection is closed; 0: never
+	Cancelling  bool          // send the node a cancel for each dropped attempt
 	Loops       int           // gnet event loops
-	// Filled hears of the bytes that a shard holds, and that it had no room for an item. It is called
-	// with a lock held: it must neither block nor call back. nil: nobody does.
+	// Filled is called with the bytes that a shard holds, and whether it had no room for an item. It is called with
+	// a lock held, so it must neither block nor call the Backend. It may be nil.
 	Filled func(shard int, used, capacity uint64, noRoom bool)
 }
 
-// Owner is who hears of outcomes: the host.
+// Owner receives the results of attempts and probes; the host implements it.
 type Owner interface {
 	Ended(host.Outcome)
 	Probed(node string, result control.Result, took time.Duration, load []float64)
 }
 
-// Backend is the set of connections.
+// Backend is the set of connections to all nodes.
 type Backend struct {
-	set    Settings
-	owner  Owner
-	log    *slog.Logger
-	client *gnet.Client
-	ctx    context.Context
-	cancel context.CancelFunc
-	dials  sync.WaitGroup
+	settings Settings
+	owner    Owner
+	log      *slog.Logger
+	client   *gnet.Client
+	ctx      context.Context
+	cancel   context.CancelFunc
+	dials    sync.WaitGroup
 
-	mu    sync.Mutex
-	nodes map[string]*node
-	tries map[uint64]*try // by the host's reference
-	ended bool
-	stats Stats
+	mu       sync.Mutex
+	nodes    map[string]*node
+	attempts map[uint64]*attempt // by the host's reference (Ref)
+	closed   bool
+	stats    Stats
 }
 
-// Stats are counts since the start.
+// Stats are counters since the start; Conns is the current number of connections.
 type Stats struct {
 	Dials, DialsFailed, Closed, Frames, Unwanted, Broken uint64
 	Conns                                                int
 }
 
-// node is what is known of one node's connections.
+// node is the state of the connections to one node.
 type node struct {
 	id      string
 	addr    string
 	listed  bool
 	conns   []*conn
 	dialing int
-	waiting []*try // have not been given to any connection
+	waiting []*attempt // not yet assigned to a connection
 }
 
-// conn is one connection that has said hello.
+// conn is one connection to a node, from its hello on.
 type conn struct {
 	gnet.Conn
-	node  *node
-	ready bool // the node's hello has come
-	shard int  // as the hello says
-	dead  bool
-	lost  string // why, for the owner
-	next  uint64
-	tries map[uint64]*try // by id on this connection
-	probe *try            // the last one that is out: a node that hangs is not owed more
-	idle  time.Time       // since when it has no attempt
-	timer *time.Timer     // for the hello
-	need  int             // bytes the present frame takes
+	node        *node
+	ready       bool // the node's hello has arrived
+	shard       int  // from the node's hello
+	closed      bool
+	closeReason string // text reported to the owner; empty: unknown
+	lastID      uint64
+	attempts    map[uint64]*attempt // by attempt.id
+	probe       *attempt            // the latest one in flight; only one is kept, so that a node that hangs does not accumulate probes
+	idleSince   time.Time           // time when its last attempt ended
+	timer       *time.Timer         // dial timeout, until the hello arrives
+	needBytes   int                 // bytes of the current frame, as far as its size is known
 }
 
-// try is an attempt or a probe.
-type try struct {
+// attempt is an attempt or a probe.
+type attempt struct {
 	host.Attempt
 	probe  bool
 	sentAt time.Time
-	conn   *conn  // nil: not handed to one yet
-	id     uint64 // on it
+	conn   *conn  // nil: not yet assigned to one
+	id     uint64 // unique on its connection
 	frame  *buffer.Buffer
 }
 
-// New starts the event loops.
-func New(set Settings, owner Owner, log *slog.Logger) (*Backend, error) {
-	set.Conns, set.Streams = max(1, set.Conns), max(1, set.Streams)
-	set.Waiting, set.Loops = max(1, set.Waiting), max(1, set.Loops)
-	b := &Backend{set: set, owner: owner, log: log, nodes: map[string]*node{}, tries: map[uint64]*try{}}
+// New starts the event loops and returns a backend without nodes.
+func New(settings Settings, owner Owner, log *slog.Logger) (*Backend, error) {
+	settings.Conns, settings.Streams = max(1, settings.Conns), max(1, settings.Streams)
+	settings.Waiting, settings.Loops = max(1, settings.Waiting), max(1, settings.Loops)
+	b := &Backend{settings: settings, owner: owner, log: log, nodes: map[string]*node{}, attempts: map[uint64]*attempt{}}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
-	client, err := gnet.NewClient(&handler{b: b}, gnet.WithNumEventLoop(set.Loops), gnet.WithTicker(true),
+	client, err := gnet.NewClient(&handler{b: b}, gnet.WithNumEventLoop(settings.Loops), gnet.WithTicker(true),
 		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(telemetry.Gnet{Log: log}),
 		gnet.WithReadBufferCap(256<<10), gnet.WithWriteBufferCap(1<<20))
 	if err == nil {
@@ -126,20 +125,20 @@
 	return b, nil
 }
 
-// Own names the owner. It must be called before the first Send.
+// Own sets the owner. It must be called before the first Send.
 func (b *Backend) Own(o Owner) { b.owner = o }
 
-// Close ends all connections. Outcomes of what is out are not reported.
+// Close closes all connections. Outcomes of attempts in flight are not reported.
 func (b *Backend) Close() error {
 	b.mu.Lock()
-	b.ended = true
+	b.closed = true
 	b.mu.Unlock()
 	b.cancel()
 	b.dials.Wait()
 	return b.client.Stop()
 }
 
-// Stats returns the counts.
+// Stats returns the counters.
 func (b *Backend) Stats() Stats {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,8 +149,7 @@
 	return s
 }
 
-// Nodes takes the nodes that are listed now. Connections to others stay until
-// what is out on them has ended.
+// Nodes replaces the list of nodes. Connections to unlisted nodes stay open until the attempts on them have ended.
 func (b *Backend) Nodes(list []host.Node) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -173,150 +171,149 @@
 	}
 }
 
-// Send hands an attempt to a connection, or has it wait for a dial.
-func (b *Backend) Send(a host.Attempt) { b.start(&try{Attempt: a, sentAt: time.Now()}) }
+// Send writes an attempt to a connection, or queues it until one is open.
+func (b *Backend) Send(a host.Attempt) { b.submit(&attempt{Attempt: a, sentAt: time.Now()}) }
 
 // Probe asks a node for its load.
 func (b *Backend) Probe(id string) {
-	b.start(&try{Attempt: host.Attempt{Node: id}, probe: true, sentAt: time.Now()})
+	b.submit(&attempt{Attempt: host.Attempt{Node: id}, probe: true, sentAt: time.Now()})
 }
 
-func (b *Backend) start(t *try) {
+func (b *Backend) submit(a *attempt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := b.nodes[t.Node]
-	if n == nil || !n.listed || b.ended {
-		b.report(t, control.NotSent, "the node is not listed")
+	n := b.nodes[a.Node]
+	if n == nil || !n.listed || b.closed {
+		b.report(a, control.NotSent, "the node is not listed")
 		return
 	}
-	if !t.probe {
-		b.tries[t.Ref] = t
+	if !a.probe {
+		b.attempts[a.Ref] = a
 	}
-	if c := n.best(b.set.Streams, b.set.Conns); c != nil {
-		b.hand(c, t)
+	if c := n.leastLoaded(b.settings.Streams, b.settings.Conns); c != nil {
+		b.write(c, a)
 		return
 	}
-	if len(n.waiting) >= b.set.Waiting {
-		delete(b.tries, t.Ref)
-		b.report(t, control.NotSent, fmt.Sprintf("%d attempts wait for a connection already", b.set.Waiting))
+	if len(n.waiting) >= b.settings.Waiting {
+		delete(b.attempts, a.Ref)
+		b.report(a, control.NotSent, fmt.Sprintf("%d attempts wait for a connection already", b.settings.Waiting))
 		return
 	}
-	n.waiting = append(n.waiting, t)
+	n.waiting = append(n.waiting, a)
 	b.dial(n)
 }
 
-// best is the connection with the fewest attempts out, none if all are full and
-// another one may be opened. At the ceiling of connections, streams no longer bound:
-// the controller's window does.
-func (n *node) best(streams, conns int) *conn {
+// leastLoaded returns the connection with the fewest attempts in flight, or nil if all have reached streams and
+// another one may be opened. When the connection limit is reached, streams no longer applies: the controller's
+// window bounds the attempts.
+func (n *node) leastLoaded(streams, conns int) *conn {
 	var best *conn
 	for _, c := range n.conns {
-		if c.ready && !c.dead && (best == nil || len(c.tries) < len(best.tries)) {
+		if c.ready && !c.closed && (best == nil || len(c.attempts) < len(best.attempts)) {
 			best = c
 		}
 	}
-	if best != nil && len(best.tries) >= streams && n.dialing == 0 && len(n.conns) < conns {
+	if best != nil && len(best.attempts) >= streams && n.dialing == 0 && len(n.conns) < conns {
 		return nil
 	}
 	return best
 }
 
-// hand writes the attempt's frame. From here on it may run. One that waited for its connection for too long does
-// not go: its effect would be repeated.
-func (b *Backend) hand(c *conn, t *try) {
-	if t.Begin > 0 && time.Since(t.sentAt) >= t.Begin {
-		delete(b.tries, t.Ref)
-		b.report(t, control.NotSent, "the window for repeats is over")
+// write writes the attempt's frame to a connection; from then on the attempt may run. An attempt that has waited
+// longer than Begin is not sent: the node may no longer recognize it as a repeat and would apply its effect again.
+func (b *Backend) write(c *conn, a *attempt) {
+	if a.Begin > 0 && time.Since(a.sentAt) >= a.Begin {
+		delete(b.attempts, a.Ref)
+		b.report(a, control.NotSent, "the window for repeats is over")
 		return
 	}
-	c.next++
-	t.id, t.conn = c.next, c
-	c.tries[t.id] = t
-	if t.probe {
+	c.lastID++
+	a.id, a.conn = c.lastID, c
+	c.attempts[a.id] = a
+	if a.probe {
 		if c.probe != nil {
-			delete(c.tries, c.probe.id)
+			delete(c.attempts, c.probe.id)
 		}
-		c.probe = t
-		t.frame = buffer.Get(64)
-		t.frame.B = nodewire.Append(t.frame.B[:0], &nodewire.Probe{ID: t.id})
+		c.probe = a
+		a.frame = buffer.Get(64)
+		a.frame.B = nodewire.Append(a.frame.B[:0], &nodewire.Probe{ID: a.id})
 	} else {
-		r := t.Request
-		left := max(0, t.Left-time.Since(t.sentAt))
-		t.frame = buffer.Get(len(r.Payload) + 512 + len(r.Item) + len(r.Key) + len(r.Volume))
-		t.frame.B = nodewire.Append(t.frame.B[:0], &nodewire.Request{ID: t.id, Ref: t.ID, Attempt: uint8(t.Number),
+		r := a.Request
+		left := max(0, a.Left-time.Since(a.sentAt))
+		a.frame = buffer.Get(len(r.Payload) + 512 + len(r.Item) + len(r.Key) + len(r.Volume))
+		a.frame.B = nodewire.Append(a.frame.B[:0], &nodewire.Request{ID: a.id, Ref: a.ID, Attempt: uint8(a.Number),
 			Op: r.Op, Class: r.Class, Volume: r.Volume, Item: r.Item, Key: r.Key,
 			MilliUnits: uint32(r.Units * 1000), Offset: uint64(r.Offset), Length: uint32(r.Length),
 			LeftMicros: uint32(min(left.Microseconds(), 1<<32-1)), Payload: r.Payload})
 	}
 	b.stats.Frames++
-	frame := t.frame
+	frame := a.frame
 	if err := c.AsyncWrite(frame.B, func(gnet.Conn, error) error { frame.Release(); return nil }); err != nil {
-		b.log.Debug("backend: write", "node", t.Node, "err", err) // OnClose reports it as Reset
+		b.log.Debug("backend: write", "node", a.Node, "err", err) // OnClose reports the attempt as Reset
 	}
 }
 
-// Drop forgets an attempt whose answer is no longer wanted.
+// Drop removes an attempt whose answer is no longer needed.
 func (b *Backend) Drop(ref uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.tries[ref]
-	if t == nil {
+	a := b.attempts[ref]
+	if a == nil {
 		return
 	}
-	delete(b.tries, ref)
-	if t.conn == nil {
-		b.unqueue(t)
+	delete(b.attempts, ref)
+	if a.conn == nil {
+		b.dequeue(a)
 		return
 	}
-	c := t.conn
-	delete(c.tries, t.id)
-	c.rest()
-	if b.set.Cancelling && !c.dead {
-		_ = c.AsyncWrite(nodewire.Append(nil, &nodewire.Cancel{ID: t.id}), nil)
+	c := a.conn
+	delete(c.attempts, a.id)
+	c.markIdle()
+	if b.settings.Cancelling && !c.closed {
+		_ = c.AsyncWrite(nodewire.Append(nil, &nodewire.Cancel{ID: a.id}), nil)
 	}
 }
 
-// Withdraw ends an attempt that waits for a connection, as not sent.
+// Withdraw ends an attempt that waits for a connection; its result is NotSent.
 func (b *Backend) Withdraw(ref uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.tries[ref]
-	if t == nil || t.conn != nil {
+	a := b.attempts[ref]
+	if a == nil || a.conn != nil {
 		return
 	}
-	delete(b.tries, ref)
-	b.unqueue(t)
-	b.report(t, control.NotSent, "withdrawn before it left")
+	delete(b.attempts, ref)
+	b.dequeue(a)
+	b.report(a, control.NotSent, "withdrawn before it left")
 }
 
-// unqueue takes an attempt from those that wait for a connection to its node.
-func (b *Backend) unqueue(t *try) {
-	if n := b.nodes[t.Node]; n != nil {
-		n.waiting = slices.DeleteFunc(n.waiting, func(w *try) bool { return w == t })
+// dequeue removes an attempt from the queue of its node.
+func (b *Backend) dequeue(a *attempt) {
+	if n := b.nodes[a.Node]; n != nil {
+		n.waiting = slices.DeleteFunc(n.waiting, func(w *attempt) bool { return w == a })
 	}
 }
 
-// rest notes since when a connection has nothing out.
-func (c *conn) rest() {
-	if len(c.tries) == 0 {
-		c.idle = time.Now()
+// markIdle records the time if no attempt is left on the connection.
+func (c *conn) markIdle() {
+	if len(c.attempts) == 0 {
+		c.idleSince = time.Now()
 	}
 }
 
-// report tells the owner. It is called with the lock held: the owner only puts it
-// into its mailbox.
-func (b *Backend) report(t *try, result control.Result, text string) {
-	if t.probe {
-		b.owner.Probed(t.Node, result, time.Since(t.sentAt), nil)
+// report passes a result to the owner. It is called with the lock held, so the owner must not block: it only puts
+// the result into its mailbox.
+func (b *Backend) report(a *attempt, result control.Result, text string) {
+	if a.probe {
+		b.owner.Probed(a.Node, result, time.Since(a.sentAt), nil)
 		return
 	}
-	b.owner.Ended(host.Outcome{Ref: t.Ref, Result: result, Text: text, Shard: control.AnyShard})
+	b.owner.Ended(host.Outcome{Ref: a.Ref, Result: result, Text: text, Shard: control.AnyShard})
 }
 
-// dial opens one more connection to a node, in a goroutine of its own, for as
-// long as attempts wait and the ceiling allows.
+// dial opens one more connection to a node in its own goroutine, unless one is being opened or the limit is reached.
 func (b *Backend) dial(n *node) {
-	if n.dialing > 0 || len(n.conns) >= b.set.Conns || b.ended {
+	if n.dialing > 0 || len(n.conns) >= b.settings.Conns || b.closed {
 		return
 	}
 	n.dialing++
@@ -325,20 +322,20 @@
 	b.dials.Add(1)
 	go func() {
 		defer b.dials.Done()
-		d := net.Dialer{Timeout: b.set.DialTimeout}
+		d := net.Dialer{Timeout: b.settings.DialTimeout}
 		raw, err := d.DialContext(b.ctx, "tcp", addr)
-		c := &conn{node: n, tries: map[uint64]*try{}, idle: time.Now(), need: 4}
+		c := &conn{node: n, attempts: map[uint64]*attempt{}, idleSince: time.Now(), needBytes: 4}
 		if err == nil {
 			_, err = b.client.EnrollContext(raw, c)
 		}
 		if err != nil {
-			b.failed(n, fmt.Errorf("dial %s: %w", addr, err))
+			b.dialFailed(n, fmt.Errorf("dial %s: %w", addr, err))
 		}
 	}()
 }
 
-// failed books a dial that came to nothing: all that waited for it never left.
-func (b *Backend) failed(n *node, err error) {
+// dialFailed handles a failed dial or hello: all attempts that wait for a connection end as Unreachable.
+func (b *Backend) dialFailed(n *node, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	n.dialing--
@@ -348,8 +345,8 @@
 	}
 	waiting := n.waiting
 	n.waiting = nil
-	for _, t := range waiting {
-		delete(b.tries, t.Ref)
-		b.report(t, control.Unreachable, err.Error())
+	for _, a := range waiting {
+		delete(b.attempts, a.Ref)
+		b.report(a, control.Unreachable, err.Error())
 	}
 }
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -15,54 +15,56 @@
 	"eiderhold/internal/standin"
 )
 
-// owner collects outcomes.
+// owner collects outcomes in place of the host.
 type owner struct {
-	mu     sync.Mutex
-	ends   map[uint64]host.Outcome
-	twice  int
-	probes []control.Result
-	bell   chan struct{}
+	mu         sync.Mutex
+	outcomes   map[uint64]host.Outcome
+	duplicates int
+	probes     []control.Result
+	notify     chan struct{}
 }
 
-func newOwner() *owner { return &owner{ends: map[uint64]host.Outcome{}, bell: make(chan struct{}, 1)} }
+func newOwner() *owner {
+	return &owner{outcomes: map[uint64]host.Outcome{}, notify: make(chan struct{}, 1)}
+}
 
 func (o *owner) Ended(x host.Outcome) {
 	o.mu.Lock()
-	if _, again := o.ends[x.Ref]; again {
-		o.twice++
+	if _, again := o.outcomes[x.Ref]; again {
+		o.duplicates++
 	}
-	o.ends[x.Ref] = x
+	o.outcomes[x.Ref] = x
 	o.mu.Unlock()
-	o.ring()
+	o.signal()
 }
 
 func (o *owner) Probed(_ string, r control.Result, _ time.Duration, _ []float64) {
 	o.mu.Lock()
 	o.probes = append(o.probes, r)
 	o.mu.Unlock()
-	o.ring()
+	o.signal()
 }
 
-func (o *owner) ring() {
+func (o *owner) signal() {
 	select {
-	case o.bell <- struct{}{}:
+	case o.notify <- struct{}{}:
 	default:
 	}
 }
 
-// wait waits until so many outcomes have come.
+// wait waits until there are n outcomes.
 func (o *owner) wait(t *testing.T, n int) {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
 		o.mu.Lock()
-		got := len(o.ends)
+		got := len(o.outcomes)
 		o.mu.Unlock()
 		if got >= n {
 			return
 		}
 		select {
-		case <-o.bell:
+		case <-o.notify:
 		case <-limit:
 			t.Fatalf("%d outcomes of %d", got, n)
 		}
@@ -72,10 +74,10 @@
 func (o *owner) result(ref uint64) host.Outcome {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.ends[ref]
+	return o.outcomes[ref]
 }
 
-func begin(t *testing.T, set Settings) (*Backend, *owner) {
+func newBackend(t *testing.T, set Settings) (*Backend, *owner) {
 	t.Helper()
 	o := newOwner()
 	if set.DialTimeout == 0 {
@@ -110,7 +112,7 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	b, o := begin(t, Settings{Conns: 3, Streams: 8, Waiting: 1000})
+	b, o := newBackend(t, Settings{Conns: 3, Streams: 8, Waiting: 1000})
 	b.Nodes([]host.Node{listed("n", n.Addr())})
 	payload := []byte(strings.Repeat("x", 100_000))
 	for i := range uint64(200) {
@@ -121,18 +123,19 @@
 		b.Send(read(1000+i, "n", string(rune('a'+i%26))+strings.Repeat("i", int(i/26)), len(payload)))
 	}
 	o.wait(t, 400)
-	for ref, x := range o.ends {
+	for ref, x := range o.outcomes {
 		if x.Result != control.Done || x.Shard != 5 || ref >= 1000 && string(x.Data.B) != string(payload) {
 			t.Fatalf("%d: %v %q, shard %d", ref, x.Result, x.Text, x.Shard)
 		}
 	}
-	if s := b.Stats(); s.Conns > 3 || s.Conns < 2 || o.twice != 0 {
-		t.Errorf("%+v, %d reported twice", s, o.twice)
+	if s := b.Stats(); s.Conns > 3 || s.Conns < 2 || o.duplicates != 0 {
+		t.Errorf("%+v, %d reported twice", s, o.duplicates)
 	}
 }
 
-// TestResultsAreToldApart: what proves that nothing ran truly does.
-func TestResultsAreToldApart(t *testing.T) {
+// TestResults checks the result of each way in which an attempt can end, so that results that say that nothing ran
+// are reported only when nothing did.
+func TestResults(t *testing.T) {
 	n, err := standin.StartNode(standin.NodeOptions{ID: "n", Cores: 1, Queue: 5})
 	if err != nil {
 		t.Fatal(err)
@@ -140,9 +143,9 @@
 	defer n.Close()
 	closed, _ := net.Listen("tcp", "127.0.0.1:0")
 	closed.Close()
-	mute, _ := net.Listen("tcp", "127.0.0.1:0") // takes connections and says nothing
+	mute, _ := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	defer mute.Close()
-	b, o := begin(t, Settings{Conns: 1, Streams: 8, Waiting: 2, DialTimeout: 300 * time.Millisecond})
+	b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 2, DialTimeout: 300 * time.Millisecond})
 	b.Nodes([]host.Node{listed("n", n.Addr()), listed("closed", closed.Addr().String()),
 		listed("mute", mute.Addr().String()), listed("other", n.Addr())})
 
@@ -150,8 +153,8 @@
 	b.Send(read(2, "closed", "i", 1))
 	b.Send(read(3, "mute", "i", 1))
 	b.Send(read(4, "mute", "i", 1))
-	b.Send(read(5, "mute", "i", 1))  // one more than may wait
-	b.Send(read(6, "other", "i", 1)) // another node answers there
+	b.Send(read(5, "mute", "i", 1))  // one more than Settings.Waiting
+	b.Send(read(6, "other", "i", 1)) // node n answers at this address
 	b.Send(read(7, "n", "no such item", 1))
 	b.Send(write(8, "n", "i", []byte("bytes")))
 	o.wait(t, 8)
@@ -168,9 +171,9 @@
 
 	n.Set(func(x *standin.Trouble) { x.Hang = true })
 	before := n.Counts().Arrived
-	b.Send(read(11, "n", "i", 1)) // taken by the only core, never answered
+	b.Send(read(11, "n", "i", 1)) // occupies the only core and is never answered
 	b.Send(read(12, "n", "i", 1))
-	until(t, func() bool { return n.Counts().Arrived == before+2 })
+	waitUntil(t, func() bool { return n.Counts().Arrived == before+2 })
 	n.Cut()
 	o.wait(t, 12)
 	for _, ref := range []uint64{11, 12} {
@@ -183,14 +186,14 @@
 	b.Send(read(13, "n", "i", 1))
 	o.wait(t, 13)
 	if got := o.result(13); got.Result != control.Busy {
-		t.Errorf("at a node that turns away: %s", host.ResultName(got.Result))
+		t.Errorf("at a draining node: %s", host.ResultName(got.Result))
 	}
-	if o.twice != 0 {
-		t.Errorf("%d outcomes were reported twice", o.twice)
+	if o.duplicates != 0 {
+		t.Errorf("%d outcomes were reported twice", o.duplicates)
 	}
 }
 
-func until(t *testing.T, ok func() bool) {
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -199,8 +202,8 @@
 	}
 }
 
-// TestPartlyWrittenFrameIsReset: the node reads a part of a large frame and drops the
-// connection; what was handed over may have run, what waited for a dial has not.
+// TestPartlyWrittenFrameIsReset checks that an attempt is reported as Reset when the node reads part of its frame and
+// closes the connection, and that an attempt that waited for a failed dial is Unreachable.
 func TestPartlyWrittenFrameIsReset(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -217,7 +220,7 @@
 		c.Close()
 		ln.Close()
 	}()
-	b, o := begin(t, Settings{Conns: 1, Streams: 8, Waiting: 8})
+	b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 8})
 	b.Nodes([]host.Node{listed("n", ln.Addr().String())})
 	b.Send(write(1, "n", "big", make([]byte, nodewire.MaxPayload)))
 	o.wait(t, 1)
@@ -231,11 +234,11 @@
 	}
 }
 
-// TestHostileNode sends what is no frame, or answers nobody asked for.
+// TestHostileNode checks that attempts end when a node sends invalid or unexpected frames.
 func TestHostileNode(t *testing.T) {
 	hello := nodewire.Append(nil, &nodewire.Hello{Version: nodewire.Version, Name: "n"})
 	for name, bytes := range map[string][]byte{
-		"noise":        []byte("HTTP/1.1 400 Bad Request\r\n\r\n"),
+		"garbage":      []byte("HTTP/1.1 400 Bad Request\r\n\r\n"),
 		"huge":         {255, 255, 255, 255, 1},
 		"wrong name":   nodewire.Append(nil, &nodewire.Hello{Version: nodewire.Version, Name: "m"}),
 		"old":          nodewire.Append(nil, &nodewire.Hello{Version: 0, Name: "n"}),
@@ -259,7 +262,7 @@
 				go io.Copy(io.Discard, c)
 			}
 		}()
-		b, o := begin(t, Settings{Conns: 1, Streams: 8, Waiting: 8})
+		b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 8})
 		b.Nodes([]host.Node{listed("n", ln.Addr().String())})
 		b.Send(read(1, "n", "i", 1))
 		o.wait(t, 1)
@@ -271,34 +274,34 @@
 	}
 }
 
-// TestDropAndIdle: a dropped attempt's answer is passed over, and idle connections and
-// those of nodes that went are closed.
+// TestDropAndIdle checks that the answer to a dropped attempt is ignored, and that idle connections and those of
+// unlisted nodes are closed.
 func TestDropAndIdle(t *testing.T) {
 	n, err := standin.StartNode(standin.NodeOptions{ID: "n", Cores: 1, Queue: 10, UnitTime: 50 * time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer n.Close()
-	b, o := begin(t, Settings{Conns: 1, Streams: 8, Waiting: 8, Cancelling: true, IdleClose: 100 * time.Millisecond})
+	b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 8, Cancelling: true, IdleClose: 100 * time.Millisecond})
 	b.Nodes([]host.Node{listed("n", n.Addr())})
 	b.Send(write(1, "n", "i", []byte("x")))
-	until(t, func() bool { return n.Counts().Arrived == 1 })
+	waitUntil(t, func() bool { return n.Counts().Arrived == 1 })
 	b.Drop(1)
 	b.Drop(1)
-	until(t, func() bool { return b.Stats().Unwanted == 1 })
+	waitUntil(t, func() bool { return b.Stats().Unwanted == 1 })
 	b.Probe("n")
-	until(t, func() bool { o.mu.Lock(); defer o.mu.Unlock(); return len(o.probes) == 1 })
-	until(t, func() bool { return b.Stats().Conns == 0 })
+	waitUntil(t, func() bool { o.mu.Lock(); defer o.mu.Unlock(); return len(o.probes) == 1 })
+	waitUntil(t, func() bool { return b.Stats().Conns == 0 })
 	b.Send(write(2, "n", "j", []byte("x")))
 	b.Nodes(nil)
 	o.wait(t, 1)
 	if got := o.result(2); got.Result != control.Done {
-		t.Errorf("out when its node went: %s", host.ResultName(got.Result))
+		t.Errorf("in flight when its node was unlisted: %s", host.ResultName(got.Result))
 	}
-	until(t, func() bool { return b.Stats().Conns == 0 })
+	waitUntil(t, func() bool { return b.Stats().Conns == 0 })
 	b.Send(write(3, "n", "k", nil))
 	o.wait(t, 2)
 	if got := o.result(3); got.Result != control.NotSent {
-		t.Errorf("to a node that went: %s", host.ResultName(got.Result))
+		t.Errorf("to an unlisted node: %s", host.ResultName(got.Result))
 	}
 }
--- a/internal/backend/handler.go
+++ b/internal/backend/handler.go
@@ -13,13 +13,13 @@
 	"eiderhold/internal/nodewire"
 )
 
-// handler is the backend's side of gnet's loops.
+// handler receives the events of gnet's loops.
 type handler struct {
 	gnet.BuiltinEventEngine
 	b *Backend
 }
 
-// OnOpen says hello; the connection takes attempts once the node has answered it.
+// OnOpen sends the gateway's hello; the connection carries attempts once the node's hello has arrived.
 func (h *handler) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
 	c, ok := g.Context().(*conn)
 	if !ok {
@@ -29,125 +29,127 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c.Conn = g
-	c.timer = time.AfterFunc(b.set.DialTimeout, func() {
+	c.timer = time.AfterFunc(b.settings.DialTimeout, func() {
 		b.mu.Lock()
-		late := !c.ready && !c.dead
+		late := !c.ready && !c.closed
 		if late {
-			c.lost = "no hello in time"
+			c.closeReason = "no hello in time"
 		}
 		b.mu.Unlock()
 		if late {
 			_ = g.Close()
 		}
 	})
-	return nodewire.Append(nil, &nodewire.Hello{Version: nodewire.Version, Name: b.set.Name, Shard: -1}), gnet.None
+	return nodewire.Append(nil, &nodewire.Hello{Version: nodewire.Version, Name: b.settings.Name, Shard: -1}), gnet.None
 }
 
-// OnTraffic takes whole frames off the connection; what is not whole stays in
-// gnet's buffer, which a frame's ceiling bounds.
+// OnTraffic reads complete frames from the connection. An incomplete frame stays in gnet's buffer, which the maximum
+// size of a frame bounds.
 func (h *handler) OnTraffic(g gnet.Conn) gnet.Action {
 	c, ok := g.Context().(*conn)
 	if !ok {
 		return gnet.Close
 	}
-	for g.InboundBuffered() >= c.need {
-		p, err := g.Peek(c.need)
+	for g.InboundBuffered() >= c.needBytes {
+		p, err := g.Peek(c.needBytes)
 		if err != nil {
 			return gnet.None
 		}
 		frame, n, err := nodewire.Decode(p)
 		if errors.Is(err, nodewire.ErrShort) {
-			if need := nodewire.Need(p); need > c.need {
-				c.need = need
+			if need := nodewire.Need(p); need > c.needBytes {
+				c.needBytes = need
 				continue
 			}
 			return gnet.None
 		}
 		if err == nil {
-			err = h.b.frame(c, frame)
+			err = h.b.handleFrame(c, frame)
 		}
 		if err != nil {
-			h.b.broken(c, err)
+			h.b.protocolError(c, err)
 			return gnet.Close
 		}
 		_, _ = g.Discard(n)
-		c.need = 4
+		c.needBytes = 4
 	}
 	return gnet.None
 }
 
-func (b *Backend) broken(c *conn, err error) {
+// protocolError records that a node has sent an invalid frame.
+func (b *Backend) protocolError(c *conn, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.stats.Broken++
-	c.lost = err.Error()
-	b.log.Warn("a node sent what is no frame; its connection is closed", "node", c.node.id, "err", err)
+	c.closeReason = err.Error()
+	b.log.Warn("backend: invalid frame from node, closing the connection", "node", c.node.id, "err", err)
 }
 
-// frame takes one frame.
-func (b *Backend) frame(c *conn, f nodewire.Frame) error {
+// handleFrame processes one frame. An error closes the connection.
+func (b *Backend) handleFrame(c *conn, f nodewire.Frame) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if hello, ok := f.(*nodewire.Hello); ok {
-		return b.hello(c, hello)
+		return b.handleHello(c, hello)
 	}
 	if !c.ready {
 		return fmt.Errorf("%T before the hello", f)
 	}
 	switch f := f.(type) {
 	case *nodewire.Answer:
-		t := c.tries[f.ID]
-		if t == nil || t.probe {
-			b.stats.Unwanted++ // dropped meanwhile
+		a := c.attempts[f.ID]
+		if a == nil || a.probe {
+			b.stats.Unwanted++ // the attempt was dropped
 			return nil
 		}
-		delete(c.tries, t.id)
-		delete(b.tries, t.Ref)
-		c.rest()
-		b.filled(c, f.Used, f.Capacity, f.Result == nodewire.NoRoom)
-		b.owner.Ended(outcome(t, f))
+		delete(c.attempts, a.id)
+		delete(b.attempts, a.Ref)
+		c.markIdle()
+		b.reportFill(c, f.Used, f.Capacity, f.Result == nodewire.NoRoom)
+		b.owner.Ended(toOutcome(a, f))
 	case *nodewire.Probed:
-		b.filled(c, f.Used, f.Capacity, false)
-		t := c.tries[f.ID]
-		if t == nil || !t.probe { // an earlier one than the last: a sign of life all the same
+		b.reportFill(c, f.Used, f.Capacity, false)
+		a := c.attempts[f.ID]
+		if a == nil || !a.probe { // answer to an earlier probe: it still shows that the node responds
 			b.stats.Unwanted++
-			b.owner.Probed(c.node.id, control.Done, 0, load(f.Queue, f.LatencyUs))
+			b.owner.Probed(c.node.id, control.Done, 0, loadValues(f.Queue, f.LatencyUs))
 			return nil
 		}
-		delete(c.tries, t.id)
+		delete(c.attempts, a.id)
 		c.probe = nil
-		c.rest()
-		b.owner.Probed(t.Node, control.Done, time.Since(t.sentAt), load(f.Queue, f.LatencyUs))
+		c.markIdle()
+		b.owner.Probed(a.Node, control.Done, time.Since(a.sentAt), loadValues(f.Queue, f.LatencyUs))
 	default:
 		return fmt.Errorf("%T is for nodes", f)
 	}
 	return nil
 }
 
-func (b *Backend) filled(c *conn, used, capacity uint64, noRoom bool) {
-	if b.set.Filled != nil && (capacity > 0 || noRoom) {
-		b.set.Filled(c.shard, used, capacity, noRoom)
+// reportFill passes the fill of a connection's shard to Settings.Filled.
+func (b *Backend) reportFill(c *conn, used, capacity uint64, noRoom bool) {
+	if b.settings.Filled != nil && (capacity > 0 || noRoom) {
+		b.settings.Filled(c.shard, used, capacity, noRoom)
 	}
 }
 
-// load is a report in the order of the settings' fields: queue, latency_ms.
-func load(queue, latencyUs uint32) []float64 {
+// loadValues returns a load report in the order of LoadFields.
+func loadValues(queue, latencyUs uint32) []float64 {
 	return []float64{float64(queue), float64(latencyUs) / 1000}
 }
 
 // LoadFields are the names of the values of a node's load report.
 var LoadFields = []string{"queue", "latency_ms"}
 
-// outcome tells results apart as control.Result has them.
-func outcome(t *try, f *nodewire.Answer) host.Outcome {
-	o := host.Outcome{Ref: t.Ref, Shard: int(f.Shard), VolumeUse: int(f.VolumeUse),
-		OthersGot: float64(f.OthersMilli) / 1000, Load: load(f.Queue, f.LatencyUs), Text: f.Text}
+// toOutcome converts a node's answer to an outcome. An answer to a read with the wrong number of bytes is an error.
+func toOutcome(a *attempt, f *nodewire.Answer) host.Outcome {
+	o := host.Outcome{Ref: a.Ref, Shard: int(f.Shard), VolumeUse: int(f.VolumeUse),
+		OthersGot: float64(f.OthersMilli) / 1000, Load: loadValues(f.Queue, f.LatencyUs), Text: f.Text}
 	switch f.Result {
 	case nodewire.Done:
 		o.Result = control.Done
-		if t.Request.Op == nodewire.Read {
-			if len(f.Payload) != t.Request.Length {
-				o.Result, o.Text = control.Error, fmt.Sprintf("%d bytes came of %d", len(f.Payload), t.Request.Length)
+		if a.Request.Op == nodewire.Read {
+			if len(f.Payload) != a.Request.Length {
+				o.Result, o.Text = control.Error, fmt.Sprintf("%d bytes came of %d", len(f.Payload), a.Request.Length)
 				return o
 			}
 			o.Data = buffer.Get(len(f.Payload))
@@ -165,8 +167,8 @@
 	return o
 }
 
-// hello makes a connection ready and hands it what waited.
-func (b *Backend) hello(c *conn, f *nodewire.Hello) error {
+// handleHello checks a node's hello, marks the connection ready and writes the waiting attempts to it.
+func (b *Backend) handleHello(c *conn, f *nodewire.Hello) error {
 	if c.ready || f.Version != nodewire.Version {
 		return fmt.Errorf("hello of version %d (second: %v): expected one of version %d", f.Version, c.ready, nodewire.Version)
 	}
@@ -180,19 +182,19 @@
 	n.conns = append(n.conns, c)
 	waiting := n.waiting
 	n.waiting = nil
-	for i, t := range waiting {
-		if len(c.tries) >= b.set.Streams && len(n.conns) < b.set.Conns {
+	for i, a := range waiting {
+		if len(c.attempts) >= b.settings.Streams && len(n.conns) < b.settings.Conns {
 			n.waiting = waiting[i:]
 			b.dial(n)
 			break
 		}
-		b.hand(c, t)
+		b.write(c, a)
 	}
 	return nil
 }
 
-// OnClose reports what was out as Reset, and what waited for this connection's
-// hello as Unreachable: none of it was handed over.
+// OnClose reports the attempts in flight as Reset. If the connection ends before the node's hello, the waiting
+// attempts are reported as Unreachable: none of them was handed to a socket.
 func (h *handler) OnClose(g gnet.Conn, err error) gnet.Action {
 	c, ok := g.Context().(*conn)
 	if !ok {
@@ -208,20 +210,20 @@
 	}
 	if !c.ready {
 		b.mu.Lock()
-		c.dead = true
-		if c.lost != "" {
-			text = c.lost
+		c.closed = true
+		if c.closeReason != "" {
+			text = c.closeReason
 		}
 		b.mu.Unlock()
-		b.failed(c.node, fmt.Errorf("connection to %s: %s", c.node.addr, text))
+		b.dialFailed(c.node, fmt.Errorf("connection to %s: %s", c.node.addr, text))
 		return gnet.None
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if c.lost != "" {
-		text = c.lost
+	if c.closeReason != "" {
+		text = c.closeReason
 	}
-	c.dead = true
+	c.closed = true
 	b.stats.Closed++
 	n := c.node
 	for i, o := range n.conns {
@@ -230,27 +232,27 @@
 			break
 		}
 	}
-	if b.ended {
+	if b.closed {
 		return gnet.None
 	}
-	for _, t := range c.tries {
-		delete(b.tries, t.Ref)
-		b.report(t, control.Reset, text)
+	for _, a := range c.attempts {
+		delete(b.attempts, a.Ref)
+		b.report(a, control.Reset, text)
 	}
-	c.tries = nil
+	c.attempts = nil
 	return gnet.None
 }
 
-// OnTick closes connections that have been idle for the stated time, and those of
-// nodes that are no longer listed as soon as nothing is out on them.
+// OnTick closes connections that have been idle for Settings.IdleClose, and those of unlisted nodes once no attempt is
+// in flight on them.
 func (h *handler) OnTick() (time.Duration, gnet.Action) {
 	b := h.b
 	b.mu.Lock()
 	var idle []*conn
 	for id, n := range b.nodes {
 		for _, c := range n.conns {
-			if len(c.tries) == 0 && (!n.listed || b.set.IdleClose > 0 && time.Since(c.idle) > b.set.IdleClose) {
-				c.dead = true
+			if len(c.attempts) == 0 && (!n.listed || b.settings.IdleClose > 0 && time.Since(c.idleSince) > b.settings.IdleClose) {
+				c.closed = true
 				idle = append(idle, c)
 			}
 		}
