--- a/internal/buffer/buffer.go
+++ b/internal/buffer/buffer.go
@@ -1,5 +1,5 @@
-// Package buffer lends out byte buffers of a few sizes, so that carrying a
-// payload from a socket to another allocates nothing that grows with it.
+// Package buffer provides pooled byte buffers of a few sizes, so that forwarding a payload from one socket to another
+// does not allocate memory in proportion to its size. The host, the backends and the fronts use it.
 package buffer
 
 import (
@@ -8,37 +8,36 @@
 )
 
 const (
-	leastBits = 9  // 512 bytes
-	mostBits  = 23 // 8 MiB: larger ones are made and forgotten
+	minSizeBits = 9  // 512 bytes
+	maxSizeBits = 23 // 8 MiB: larger buffers are not pooled
 )
 
-var pools [mostBits + 1]sync.Pool
+var pools [maxSizeBits + 1]sync.Pool
 
-// Buffer is a lent buffer. Whoever holds it last may Release it; one that is
-// never released is merely garbage.
+// Buffer is a buffer from a pool. Its last user may Release it; a buffer that is never released is garbage-collected.
 type Buffer struct {
-	B    []byte
-	size int // bits; 0: not from a pool
+	B        []byte
+	sizeBits int // log2 of the capacity; 0: not from a pool
 }
 
-// Get lends a buffer of n bytes, of undefined content.
+// Get returns a buffer of n bytes with undefined content.
 func Get(n int) *Buffer {
-	size := max(leastBits, bits.Len(uint(max(n, 1)-1)))
-	if size > mostBits {
+	sizeBits := max(minSizeBits, bits.Len(uint(max(n, 1)-1)))
+	if sizeBits > maxSizeBits {
 		return &Buffer{B: make([]byte, n)}
 	}
-	if b, ok := pools[size].Get().(*Buffer); ok {
+	if b, ok := pools[sizeBits].Get().(*Buffer); ok {
 		b.B = b.B[:n]
 		return b
 	}
-	return &Buffer{B: make([]byte, n, 1<<size), size: size}
+	return &Buffer{B: make([]byte, n, 1<<sizeBits), sizeBits: sizeBits}
 }
 
-// Release gives the buffer back. It must not be used afterwards. A nil buffer and
-// one that has grown out of its lent array are left alone.
+// Release returns the buffer to its pool. It must not be used afterwards. Release does nothing for a nil buffer, and
+// for one that has been reallocated.
 func (b *Buffer) Release() {
-	if b == nil || b.size == 0 || cap(b.B) != 1<<b.size {
+	if b == nil || b.sizeBits == 0 || cap(b.B) != 1<<b.sizeBits {
 		return
 	}
-	pools[b.size].Put(b)
+	pools[b.sizeBits].Put(b)
 }
--- a/internal/wheel/wheel_test.go
+++ b/internal/wheel/wheel_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestAgainstList drives a wheel and a plain list with the same calls.
+// TestAgainstList compares a wheel with a plain list of timers that gets the same calls.
 func TestAgainstList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Duration(rapid.Int64Range(0, 1e13).Draw(t, "start"))
@@ -41,7 +41,7 @@
 						if at > next-time.Millisecond {
 							continue
 						}
-						if at > now { // a passed time may be due "now"
+						if at > now { // a time that has passed may be due at now
 							t.Fatalf("next %v is after timer %d at %v", next, id, at)
 						}
 					}
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestFiresInOrderAndMayAdd(t *testing.T) {
+func TestFiresInOrderAndAllowsAdd(t *testing.T) {
 	w := New[int](time.Millisecond, 0)
 	var got []int
 	for _, ms := range []int{70000, 3, 500, 64, 4096, 65, 1} {
@@ -76,11 +76,11 @@
 		got = append(got, ms)
 		if ms == 500 && len(got) == 5 {
 			w.Add(501*time.Millisecond, 501)
-			w.Add(0, 500) // passed: at once
+			w.Add(0, 500) // in the past: due at once
 			w.Add(0, 500)
 		}
 		if len(got) > 50 {
-			t.Fatal("does not end")
+			t.Fatal("Advance does not end")
 		}
 	})
 	if len(got) != 10 || !slices.IsSorted(got) {
@@ -93,21 +93,20 @@
 	pos int
 }
 
-type plainHeap []*entry
+type entryHeap []*entry
 
-func (h plainHeap) Len() int           { return len(h) }
-func (h plainHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h plainHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].pos, h[j].pos = i, j }
-func (h *plainHeap) Push(x any)        { e := x.(*entry); e.pos = len(*h); *h = append(*h, e) }
-func (h *plainHeap) Pop() any {
+func (h entryHeap) Len() int           { return len(h) }
+func (h entryHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h entryHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i]; h[i].pos, h[j].pos = i, j }
+func (h *entryHeap) Push(x any)        { e := x.(*entry); e.pos = len(*h); *h = append(*h, e) }
+func (h *entryHeap) Pop() any {
 	old := *h
 	e := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return e
 }
 
-// BenchmarkTimers adds a timer and cancels another, as a request and its answer
-// do, with so many timers standing.
+// BenchmarkTimers adds a timer and cancels another, as a request and its answer do, with n timers pending.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{10, 10_000, 1_000_000} {
 		rng := rand.New(rand.NewSource(1))
@@ -126,7 +125,7 @@
 			}
 		})
 		b.Run(fmt.Sprintf("heap/%d", n), func(b *testing.B) {
-			h := &plainHeap{}
+			h := &entryHeap{}
 			all := make([]*entry, n)
 			for i := range all {
 				all[i] = &entry{at: at()}
