--- a/internal/backend/http/answer.go
+++ b/internal/backend/http/answer.go
@@ -23,7 +23,7 @@
 // the connection ends shows whether it is complete.
 type responseReader struct {
 	buf          []byte // bytes of the head until it is complete
-	scanned      int
+	scanned      int    // bytes of buf already searched for the end of a head
 	interimCount int
 	headParsed   bool
 	head         http1.Response // its fields are copied out as the head is read
--- a/internal/backend/http/backend.go
+++ b/internal/backend/http/backend.go
@@ -64,7 +64,9 @@
 	closed    bool
 }
 
-// Stats are counters since the start; Conns, Out and Waiting are current values.
+// Stats are counters since the start; Conns, Out and Waiting are current values. Spoilt counts invalid responses,
+// Excess connections with unsolicited bytes, Stale connections found unusable before reuse, and Given attempts dropped
+// in flight.
 type Stats struct {
 	Dials, DialsFailed, Written, Answers, Spoilt, Excess, Stale, Given uint64
 	Rested                                                             uint64        // attempts that waited for a connection in its rest period
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -75,7 +75,9 @@
 	stats        Stats
 }
 
-// Stats are counters since the start; Conns, Open and Held are current values.
+// Stats are counters since the start; Conns, Open and Held are current values. Accepted counts connections, Wrong
+// requests rejected by the front, Late those of them that did not arrive in time, Left open requests whose clients
+// have gone, and Evicted connections that were idle too long or made room for others.
 type Stats struct {
 	Accepted, Requests, Served, Refused, Failed, Wrong, Left, Evicted, Late uint64
 	Conns, Open                                                             int
@@ -312,7 +314,7 @@
 	f          *Front
 	g          gnet.Conn
 	buf        []byte
-	scanned    int
+	scanned    int           // bytes of buf already searched for the end of a head
 	headParsed bool          // the head of the present request is complete, its body may not be
 	pending    *host.Request // the request of that head; nil: a health check
 	headLen    int
@@ -324,14 +326,15 @@
 	bodyBytes  int           // bytes of req's body, counted as held until its answer
 	closeAfter bool          // the connection closes after the next answer
 	discarding bool          // input is discarded, and the connection closes after the next answer
-	hadRequest bool
-	flushing   bool // the last answer is not written completely
-	closing    bool // being closed: no requests are read from it
+	hadRequest bool          // at least one complete request has been read
+	flushing   bool          // the last answer is not written completely
+	closing    bool          // being closed: no requests are read from it
 	closed     bool
 	openedAt   time.Duration
-	stateSince time.Duration
+	stateSince time.Duration // when the connection began to receive, to write or to wait
 }
 
+// state returns the connection's state, from which package limits decides whether to evict it.
 func (c *conn) state() limits.Conn {
 	return limits.Conn{Open: c.req != nil, Taking: c.flushing, Ending: c.closing, Asked: c.hadRequest, Begun: len(c.buf) > 0 || c.chunks != nil,
 		Opened: c.openedAt, Since: c.stateSince}
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -178,7 +178,7 @@
 	r.host.mu.Unlock()
 	c.send(get(id(4)))
 	if s, _, h := c.answer(); s != 503 || h.Get("Retry-After") != "0.500" {
-		t.Fatalf("at the ceiling of open requests: %d %v", s, h)
+		t.Fatalf("at the limit of open requests: %d %v", s, h)
 	}
 }
 
@@ -700,8 +700,8 @@
 	if s, _, _ := c.answer(); s != 200 {
 		t.Fatalf("%d", s)
 	}
-	if taken, of := r.usage(); taken > of {
-		t.Fatalf("%d connections of %d", taken, of)
+	if used, limit := r.usage(); used > limit {
+		t.Fatalf("%d connections of %d", used, limit)
 	}
 	open.Answer(served("y"))
 	if s, body, _ := busy.answer(); s != 200 || body != "y" {
@@ -763,8 +763,8 @@
 	for range places - 1 { // one place is kept for the connection being accepted
 		first = append(first, <-r.host.submitted)
 	}
-	if taken, of := r.usage(); taken > of || len(r.host.submitted) > 1 {
-		t.Fatalf("%d places of %d, and %d more requests", taken, of, len(r.host.submitted))
+	if used, limit := r.usage(); used > limit || len(r.host.submitted) > 1 {
+		t.Fatalf("%d places of %d, and %d more requests", used, limit, len(r.host.submitted))
 	}
 	for _, q := range first {
 		q.Answer(served("x"))
