--- a/internal/backend/http/answer.go
+++ b/internal/backend/http/answer.go
@@ -100,7 +100,7 @@
 func (r *responseReader) acceptHead(h http1.Response) error {
 	v, times := h.Header.Get("Not-Started")
 	r.notStarted = times == 1 && string(v) == "1"
-	r.volumeUse, r.loadReport = h.Header.Text("X-Meter"), h.Header.Text("Server-Load")
+	r.volumeUse, r.loadReport = h.Header.SingleValue("X-Meter"), h.Header.SingleValue("Server-Load")
 	r.headParsed, r.head = true, h
 	r.head.Header = nil
 	switch {
--- a/internal/backend/http/backend.go
+++ b/internal/backend/http/backend.go
@@ -413,9 +413,9 @@
 	if m.Key != "" {
 		buf = http1.AppendField(buf, "Idempotency-Key", m.Key)
 	}
-	buf = http1.AppendInt(buf, "Request-Timeout-Ms", remaining)
+	buf = http1.AppendIntField(buf, "Request-Timeout-Ms", remaining)
 	if len(m.Body) > 0 || m.Method != "GET" {
-		buf = http1.AppendInt(buf, "Content-Length", int64(len(m.Body)))
+		buf = http1.AppendIntField(buf, "Content-Length", int64(len(m.Body)))
 	}
 	buf = append(http1.AppendEnd(buf), m.Body...)
 	if _, err := c.g.Write(buf); err != nil {
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -597,7 +597,7 @@
 	closeConn := c.closeAfter || c.discarding || c.f.draining || !c.f.keepAlive && !limits.Keep(c.f.usage())
 	b := make([]byte, 0, 192+len(body))
 	b = http1.AppendStatus(b, status)
-	b = http1.AppendInt(b, "Content-Length", int64(len(body)))
+	b = http1.AppendIntField(b, "Content-Length", int64(len(body)))
 	if retryAfter != "" {
 		b = http1.AppendField(b, "Retry-After", retryAfter)
 	}
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -53,12 +53,12 @@
 
 // parse converts a request's head to a host request, without the body, which is read later.
 func (rs rules) parse(h *http1.Request) (*host.Request, error) {
-	m := &http1.Message{Method: string(h.Method), Target: string(h.Target), ID: h.Header.Text("Request-Id")}
+	m := &http1.Message{Method: string(h.Method), Target: string(h.Target), ID: h.Header.SingleValue("Request-Id")}
 	r := &host.Request{Message: m}
 	if !isHexID(m.ID) {
 		return nil, newRequestError(400, "Request-Id: expected %d hexadecimal digits, once", idDigits)
 	}
-	r.Class, r.Plan = h.Header.Text("Request-Class"), h.Header.Text("X-Storage-Class")
+	r.Class, r.Plan = h.Header.SingleValue("Request-Class"), h.Header.SingleValue("X-Storage-Class")
 	class, known := rs.classes[r.Class]
 	if !known {
 		return nil, newRequestError(400, "Request-Class %q: not in the settings", truncate(r.Class))
@@ -80,16 +80,16 @@
 	if r.Volume, r.Item, err = parsePath(m.Target); err != nil {
 		return nil, err
 	}
-	if r.Expires, err = parseTimeout(h.Header.Text("Request-Timeout-Ms")); err != nil {
+	if r.Expires, err = parseTimeout(h.Header.SingleValue("Request-Timeout-Ms")); err != nil {
 		return nil, err
 	}
 	if class.Effect == control.Keyed {
-		if m.Key = h.Header.Text("Idempotency-Key"); m.Key == "" || len(m.Key) > maxKeyBytes {
+		if m.Key = h.Header.SingleValue("Idempotency-Key"); m.Key == "" || len(m.Key) > maxKeyBytes {
 			return nil, newRequestError(400, "Idempotency-Key: class %s needs one, of up to %d bytes", r.Class, maxKeyBytes)
 		}
 	}
-	r.Retry = h.Header.Text("Client-Retry") == "1"
-	return r, rs.parseExtent(r, h.Header.Text("X-Extent"))
+	r.Retry = h.Header.SingleValue("Client-Retry") == "1"
+	return r, rs.parseExtent(r, h.Header.SingleValue("X-Extent"))
 }
 
 // parseExtent parses units=U,shard=S,hosts=H, in any order.
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -57,8 +57,8 @@
 	return value, times
 }
 
-// Text returns the value of a field that occurs exactly once, otherwise the empty string.
-func (h Header) Text(name string) string {
+// SingleValue returns the value of a field that occurs exactly once, otherwise the empty string.
+func (h Header) SingleValue(name string) string {
 	if v, times := h.Get(name); times == 1 {
 		return string(v)
 	}
--- a/internal/http1/write.go
+++ b/internal/http1/write.go
@@ -30,8 +30,8 @@
 	return append(append(b, value...), "\r\n"...)
 }
 
-// AppendInt appends a header field with a number as its value.
-func AppendInt(b []byte, name string, value int64) []byte {
+// AppendIntField appends a header field with a number as its value.
+func AppendIntField(b []byte, name string, value int64) []byte {
 	b = append(append(b, name...), ": "...)
 	return append(strconv.AppendInt(b, value, 10), "\r\n"...)
 }
