--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -15,7 +15,7 @@
 const ms = time.Millisecond
 
 // fake is a backend that notes what it is told.
-type fake struct {
+type fakeBackend struct {
 	sent      []Attempt
 	dropped   []uint64
 	withdrawn []uint64
@@ -23,19 +23,19 @@
 	nodes     int
 }
 
-func (f *fake) Send(a Attempt)     { f.sent = append(f.sent, a) }
-func (f *fake) Drop(ref uint64)    { f.dropped = append(f.dropped, ref) }
-func (f *fake) Withdraw(r uint64)  { f.withdrawn = append(f.withdrawn, r) }
-func (f *fake) Probe(node string)  { f.probed = append(f.probed, node) }
-func (f *fake) Nodes(nodes []Node) { f.nodes = len(nodes) }
+func (f *fakeBackend) Send(a Attempt)     { f.sent = append(f.sent, a) }
+func (f *fakeBackend) Drop(ref uint64)    { f.dropped = append(f.dropped, ref) }
+func (f *fakeBackend) Withdraw(r uint64)  { f.withdrawn = append(f.withdrawn, r) }
+func (f *fakeBackend) Probe(node string)  { f.probed = append(f.probed, node) }
+func (f *fakeBackend) Nodes(nodes []Node) { f.nodes = len(nodes) }
 
 // script is a decider that answers as it is told.
-type script struct {
+type scriptedController struct {
 	events []control.Event
 	next   func([]control.Event) []control.Action
 }
 
-func (s *script) Step(_ time.Duration, events []control.Event) []control.Action {
+func (s *scriptedController) Step(_ time.Duration, events []control.Event) []control.Action {
 	s.events = append([]control.Event(nil), events...)
 	if s.next == nil {
 		return nil
@@ -44,23 +44,23 @@
 }
 
 // bench is a host whose turns and clock a test drives.
-type bench struct {
+type testHost struct {
 	*Host
 	t    *testing.T
-	back *fake
-	at   time.Duration
+	back *fakeBackend
+	now  time.Duration
 }
 
-func newBench(t *testing.T, d decider) *bench {
-	b := &bench{t: t, back: &fake{}, at: time.Hour}
-	h, err := New(Options{Backend: b.back, MostOpen: 3, Clock: func() time.Duration { return b.at },
+func newTestHost(t *testing.T, d controller) *testHost {
+	b := &testHost{t: t, back: &fakeBackend{}, now: time.Hour}
+	h, err := New(Options{Backend: b.back, MostOpen: 3, Clock: func() time.Duration { return b.now },
 		Settings: control.Settings{Hosts: 1, MaxAttempts: 4, SecondCopies: true, LoadFields: []string{"queue", "latency_ms"},
 			Classes: []control.Class{{Name: "read", Aim: 100 * ms, Deadline: time.Second, Worth: 1}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if d != nil {
-		h.ctl = d
+		h.controller = d
 	}
 	b.Host = h
 	h.List(List{Kind: control.ListFull, Nodes: []Node{{Node: control.Node{ID: "n"}, Addr: "a"}, {Node: control.Node{ID: "m", Shard: 1}, Addr: "b"}}})
@@ -70,14 +70,14 @@
 
 // step moves the clock on and takes two turns: what an action brings about comes in
 // the second.
-func (b *bench) step(d time.Duration) {
-	b.at += d
+func (b *testHost) step(d time.Duration) {
+	b.now += d
 	b.turn()
 	b.turn()
 }
 
 // ask submits a request and returns where its answers go.
-func (b *bench) ask(expires time.Duration) (*[]Answer, uint64) {
+func (b *testHost) submit(expires time.Duration) (*[]Answer, uint64) {
 	b.t.Helper()
 	var got []Answer
 	id, err := b.Submit(&Request{Class: "read", Volume: "v", Item: "i", Units: 1, Expires: expires, Op: nodewire.Read,
@@ -89,8 +89,8 @@
 }
 
 func TestServed(t *testing.T) {
-	b := newBench(t, nil)
-	got, _ := b.ask(time.Second)
+	b := newTestHost(t, nil)
+	got, _ := b.submit(time.Second)
 	b.step(5 * ms)
 	if len(b.back.sent) != 1 || b.back.nodes != 2 || b.back.sent[0].Left > 980*ms {
 		t.Fatalf("sent %+v", b.back.sent)
@@ -103,7 +103,7 @@
 	}
 	b.Ended(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done})
 	b.step(time.Second)
-	if len(*got) != 1 || b.stats.Late != 1 || len(b.reqs)+len(b.out)+b.wheel.Len() > 1 || b.stats.Defects != 0 {
+	if len(*got) != 1 || b.stats.Late != 1 || len(b.requests)+len(b.inFlight)+b.wheel.Len() > 1 || b.stats.Defects != 0 {
 		t.Errorf("%d answers, %+v, %d timers", len(*got), b.stats, b.wheel.Len())
 	}
 }
@@ -111,8 +111,8 @@
 // TestNoAnswerFromTheNode: the attempt times out before the client's time is up, and
 // the client has its answer within it.
 func TestNoAnswerFromTheNode(t *testing.T) {
-	b := newBench(t, nil)
-	got, _ := b.ask(500 * ms)
+	b := newTestHost(t, nil)
+	got, _ := b.submit(500 * ms)
 	b.step(0)
 	for range 500 {
 		b.step(ms)
@@ -132,10 +132,10 @@
 }
 
 // TestLastResort: a controller that never decides does not keep a client waiting.
-func TestLastResort(t *testing.T) {
-	d := &script{}
-	b := newBench(t, d)
-	got, _ := b.ask(300 * ms)
+func TestNoDecisionFailsRequestOnExpiry(t *testing.T) {
+	d := &scriptedController{}
+	b := newTestHost(t, d)
+	got, _ := b.submit(300 * ms)
 	b.step(0)
 	b.step(299 * ms)
 	if len(*got) != 0 {
@@ -148,7 +148,7 @@
 	if _, gone := d.events[0].(control.ClientGone); !gone {
 		t.Errorf("the controller was told %+v", d.events)
 	}
-	b.ctl = &script{next: func([]control.Event) []control.Action {
+	b.controller = &scriptedController{next: func([]control.Event) []control.Action {
 		return []control.Action{control.Refuse{ID: "1"}, control.Send{ID: "1", Node: "n"}}
 	}}
 	b.List(List{Kind: control.ListFailed})
@@ -160,14 +160,14 @@
 
 // TestPanicEndsTheHost: open requests are failed, the recorder is flushed, and the
 // loop does not go on.
-func TestPanicEndsTheHost(t *testing.T) {
-	b := newBench(t, nil)
-	rec := &flushed{}
-	b.opt.Recorder = rec
-	got, _ := b.ask(time.Second)
+func TestControllerPanic(t *testing.T) {
+	b := newTestHost(t, nil)
+	rec := &flushRecorder{}
+	b.options.Recorder = rec
+	got, _ := b.submit(time.Second)
 	b.step(0)
-	b.ctl = &script{next: func([]control.Event) []control.Action { panic("a bug") }}
-	second, _ := b.ask(time.Second)
+	b.controller = &scriptedController{next: func([]control.Event) []control.Action { panic("a bug") }}
+	second, _ := b.submit(time.Second)
 	err := b.Run()
 	if err == nil || !strings.Contains(err.Error(), "a bug") {
 		t.Fatalf("run: %v", err)
@@ -180,24 +180,24 @@
 	}
 }
 
-type flushed struct{ n int }
+type flushRecorder struct{ n int }
 
-func (*flushed) Batch(time.Duration, []control.Event, []control.Action) {}
-func (f *flushed) Flush()                                               { f.n++ }
+func (*flushRecorder) Batch(time.Duration, []control.Event, []control.Action) {}
+func (f *flushRecorder) Flush()                                               { f.n++ }
 
 // TestActionsOfAllKinds carries each kind out.
-func TestActionsOfAllKinds(t *testing.T) {
-	d := &script{}
-	b := newBench(t, d)
-	reg := &register{}
+func TestActions(t *testing.T) {
+	d := &scriptedController{}
+	b := newTestHost(t, d)
+	reg := &fakeRegister{}
 	b.Follow(reg)
-	got, _ := b.ask(time.Second)
+	got, _ := b.submit(time.Second)
 	b.step(0)
 	d.next = func([]control.Event) []control.Action {
 		d.next = nil
 		return []control.Action{control.Send{ID: "1", Node: "n", Within: 50 * ms}, control.Send{ID: "1", Node: "m"},
 			control.Send{ID: "1", Node: "nobody"}, control.Cancel{ID: "1", Attempt: 1}, control.Cancel{ID: "1", Attempt: 9},
-			control.SetTimer{At: b.at + 70*ms, Token: 42}, control.Probe{Node: "m"}, control.Subscribe{}, control.FetchList{},
+			control.SetTimer{At: b.now + 70*ms, Token: 42}, control.Probe{Node: "m"}, control.Subscribe{}, control.FetchList{},
 			control.Log{Text: "x"}, control.Refuse{ID: "unknown"}}
 	}
 	b.List(List{Kind: control.ListFailed})
@@ -217,12 +217,12 @@
 	if len(want) != 0 {
 		t.Errorf("no outcome for %v", want)
 	}
-	b.at += 51 * ms
+	b.now += 51 * ms
 	b.turn()
 	if o, ok := d.events[0].(control.Outcome); !ok || o.Result != control.TimedOut || o.Attempt != 0 || o.Elapsed < 50*ms || o.Closed {
 		t.Errorf("the attempt's own time-out: %+v", d.events)
 	}
-	b.at += 20 * ms
+	b.now += 20 * ms
 	b.turn()
 	if f, ok := d.events[0].(control.TimerFired); !ok || f.Token != 42 {
 		t.Errorf("timer: %+v", d.events)
@@ -238,17 +238,17 @@
 	}
 }
 
-type register struct{ n int }
+type fakeRegister struct{ n int }
 
-func (r *register) Subscribe() { r.n++ }
-func (r *register) Fetch()     { r.n++ }
+func (r *fakeRegister) Subscribe() { r.n++ }
+func (r *fakeRegister) Fetch()     { r.n++ }
 
 // TestCeilingOfOpenRequests: at it a request is refused and nothing is lost.
-func TestCeilingOfOpenRequests(t *testing.T) {
-	b := newBench(t, &script{})
+func TestMaxOpenRequests(t *testing.T) {
+	b := newTestHost(t, &scriptedController{})
 	var all []*[]Answer
 	for range 3 {
-		got, _ := b.ask(100 * ms)
+		got, _ := b.submit(100 * ms)
 		all = append(all, got)
 	}
 	if _, err := b.Submit(&Request{Class: "read", Expires: time.Second}); !errors.Is(err, ErrFull) {
@@ -268,12 +268,12 @@
 
 // TestClientLeaves: nothing is answered, what has not left is withdrawn, and a late outcome still reaches
 // the controller, closed.
-func TestClientLeaves(t *testing.T) {
-	b := newBench(t, nil)
-	got, id := b.ask(time.Second)
+func TestClientGone(t *testing.T) {
+	b := newTestHost(t, nil)
+	got, id := b.submit(time.Second)
 	b.step(0)
-	d := &script{}
-	b.ctl = d
+	d := &scriptedController{}
+	b.controller = d
 	b.Leave(id)
 	b.Leave(999)
 	b.step(0)
@@ -285,28 +285,28 @@
 	}
 	b.Ended(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done, Data: buffer.Get(1)})
 	b.step(0)
-	if o, ok := d.events[0].(control.Outcome); !ok || !o.Closed || len(*got) != 0 || len(b.reqs) != 0 {
-		t.Errorf("told %+v, %d answers, %d requests", d.events, len(*got), len(b.reqs))
+	if o, ok := d.events[0].(control.Outcome); !ok || !o.Closed || len(*got) != 0 || len(b.requests) != 0 {
+		t.Errorf("told %+v, %d answers, %d requests", d.events, len(*got), len(b.requests))
 	}
 }
 
 // TestTimeInTheMailboxIsGone: a loop that stood still hands over what is left.
-func TestTimeInTheMailboxIsGone(t *testing.T) {
-	d := &script{}
-	b := newBench(t, d)
-	b.ask(time.Second)
-	b.at += 400 * ms
+func TestMailboxTimeReducesExpires(t *testing.T) {
+	d := &scriptedController{}
+	b := newTestHost(t, d)
+	b.submit(time.Second)
+	b.now += 400 * ms
 	b.turn()
 	if r := d.events[0].(control.Request); r.Expires != 580*ms {
 		t.Errorf("the controller was given %v", r.Expires)
 	}
 }
 
-func TestStartedAtIsTheSameEachTime(t *testing.T) {
-	b := newBench(t, nil)
+func TestStartedAtIsStable(t *testing.T) {
+	b := newTestHost(t, nil)
 	wall := time.Now().Add(-10 * time.Second)
 	first := b.StartedAt("n", wall)
-	b.at += time.Second
+	b.now += time.Second
 	if again := b.StartedAt("n", wall); again != first || first <= 0 {
 		t.Errorf("%v, then %v", first, again)
 	}
@@ -316,16 +316,16 @@
 }
 
 // echo answers every attempt at the next turn.
-type echo struct{ sent []Attempt }
+type echoBackend struct{ sent []Attempt }
 
-func (e *echo) Send(a Attempt)  { e.sent = append(e.sent, a) }
-func (e *echo) Drop(uint64)     {}
-func (e *echo) Withdraw(uint64) {}
-func (e *echo) Probe(string)    {}
-func (e *echo) Nodes([]Node)    {}
+func (e *echoBackend) Send(a Attempt)  { e.sent = append(e.sent, a) }
+func (e *echoBackend) Drop(uint64)     {}
+func (e *echoBackend) Withdraw(uint64) {}
+func (e *echoBackend) Probe(string)    {}
+func (e *echoBackend) Nodes([]Node)    {}
 
 // answerAll answers what was sent, and what is sent upon it, a millisecond a round.
-func (e *echo) answerAll(h *Host, at *time.Duration) {
+func (e *echoBackend) answerAll(h *Host, at *time.Duration) {
 	for len(e.sent) > 0 {
 		sent := e.sent
 		e.sent = nil
@@ -342,7 +342,7 @@
 func BenchmarkDecide(b *testing.B) {
 	for _, nodes := range []int{8, 42, 300} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			e := &echo{}
+			e := &echoBackend{}
 			at := time.Hour
 			h, err := New(Options{Backend: e, Clock: func() time.Duration { return at },
 				Settings: control.Settings{Hosts: 1, MaxAttempts: 4, SecondCopies: true, LoadFields: []string{"queue", "latency_ms"},
@@ -377,7 +377,7 @@
 // BenchmarkBurst is one turn that takes a thousand requests at once, at 8 nodes that
 // are busy already.
 func BenchmarkBurst(b *testing.B) {
-	e := &echo{}
+	e := &echoBackend{}
 	at := time.Hour
 	h, err := New(Options{Backend: e, Clock: func() time.Duration { return at },
 		Settings: control.Settings{Hosts: 1, MaxAttempts: 4, SecondCopies: true, LoadFields: []string{"queue", "latency_ms"},
@@ -410,20 +410,20 @@
 }
 
 // TestStartsForEver: nodes that start and are replaced for ever are not remembered for ever.
-func TestStartsForEver(t *testing.T) {
+func TestNodeStartsBounded(t *testing.T) {
 	h, err := New(Options{Settings: control.Settings{Classes: []control.Class{{Name: "read"}}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	begin := time.Now()
-	for i := range 3 * startsMost {
+	for i := range 3 * maxNodeStarts {
 		wall := begin.Add(-time.Hour + time.Duration(i)*time.Millisecond)
 		name := fmt.Sprint("n", i)
 		if at := h.StartedAt(name, wall); at == 0 || at != h.StartedAt(name, wall) {
 			t.Fatalf("%s: %v, then %v", name, at, h.StartedAt(name, wall))
 		}
-		if len(h.started) > startsMost {
-			t.Fatalf("%d starts remembered", len(h.started))
+		if len(h.nodeStarts) > maxNodeStarts {
+			t.Fatalf("%d starts remembered", len(h.nodeStarts))
 		}
 	}
 }
--- a/internal/host/stats.go
+++ b/internal/host/stats.go
@@ -8,15 +8,15 @@
 	"eiderhold/control"
 )
 
-const statsEvery = 200 * time.Millisecond // how old Stats may be
+const statsInterval = 200 * time.Millisecond // between two publications of Stats
 
-// Times is a histogram of durations, in microseconds, up to a minute.
+// Times is a histogram of durations from one microsecond to one minute.
 type Times struct{ h *hdrhistogram.Histogram }
 
-// Record books one duration. It is not safe for concurrent use.
+// Record adds a duration. It is not safe for concurrent use.
 func (t *Times) Record(d time.Duration) { t.record(d) }
 
-// Copy is a copy of its own.
+// Copy returns an independent copy.
 func (t Times) Copy() Times {
 	if t.h == nil {
 		return t
@@ -28,10 +28,10 @@
 	if t.h == nil {
 		t.h = hdrhistogram.New(1, time.Minute.Microseconds(), 2)
 	}
-	_ = t.h.RecordValue(min(max(1, d.Microseconds()), time.Minute.Microseconds())) // cannot be out of range
+	_ = t.h.RecordValue(min(max(1, d.Microseconds()), time.Minute.Microseconds())) // clamped, so never out of range
 }
 
-// At is the value at a percentile, 0 if nothing was recorded.
+// At returns the value at a percentile, or 0 if nothing was recorded.
 func (t Times) At(percentile float64) time.Duration {
 	if t.h == nil {
 		return 0
@@ -39,42 +39,42 @@
 	return time.Duration(t.h.ValueAtPercentile(percentile)) * time.Microsecond
 }
 
-// Stats are the host's counts since its start.
+// Stats are the host's counters since its start and its current numbers of requests, attempts and timers.
 type Stats struct {
 	Turns, Events, Requests, Attempts uint64
 	Answers                           [3]uint64 // by Kind
 	Results                           [9]uint64 // by control.Result
-	Placed                            [3]uint64 // attempts at new extents: in their first tier, a later one, elsewhere
-	Left                              uint64    // clients that went before their answer
-	Late                              uint64    // outcomes after their attempt's end
-	Full                              uint64    // refused at the ceiling of open requests
-	Defects                           uint64    // answers given as the last resort, and the like: must stay 0
+	Placed                            [3]uint64 // attempts at new extents: in the first tier, a later tier, elsewhere
+	Left                              uint64    // clients that left before their answer
+	Late                              uint64    // outcomes reported after the end of their attempt
+	Full                              uint64    // refused at the limit of open requests
+	Defects                           uint64    // requests without a decision in time, and other controller faults: must stay 0
 	Open, Out, Timers                 int
 	Mailbox                           Times // from Submit to the controller
 	Decide                            Times // from Submit to the first Send
 	Outcome                           Times // from Send to the served answer
 }
 
-// show puts a copy of the counts where Stats finds it.
-func (h *Host) show() {
+// publishStats publishes a copy of the counters for Stats.
+func (h *Host) publishStats() {
 	s := h.stats
 	for _, t := range []*Times{&s.Mailbox, &s.Decide, &s.Outcome} {
 		*t = t.Copy()
 	}
-	s.Open, s.Out, s.Timers = len(h.reqs), len(h.out), h.wheel.Len()
+	s.Open, s.Out, s.Timers = len(h.requests), len(h.inFlight), h.wheel.Len()
 	h.statsMu.Lock()
-	s.Full = h.shown.Full
-	h.shown = s
+	s.Full = h.published.Full
+	h.published = s
 	h.statsMu.Unlock()
 }
 
-// Stats returns the counts as they were at most a fifth of a second ago, while the
-// host has anything to do.
+// Stats returns the counters as last published: at most 200 ms ago while the host is busy, longer ago while it is
+// idle.
 func (h *Host) Stats() Stats {
 	h.statsMu.Lock()
 	defer h.statsMu.Unlock()
-	return h.shown
+	return h.published
 }
 
-// ResultName is the name of a result for logs and metrics.
+// ResultName returns the name of a result for logs and metrics.
 func ResultName(r control.Result) string { return resultNames[r] }
