--- a/internal/loop/finish.go
+++ b/internal/loop/finish.go
@@ -7,69 +7,68 @@
 	"golang.org/x/sys/unix"
 )
 
-// The bounds of an orderly close.
+// The bounds of a graceful close.
 const (
-	flushWithin  = 5 * time.Second       // for the peer to take what is written
-	lingerWithin = time.Second           // from the end of sending on, for the peer's own end
-	lingerMost   = 1 << 20               // bytes thrown away meanwhile
-	sweepEvery   = 20 * time.Millisecond // while something is not flushed or has not ended
+	flushTimeout   = 5 * time.Second       // for flushing what is written
+	lingerTimeout  = time.Second           // from the shutdown of the sending side, for the peer to close
+	maxLingerBytes = 1 << 20               // bytes read and discarded meanwhile
+	sweepInterval  = 20 * time.Millisecond // between checks of the connections that are closing
 )
 
-// ending is a connection that is closed in order.
-type ending struct {
-	by   time.Time // it is closed whatever is left
-	shut bool      // sending has ended
-	read int       // bytes thrown away
+// closing is the state of a connection in graceful close.
+type closing struct {
+	deadline    time.Time // the connection is closed by then whatever is left
+	writeClosed bool      // the sending side is shut down
+	discarded   int       // bytes read and discarded
 }
 
-// Finish closes a connection in order, on the loop: what is written is flushed, the sending side is shut, and
-// what still comes is read and thrown away until the peer's end or a bound; then it is closed. Its peer hears no
-// Traffic any more, and Closed at the end. Guards against a close over unread bytes, which resets the connection,
-// and a reset takes an answer with it that the other side has not read yet. Harm: a descriptor is held for as
-// long as the other side takes, a second after the flush at most.
+// Finish closes a connection gracefully, on the loop: it flushes what is written, shuts down the sending side, and
+// discards further input until the peer closes or a bound is reached. The Peer gets no more Traffic calls, and Closed
+// at the end. A plain close with unread input resets the connection, which can destroy an answer that the other side
+// has not read yet. The cost is a descriptor that stays open for up to a second after the flush.
 func (l *Loop) Finish(g gnet.Conn) {
-	m := g.Context().(*member)
-	if m.ending != nil {
+	m := g.Context().(*connState)
+	if m.closing != nil {
 		return
 	}
-	m.ending = &ending{by: time.Now().Add(flushWithin)}
-	l.endings[g] = m.ending
-	l.finish(g, m.ending)
-	l.sweepSoon()
+	m.closing = &closing{deadline: time.Now().Add(flushTimeout)}
+	l.closing[g] = m.closing
+	l.advanceClose(g, m.closing)
+	l.scheduleSweep()
 }
 
-// finish goes on with one as far as it can; false: it is closed.
-func (l *Loop) finish(g gnet.Conn, e *ending) bool {
-	if !e.shut && g.OutboundBuffered() == 0 {
-		e.shut = true
-		e.by = time.Now().Add(lingerWithin)
-		_ = unix.Shutdown(g.Fd(), unix.SHUT_WR) // an error is the peer's end, which is read next
+// advanceClose advances a graceful close as far as possible. It returns false once the connection is closed.
+func (l *Loop) advanceClose(g gnet.Conn, e *closing) bool {
+	if !e.writeClosed && g.OutboundBuffered() == 0 {
+		e.writeClosed = true
+		e.deadline = time.Now().Add(lingerTimeout)
+		_ = unix.Shutdown(g.Fd(), unix.SHUT_WR) // on an error the peer has closed, which the next read reports
 	}
-	if e.read <= lingerMost && time.Now().Before(e.by) {
+	if e.discarded <= maxLingerBytes && time.Now().Before(e.deadline) {
 		return true
 	}
 	l.Close(g)
 	return false
 }
 
-// sweepSoon sees to it that those that are ending are looked at again.
-func (l *Loop) sweepSoon() {
-	if l.sweeping || len(l.endings) == 0 {
+// scheduleSweep schedules the next check of the connections that are closing.
+func (l *Loop) scheduleSweep() {
+	if l.sweepScheduled || len(l.closing) == 0 {
 		return
 	}
-	l.sweeping = true
-	time.AfterFunc(sweepEvery, func() { l.Do(l.sweep) })
+	l.sweepScheduled = true
+	time.AfterFunc(sweepInterval, func() { l.Do(l.sweep) })
 }
 
 func (l *Loop) sweep() {
-	l.sweeping = false
-	for g, e := range l.endings {
-		l.finish(g, e)
+	l.sweepScheduled = false
+	for g, e := range l.closing {
+		l.advanceClose(g, e)
 	}
-	l.sweepSoon()
+	l.scheduleSweep()
 }
 
-// Unread says, on the loop, that bytes have come which nobody has read yet.
+// Unread reports whether the connection has input that has not been read yet. It is called on the loop.
 func Unread(g gnet.Conn) bool {
 	var p [1]byte
 	n, _, err := unix.Recvfrom(g.Fd(), p[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,7 +1,7 @@
-// Package loop is one gnet event loop that connections of several owners share: clients of the HTTP front
-// and connections to nodes. Whatever an owner does to its state it does on the loop, so that none of it
-// takes a lock. The loop decides nothing and knows no protocol. internal/live makes it; internal/front/http
-// and internal/backend/http put their connections on it.
+// Package loop runs one gnet event loop that several owners share: the HTTP front with its client connections and
+// the HTTP backend with its connections to nodes. Owners access their state on the loop only, so that it needs no
+// locks. The package knows no protocol. internal/live starts the loop; internal/front/http and
+// internal/backend/http add their connections to it.
 package loop
 
 import (
@@ -18,36 +18,36 @@
 	"eiderhold/internal/telemetry"
 )
 
-// readCap is how many bytes a turn of the loop reads from one connection.
-const readCap = 64 << 10
+// bufferBytes limits how much one turn of the loop reads from a connection, or writes to it.
+const bufferBytes = 64 << 10
 
-// Peer is what an owner keeps of a connection. Its methods run on the loop.
+// Peer handles the events of a connection for its owner. Its methods run on the loop.
 type Peer interface {
-	Opened(gnet.Conn) // it may be written to from now on
+	Opened(gnet.Conn) // the connection may be written to from now on
 	Traffic(gnet.Conn) gnet.Action
 	Closed(gnet.Conn, error)
 }
 
 // Loop is a running event loop.
 type Loop struct {
-	log    *slog.Logger
-	client *gnet.Client
-	el     gnet.EventLoop
+	log       *slog.Logger
+	client    *gnet.Client
+	eventLoop gnet.EventLoop
 
-	mu   sync.Mutex
-	box  []func()
-	rung bool
+	mu        sync.Mutex
+	queue     []func()
+	scheduled bool
 
-	// the rest belongs to the loop
-	endings  map[gnet.Conn]*ending
-	sweeping bool // a timer for them runs
+	// The fields below are used on the loop only.
+	closing        map[gnet.Conn]*closing
+	sweepScheduled bool // a timer for the next sweep is running
 }
 
-// Start starts a loop.
+// Start starts an event loop.
 func Start(log *slog.Logger) (*Loop, error) {
-	l := &Loop{log: log, endings: map[gnet.Conn]*ending{}}
-	client, err := gnet.NewClient(&handler{l: l}, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithLogger(telemetry.Gnet{Log: log}), gnet.WithReadBufferCap(readCap), gnet.WithWriteBufferCap(readCap))
+	l := &Loop{log: log, closing: map[gnet.Conn]*closing{}}
+	client, err := gnet.NewClient(&handler{loop: l}, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
+		gnet.WithLogger(telemetry.Gnet{Log: log}), gnet.WithReadBufferCap(bufferBytes), gnet.WithWriteBufferCap(bufferBytes))
 	if err == nil {
 		err = client.Start()
 	}
@@ -55,132 +55,132 @@
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	l.client = client
-	if err := l.anchorTo(); err != nil {
+	if err := l.obtainEventLoop(); err != nil {
 		_ = client.Stop()
 		return nil, fmt.Errorf("event loop: %w", err)
 	}
 	return l, nil
 }
 
-// anchorTo enrols a UDP socket that nothing is sent on: gnet hands out a loop's handle with a connection only,
-// and on the platform sockets are TCP and UDP over IPv4.
-func (l *Loop) anchorTo() error {
-	c, err := net.Dial("udp4", "127.0.0.1:9") // connected, as gnet asks for a peer; no packet leaves for it
+// obtainEventLoop enrols a UDP socket on which nothing is sent, as gnet provides the handle of an event loop only
+// through a connection. The platform allows only TCP and UDP sockets over IPv4.
+func (l *Loop) obtainEventLoop() error {
+	c, err := net.Dial("udp4", "127.0.0.1:9") // connected because gnet needs a remote address; no packet is sent
 	if err != nil {
 		return err
 	}
-	g, err := l.client.EnrollContext(c, &member{Peer: anchor{}})
+	g, err := l.client.EnrollContext(c, &connState{Peer: idlePeer{}})
 	if err == nil {
-		l.el = g.EventLoop()
+		l.eventLoop = g.EventLoop()
 	}
 	return err
 }
 
-type anchor struct{}
+type idlePeer struct{}
 
-func (anchor) Opened(gnet.Conn)              {}
-func (anchor) Traffic(gnet.Conn) gnet.Action { return gnet.None }
-func (anchor) Closed(gnet.Conn, error)       {}
+func (idlePeer) Opened(gnet.Conn)              {}
+func (idlePeer) Traffic(gnet.Conn) gnet.Action { return gnet.None }
+func (idlePeer) Closed(gnet.Conn, error)       {}
 
-// Do has f run on the loop. What is posted runs in order. After Stop nothing runs.
+// Do runs f on the loop, asynchronously. Calls run in the order of Do. After Stop they are dropped.
 func (l *Loop) Do(f func()) {
 	l.mu.Lock()
-	l.box = append(l.box, f)
-	rung := l.rung
-	l.rung = true
+	l.queue = append(l.queue, f)
+	rung := l.scheduled
+	l.scheduled = true
 	l.mu.Unlock()
 	if rung {
 		return
 	}
-	if err := l.el.Execute(context.Background(), turn{l}); err != nil {
+	if err := l.eventLoop.Execute(context.Background(), queueRunner{l}); err != nil {
 		l.mu.Lock()
-		l.box, l.rung = nil, false
+		l.queue, l.scheduled = nil, false
 		l.mu.Unlock()
 	}
 }
 
-type turn struct{ l *Loop }
+type queueRunner struct{ loop *Loop }
 
-// Run does what was posted.
-func (t turn) Run(context.Context) error {
-	t.l.mu.Lock()
-	box := t.l.box
-	t.l.box, t.l.rung = nil, false
-	t.l.mu.Unlock()
-	for _, f := range box {
+// Run runs the queued calls.
+func (t queueRunner) Run(context.Context) error {
+	t.loop.mu.Lock()
+	queue := t.loop.queue
+	t.loop.queue, t.loop.scheduled = nil, false
+	t.loop.mu.Unlock()
+	for _, f := range queue {
 		f()
 	}
 	return nil
 }
 
-// Every has f run on the loop again and again until ctx ends.
-func (l *Loop) Every(ctx context.Context, pause time.Duration, f func()) {
-	tick := time.NewTicker(pause)
-	defer tick.Stop()
+// Every runs f on the loop at the given interval until ctx is done.
+func (l *Loop) Every(ctx context.Context, interval time.Duration, f func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			l.Do(f)
 		}
 	}
 }
 
-// Add puts a connection on the loop. It returns once Opened has run; c must not be used any more. An error
-// means that the connection is closed and the peer will hear nothing.
+// Add moves a connection to the loop and returns once Opened has run; c must not be used any more. On an error the
+// connection is closed and the Peer gets no calls.
 func (l *Loop) Add(c net.Conn, p Peer) error {
-	m := &member{Peer: p}
+	m := &connState{Peer: p}
 	if _, err := l.client.EnrollContext(c, m); err != nil {
 		return err
 	}
-	if !m.opened { // gnet closes a connection that the kernel's poller does not take, and says nothing
+	if !m.opened { // gnet closes a connection that the poller rejects without an error
 		return errors.New("event loop: the connection could not be registered")
 	}
 	return nil
 }
 
-// member is a peer on the loop. Its flag is read once gnet has said that it is done with opening.
-type member struct {
+// connState is the state of a connection on the loop. Add reads opened once EnrollContext has returned.
+type connState struct {
 	Peer
-	opened bool
-	ending *ending // it is being closed in order
+	opened  bool
+	closing *closing // set during a graceful close
 }
 
-// Close ends a connection at once, on the loop: Closed runs before it returns. Where the other side may still
-// have something to read, or may be sending, Finish is the way.
-func (l *Loop) Close(g gnet.Conn) { _ = l.el.Close(g) }
+// Close closes a connection at once, on the loop; Closed runs before it returns. If the other side may still be
+// reading or sending, use Finish.
+func (l *Loop) Close(g gnet.Conn) { _ = l.eventLoop.Close(g) }
 
-// Stop ends the loop and all connections on it.
+// Stop stops the loop and closes all of its connections.
 func (l *Loop) Stop() error { return l.client.Stop() }
 
 type handler struct {
 	gnet.BuiltinEventEngine
-	l *Loop
+	loop *Loop
 }
 
 func (*handler) OnOpen(g gnet.Conn) ([]byte, gnet.Action) {
-	m := g.Context().(*member)
+	m := g.Context().(*connState)
 	m.opened = true
 	m.Opened(g)
 	return nil, gnet.None
 }
 
 func (h *handler) OnTraffic(g gnet.Conn) gnet.Action {
-	m := g.Context().(*member)
-	if e := m.ending; e != nil {
+	m := g.Context().(*connState)
+	if e := m.closing; e != nil {
 		n, _ := g.Discard(-1)
-		e.read += n
-		h.l.finish(g, e)
+		e.discarded += n
+		h.loop.advanceClose(g, e)
 		return gnet.None
 	}
 	return m.Traffic(g)
 }
 
 func (h *handler) OnClose(g gnet.Conn, err error) gnet.Action {
-	m := g.Context().(*member)
-	if m.ending != nil {
-		delete(h.l.endings, g)
+	m := g.Context().(*connState)
+	if m.closing != nil {
+		delete(h.loop.closing, g)
 	}
 	m.Closed(g, err)
 	return gnet.None
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -13,26 +13,26 @@
 )
 
 // peer takes what a test tells it to do with bytes.
-type peer struct {
+type testPeer struct {
 	opened  chan gnet.Conn
 	traffic func(gnet.Conn, []byte) gnet.Action
 	closed  chan error
-	l       *Loop
+	loop    *Loop
 }
 
-func newPeer(traffic func(gnet.Conn, []byte) gnet.Action) *peer {
-	return &peer{opened: make(chan gnet.Conn, 1), traffic: traffic, closed: make(chan error, 1)}
+func newPeer(traffic func(gnet.Conn, []byte) gnet.Action) *testPeer {
+	return &testPeer{opened: make(chan gnet.Conn, 1), traffic: traffic, closed: make(chan error, 1)}
 }
 
-func (p *peer) Opened(g gnet.Conn)            { p.opened <- g }
-func (p *peer) Closed(_ gnet.Conn, err error) { p.closed <- err }
-func (p *peer) Traffic(g gnet.Conn) gnet.Action {
+func (p *testPeer) Opened(g gnet.Conn)            { p.opened <- g }
+func (p *testPeer) Closed(_ gnet.Conn, err error) { p.closed <- err }
+func (p *testPeer) Traffic(g gnet.Conn) gnet.Action {
 	b, _ := g.Next(-1)
 	return p.traffic(g, b)
 }
 
 // pair starts a loop with one accepted connection on it, and returns the other side.
-func pair(t *testing.T, p *peer) (*Loop, net.Conn) {
+func newPair(t *testing.T, p *testPeer) (*Loop, net.Conn) {
 	t.Helper()
 	l, err := Start(slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -51,7 +51,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.l = l
+	p.loop = l
 	if err := l.Add(s, p); err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 // TestNoDelay: small writes are not held back, on accepted and on dialled connections.
 func TestNoDelay(t *testing.T) {
 	p := newPeer(nil)
-	l, c := pair(t, p)
+	l, c := newPair(t, p)
 	dialled := newPeer(nil)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,7 +102,7 @@
 func TestFinish(t *testing.T) {
 	answer := bytes.Repeat([]byte("answer"), 4<<20/6)
 	var traffics atomic.Int32
-	var p *peer
+	var p *testPeer
 	p = newPeer(func(g gnet.Conn, b []byte) gnet.Action {
 		if traffics.Add(1) > 1 {
 			return gnet.None
@@ -110,11 +110,11 @@
 		if _, err := g.Write(answer); err != nil {
 			t.Error(err)
 		}
-		p.l.Finish(g)
-		p.l.Finish(g) // again changes nothing
+		p.loop.Finish(g)
+		p.loop.Finish(g) // again changes nothing
 		return gnet.None
 	})
-	_, c := pair(t, p)
+	_, c := newPair(t, p)
 	if _, err := c.Write([]byte("ask")); err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 	sent := make(chan bool)
 	go func() { // until the answer has been read, at most what is read and thrown away
 		defer close(sent)
-		for range lingerMost >> 13 {
+		for range maxLingerBytes >> 13 {
 			select {
 			case <-stop:
 				return
@@ -153,9 +153,9 @@
 func TestFinishBounds(t *testing.T) {
 	for name, flood := range map[string]bool{"says nothing": false, "goes on sending": true} {
 		t.Run(name, func(t *testing.T) {
-			var p *peer
-			p = newPeer(func(g gnet.Conn, b []byte) gnet.Action { p.l.Finish(g); return gnet.None })
-			l, c := pair(t, p)
+			var p *testPeer
+			p = newPeer(func(g gnet.Conn, b []byte) gnet.Action { p.loop.Finish(g); return gnet.None })
+			l, c := newPair(t, p)
 			if _, err := c.Write([]byte("ask")); err != nil {
 				t.Fatal(err)
 			}
@@ -166,7 +166,7 @@
 			}
 			<-p.closed
 			got := make(chan int)
-			l.Do(func() { got <- len(l.endings) })
+			l.Do(func() { got <- len(l.closing) })
 			if n := <-got; n != 0 {
 				t.Fatalf("%d are still ending", n)
 			}
