--- a/connpool/connpool.go
+++ b/connpool/connpool.go
@@ -1,7 +1,7 @@
-// Package connpool decides which connection carries an attempt where a connection carries one request at a
-// time: which idle one is used again, when another is opened, which one makes room, which are closed for
-// having idled. It owns no socket and reads no clock; who calls it says what time it is and does what it
-// says. internal/backend/http drives it, on one loop.
+// Package connpool decides which connection carries an attempt, for protocols with one request at a time on a
+// connection: which idle connection is reused, when another is opened, which one is evicted for it, and which are
+// closed after idling too long. It owns no socket and reads no clock: the caller passes the time and executes the
+// decisions. internal/backend/http uses it, on one loop; it is not safe for concurrent use.
 package connpool
 
 import (
@@ -10,83 +10,83 @@
 	"time"
 )
 
-// How long a connection stands after an answer before it carries another request. Guards against answers that
-// bring more than belongs to them: what comes behind must be met while nothing is out, or it would be taken for
-// the next one's answer. It mostly comes with the answer itself, and then the connection is not used again; for a
-// while after some came on its own, connections stand longer. Harm: an attempt may wait so long, or a few
-// connections more are opened.
+// A connection rests for a time after an answer before it carries another request. The delay guards against answers
+// that are followed by excess bytes: those must arrive while no request is in flight, or they would be taken for the
+// next answer. They mostly arrive together with the answer, and then the connection is not reused; for
+// longDelayDuration after some arrived separately, the delay is longer. The cost is that an attempt may wait that
+// long, or that a few more connections are opened.
 const (
-	rest      = time.Millisecond
-	restLong  = 5 * time.Millisecond
-	restAfter = time.Minute
+	reuseDelay        = time.Millisecond
+	longReuseDelay    = 5 * time.Millisecond
+	longDelayDuration = time.Minute
 )
 
-// idlePart is the part of the time after which a node closes idle connections that one may idle here: a
-// request written to a connection that the node has closed ends as a reset.
-const idlePart = 0.7
+// idleFraction is the part of a node's idle timeout after which a connection is closed here: a request written to
+// a connection that the node has closed ends in a reset.
+const idleFraction = 0.7
 
 // Settings bound the pool.
 type Settings struct {
-	Total int           // connections at a time, those being opened included
-	Idle  time.Duration // nodes close a connection that has idled for so long; 0: they do not
+	Total int           // maximum number of connections, including those being opened
+	Idle  time.Duration // after which nodes close an idle connection; 0: never
 }
 
-// Verdict says what is to be done for an attempt.
+// Verdict is the decision for an attempt.
 type Verdict int
 
 // The verdicts.
 const (
-	Use    Verdict = iota // this connection carries it
-	Open                  // one more is to be opened; the attempt waits
-	Evict                 // this idle one is to be closed, and one opened in its place; the attempt waits
-	Resume                // one that rests carries it soon, see Due; the attempt waits
-	Wait                  // the ceiling is reached and none is idle: the attempt waits for one to end
+	Use    Verdict = iota // the returned connection carries the attempt
+	Open                  // open a connection; the attempt waits
+	Evict                 // close the returned idle connection and open one in its place; the attempt waits
+	Resume                // a connection that rests or is being opened will carry it, see Due; the attempt waits
+	Wait                  // the maximum is reached and no connection can be evicted: the attempt waits for a connection
 )
 
-// Pool keeps the books. C stands for a connection.
+// Pool tracks the connections of all nodes. C identifies a connection.
 type Pool[C comparable] struct {
-	set   Settings
-	nodes map[string]*node[C]
-	total int
-	wary  time.Duration // until when connections stand longer
+	settings       Settings
+	nodes          map[string]*nodeConns[C]
+	total          int
+	longDelayUntil time.Duration // until then longReuseDelay applies
 }
 
-type node[C comparable] struct {
-	idle    []idle[C] // longest first
+type nodeConns[C comparable] struct {
+	idle    []idleConn[C] // longest idle first
 	busy    int
 	opening int
 }
 
-type idle[C comparable] struct {
-	conn  C
-	since time.Duration
-	fresh bool // it has carried nothing yet: it need not rest
+type idleConn[C comparable] struct {
+	conn   C
+	since  time.Duration
+	unused bool // it has carried no request yet and need not rest
 }
 
-// Excess books that bytes came on a connection on which nothing was out.
-func (p *Pool[C]) Excess(now time.Duration) { p.wary = now + restAfter }
+// Excess reports that bytes arrived on a connection without a request in flight.
+func (p *Pool[C]) Excess(now time.Duration) { p.longDelayUntil = now + longDelayDuration }
 
-// readyAt is when a connection may carry a request.
-func (p *Pool[C]) readyAt(i idle[C]) time.Duration {
+// readyAt returns the time from which an idle connection may carry a request.
+func (p *Pool[C]) readyAt(i idleConn[C]) time.Duration {
 	switch {
-	case i.fresh:
+	case i.unused:
 		return i.since
-	case i.since < p.wary:
-		return i.since + restLong
+	case i.since < p.longDelayUntil:
+		return i.since + longReuseDelay
 	}
-	return i.since + rest
+	return i.since + reuseDelay
 }
 
 // New returns an empty pool.
-func New[C comparable](set Settings) *Pool[C] {
-	set.Total = max(1, set.Total)
-	return &Pool[C]{set: set, nodes: map[string]*node[C]{}}
+func New[C comparable](settings Settings) *Pool[C] {
+	settings.Total = max(1, settings.Total)
+	return &Pool[C]{settings: settings, nodes: map[string]*nodeConns[C]{}}
 }
 
-// Total is the number of connections, those being opened included.
+// Total returns the number of connections, including those being opened.
 func (p *Pool[C]) Total() int { return p.total }
 
-// Count is how many a node has: carrying a request, idle, being opened.
+// Count returns the numbers of a node's connections that carry a request, are idle, and are being opened.
 func (p *Pool[C]) Count(id string) (busy, idle, opening int) {
 	if n := p.nodes[id]; n != nil {
 		return n.busy, len(n.idle), n.opening
@@ -94,17 +94,18 @@
 	return 0, 0, 0
 }
 
-func (p *Pool[C]) node(id string) *node[C] {
+func (p *Pool[C]) node(id string) *nodeConns[C] {
 	n := p.nodes[id]
 	if n == nil {
-		n = &node[C]{}
+		n = &nodeConns[C]{}
 		p.nodes[id] = n
 	}
 	return n
 }
 
-// Take finds a connection for an attempt at a node before which others wait already. The one that idled
-// least is used, so that those not needed grow old. Open and Evict book the one to be opened.
+// Take decides on a connection for an attempt at a node; waiting is the number of attempts already waiting there. The
+// connection that has idled least is used first, so that surplus connections reach the idle timeout. After Open and
+// Evict the pool counts the connection that the caller opens.
 func (p *Pool[C]) Take(now time.Duration, id string, waiting int) (c C, v Verdict) {
 	n := p.node(id)
 	for i := len(n.idle) - 1; i >= 0; i-- {
@@ -116,9 +117,9 @@
 		}
 	}
 	switch {
-	case len(n.idle)+n.opening > waiting: // there will be one for each that waits
+	case len(n.idle)+n.opening > waiting: // there will be a connection for each waiting attempt and this one
 		return c, Resume
-	case p.total < p.set.Total:
+	case p.total < p.settings.Total:
 		n.opening++
 		p.total++
 		return c, Open
@@ -127,74 +128,75 @@
 		n.opening++
 		return c, Evict
 	}
-	p.forget(id)
+	p.removeEmpty(id)
 	return c, Wait
 }
 
-// evict gives up the connection of another node that has idled longest; its place is taken at once.
-func (p *Pool[C]) evict(but string) (c C, ok bool) {
-	var worst *node[C]
-	name := ""
+// evict removes the connection that has idled longest at any other node. It leaves total as it is, as the caller opens
+// a connection in its place.
+func (p *Pool[C]) evict(except string) (c C, ok bool) {
+	var oldest *nodeConns[C]
+	oldestID := ""
 	for id, n := range p.nodes {
-		if id == but || len(n.idle) == 0 {
+		if id == except || len(n.idle) == 0 {
 			continue
 		}
-		if worst == nil || cmp.Or(cmp.Compare(n.idle[0].since, worst.idle[0].since), cmp.Compare(id, name)) < 0 {
-			worst, name = n, id
+		if oldest == nil || cmp.Or(cmp.Compare(n.idle[0].since, oldest.idle[0].since), cmp.Compare(id, oldestID)) < 0 {
+			oldest, oldestID = n, id
 		}
 	}
-	if worst == nil {
+	if oldest == nil {
 		return c, false
 	}
-	c = worst.idle[0].conn
-	worst.idle = slices.Delete(worst.idle, 0, 1)
-	p.forget(name)
+	c = oldest.idle[0].conn
+	oldest.idle = slices.Delete(oldest.idle, 0, 1)
+	p.removeEmpty(oldestID)
 	return c, true
 }
 
-// Opened books a connection that is up, and idle.
+// Opened reports that a connection has been opened. It is idle.
 func (p *Pool[C]) Opened(now time.Duration, id string, c C) {
 	n := p.node(id)
 	n.opening--
-	n.idle = append(n.idle, idle[C]{c, now, true})
+	n.idle = append(n.idle, idleConn[C]{c, now, true})
 }
 
-// Failed books that one did not come up.
+// Failed reports that a connection could not be opened.
 func (p *Pool[C]) Failed(id string) {
 	p.node(id).opening--
 	p.total--
-	p.forget(id)
+	p.removeEmpty(id)
 }
 
-// Done books that a connection's request has ended and that it may carry another.
+// Done reports that a connection's request has ended and that the connection may be reused.
 func (p *Pool[C]) Done(now time.Duration, id string, c C) {
 	n := p.node(id)
 	n.busy--
-	n.idle = append(n.idle, idle[C]{c, now, false})
+	n.idle = append(n.idle, idleConn[C]{c, now, false})
 }
 
-// Ended books that a connection which carried a request is closed.
+// Ended reports that a connection with a request in flight has been closed.
 func (p *Pool[C]) Ended(id string) {
 	p.node(id).busy--
 	p.total--
-	p.forget(id)
+	p.removeEmpty(id)
 }
 
-// Lost books that an idle connection is closed. It reports false for one that is not idle here.
+// Lost reports that an idle connection has been closed. It returns false if the connection is not idle in the pool.
 func (p *Pool[C]) Lost(id string, c C) bool {
 	n := p.node(id)
-	i := slices.IndexFunc(n.idle, func(x idle[C]) bool { return x.conn == c })
+	i := slices.IndexFunc(n.idle, func(x idleConn[C]) bool { return x.conn == c })
 	if i < 0 {
-		p.forget(id)
+		p.removeEmpty(id)
 		return false
 	}
 	n.idle = slices.Delete(n.idle, i, i+1)
 	p.total--
-	p.forget(id)
+	p.removeEmpty(id)
 	return true
 }
 
-// Due is when the first resting connection of a node may be used; false if none rests.
+// Due returns the earliest time at which an idle connection of a node may be used; ok is false if none is idle.
 func (p *Pool[C]) Due(id string) (at time.Duration, ok bool) {
 	for _, i := range p.node(id).idle {
 		if t := p.readyAt(i); !ok || t < at {
@@ -204,13 +206,13 @@
 	return at, ok
 }
 
-// Old takes from the books, and returns, the connections that have idled too long, and all idle ones of
-// nodes that are not wanted any more.
+// Old removes and returns the connections that have idled too long, and all idle ones of nodes that are no longer
+// wanted.
 func (p *Pool[C]) Old(now time.Duration, wanted func(id string) bool) (old []C) {
-	limit := time.Duration(idlePart * float64(p.set.Idle))
+	limit := time.Duration(idleFraction * float64(p.settings.Idle))
 	for id, n := range p.nodes {
 		keep := wanted(id)
-		n.idle = slices.DeleteFunc(n.idle, func(i idle[C]) bool {
+		n.idle = slices.DeleteFunc(n.idle, func(i idleConn[C]) bool {
 			if keep && (limit == 0 || now-i.since < limit) {
 				return false
 			}
@@ -218,13 +220,13 @@
 			p.total--
 			return true
 		})
-		p.forget(id)
+		p.removeEmpty(id)
 	}
 	return old
 }
 
-// forget drops a node of which there is no connection.
-func (p *Pool[C]) forget(id string) {
+// removeEmpty removes a node that has no connections.
+func (p *Pool[C]) removeEmpty(id string) {
 	if n := p.nodes[id]; n != nil && n.busy+n.opening+len(n.idle) == 0 {
 		delete(p.nodes, id)
 	}
--- a/connpool/connpool_test.go
+++ b/connpool/connpool_test.go
@@ -12,7 +12,7 @@
 
 // TestRest: what has just carried an answer carries nothing at once; a second attempt has one opened, a
 // third that comes while two will be there waits for them.
-func TestRest(t *testing.T) {
+func TestReuseDelay(t *testing.T) {
 	p := New[int](Settings{Total: 10, Idle: time.Second})
 	expect := func(now time.Duration, waiting int, conn int, want Verdict) {
 		t.Helper()
@@ -27,21 +27,21 @@
 	expect(2*ms, 0, 0, Resume)
 	expect(2*ms, 1, 0, Open)
 	expect(2*ms, 1, 0, Resume)
-	if at, ok := p.Due("n"); !ok || at != 2*ms+rest {
+	if at, ok := p.Due("n"); !ok || at != 2*ms+reuseDelay {
 		t.Fatalf("due at %v, %v", at, ok)
 	}
-	expect(2*ms+rest, 0, 1, Use)
+	expect(2*ms+reuseDelay, 0, 1, Use)
 	p.Excess(3 * ms) // something came on its own
 	p.Done(4*ms, "n", 1)
-	expect(4*ms+rest, 0, 0, Resume)
-	expect(4*ms+restLong, 0, 1, Use)
-	p.Done(3*ms+restAfter, "n", 1)
-	expect(3*ms+restAfter+rest, 0, 1, Use)
+	expect(4*ms+reuseDelay, 0, 0, Resume)
+	expect(4*ms+longReuseDelay, 0, 1, Use)
+	p.Done(3*ms+longDelayDuration, "n", 1)
+	expect(3*ms+longDelayDuration+reuseDelay, 0, 1, Use)
 }
 
 // TestLatestFirst: the connection that idled least is used, the others grow old and are closed before the
 // node would.
-func TestLatestFirst(t *testing.T) {
+func TestMostRecentlyUsedFirst(t *testing.T) {
 	p := New[int](Settings{Total: 10, Idle: time.Second})
 	for i := 1; i <= 3; i++ {
 		p.Take(0, "n", i-1)
@@ -67,7 +67,7 @@
 
 // TestCeiling: at the ceiling the one that idled longest at another node goes; if there is none, the
 // attempt waits.
-func TestCeiling(t *testing.T) {
+func TestMaxConnections(t *testing.T) {
 	p := New[int](Settings{Total: 2})
 	p.Take(0, "a", 0)
 	p.Opened(1*ms, "a", 1)
@@ -90,15 +90,15 @@
 
 // TestBooks plays any order of what can happen against plain books: the ceiling holds, a connection is
 // never in two places, and nodes without connections are forgotten.
-func TestBooks(t *testing.T) {
+func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 6).Draw(t, "total")
 		p := New[int](Settings{Total: total, Idle: 100 * ms})
-		type place struct {
+		type connState struct {
 			node string
 			busy bool
 		}
-		conns, opening, next, now := map[int]place{}, []string{}, 0, time.Duration(0)
+		conns, opening, next, now := map[int]connState{}, []string{}, 0, time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
 			id := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "node"))
@@ -110,7 +110,7 @@
 					if conns[c].busy || conns[c].node != id {
 						t.Fatalf("connection %d of %+v is used for %s", c, conns[c], id)
 					}
-					conns[c] = place{id, true}
+					conns[c] = connState{id, true}
 				case Evict:
 					if conns[c].busy || conns[c].node == id {
 						t.Fatalf("connection %d of %+v makes room for %s", c, conns[c], id)
@@ -126,7 +126,7 @@
 					if rapid.Bool().Draw(t, "up") {
 						next++
 						p.Opened(now, id, next)
-						conns[next] = place{id, false}
+						conns[next] = connState{id, false}
 					} else {
 						p.Failed(id)
 					}
@@ -136,7 +136,7 @@
 					if w, ok := conns[c]; ok && w.busy {
 						if rapid.Bool().Draw(t, "again") {
 							p.Done(now, w.node, c)
-							conns[c] = place{w.node, false}
+							conns[c] = connState{w.node, false}
 						} else {
 							p.Ended(w.node)
 							delete(conns, c)
@@ -173,7 +173,7 @@
 }
 
 // TestForEver: 100,000 nodes, each with connections of its own, come and go and leave nothing behind.
-func TestForEver(t *testing.T) {
+func TestNodeTurnover(t *testing.T) {
 	p := New[int](Settings{Total: 50, Idle: time.Second})
 	now, next := time.Duration(0), 0
 	for i := range 100_000 {
