--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,7 +1,6 @@
-// Package outcome decides what the end of an attempt over HTTP proves: whether the node ran it, may have, or
-// never did (the platform's PROTOCOL, "Hosts to nodes"). It does no I/O. internal/backend/http asks
-// it. What is not proved to have never run is taken as if it may have: a request that is sent again, or refused, on a
-// wrong proof has its effect twice.
+// Package outcome decides what the end of an attempt over HTTP proves: that the node ran the request, may have run it,
+// or never ran it (the platform's PROTOCOL, "Hosts to nodes"). It does no I/O; internal/backend/http uses it. Without
+// proof that a request never ran, it may have run: one that is resent or refused by mistake takes effect twice.
 package outcome
 
 import (
@@ -12,32 +11,34 @@
 	"eiderhold/control"
 )
 
-// Progress is how far a request has come towards the node.
+// Progress is how much of a request has been written towards the node.
 type Progress int
 
 // The stages.
 const (
-	NotBegun Progress = iota // no byte was taken by the kernel
-	Partial                  // some of it is still in this process
-	Complete                 // its last byte is with the kernel: a node begins a request with its last byte
+	NotBegun Progress = iota // the kernel has taken no byte
+	Partial                  // the kernel has taken a part
+	Complete                 // the kernel has taken the last byte; a node starts a request when it has the last byte
 )
 
-// OfEnd is what a connection's end proves of the request on it. rest is what of it is still in this process.
-func OfEnd(h Progress, rest int) control.Result {
-	if h == NotBegun || h == Partial && rest > 0 {
+// OfEnd returns the result that the end of a connection proves for the request on it. remaining is the number of the
+// request's bytes that are still in this process.
+func OfEnd(progress Progress, remaining int) control.Result {
+	if progress == NotBegun || progress == Partial && remaining > 0 {
 		return control.Unreachable
 	}
 	return control.Reset
 }
 
-// Ends says that a connection's end is the end of an answer on it that has no length: the other side has ended its
-// sending, which a read of no bytes shows. A reset is no end, nor is whatever else closes a connection.
+// Ends reports whether the end of a connection completes an answer without a length: it does if the other side shut
+// down its sending side, which a read of zero bytes shows. A reset or any other error does not complete it.
 func Ends(err error) bool {
-	var read *os.SyscallError
-	return errors.As(err, &read) && read.Syscall == "read" && read.Err == io.EOF
+	var syscallErr *os.SyscallError
+	return errors.As(err, &syscallErr) && syscallErr.Syscall == "read" && syscallErr.Err == io.EOF
 }
 
-// OfAnswer is what a whole answer proves. notStarted says that it carries Not-Started: 1, once.
+// OfAnswer returns the result that a complete answer proves. notStarted says that the answer has exactly one
+// Not-Started field, with the value 1.
 func OfAnswer(status int, notStarted bool) control.Result {
 	switch {
 	case status == 200:
@@ -48,10 +49,10 @@
 	return control.Error
 }
 
-// OfSpoilt is what an answer proves that cannot be read, or is not whole: the request has run or may have, and
-// whatever of it looks like Not-Started is no proof.
+// OfSpoilt returns the result that a malformed or incomplete answer proves: the request may have run, and a
+// Not-Started field in it is no proof to the contrary.
 func OfSpoilt() control.Result { return control.Error }
 
-// Reusable says whether a connection may carry another request after a whole answer: it says so itself,
-// nothing came behind the answer, and no byte of the request is left over.
-func Reusable(closes bool, behind, rest int) bool { return !closes && behind == 0 && rest == 0 }
+// Reusable reports whether a connection may carry another request after a complete answer: the answer does not close
+// it, no extra bytes followed the answer, and no byte of the request remains to be written.
+func Reusable(closes bool, extra, remaining int) bool { return !closes && extra == 0 && remaining == 0 }
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestProofs is the platform's table, and that nothing else proves that an attempt never ran.
-func TestProofs(t *testing.T) {
+func TestOutcomes(t *testing.T) {
 	for status := 200; status < 600; status++ {
 		for _, notStarted := range []bool{false, true} {
 			r := OfAnswer(status, notStarted)
