--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,7 @@
-// Package discovery follows the platform's list of nodes: HTTP/1.1, a watch that sends one JSON object after
-// another, asked for anew where it broke off or fell silent (watch.go reads one connection). What of it is taken,
-// and when a watch is asked for, membership says; it judges no node. internal/live makes it; it calls Host.List.
+// Package discovery follows the platform's node list over HTTP/1.1: a watch is a response that sends one JSON object
+// after another, and is requested again when it ends or falls silent (watch.go reads one connection). Package
+// membership decides which updates apply and when a watch is requested. internal/live creates the feed, which passes
+// node lists to Host.List.
 package discovery
 
 import (
@@ -16,68 +17,69 @@
 	"eiderhold/membership"
 )
 
-const objectMost = 4 << 20 // bytes of one object
+const maxObjectBytes = 4 << 20 // maximum size of one JSON object
 
-// Host hears of lists.
+// Host receives node lists.
 type Host interface {
 	List(host.List)
 	StartedAt(node string, wall time.Time) time.Duration
 }
 
-// Feed follows one address at a time.
+// Feed follows the node list of one discovery address at a time.
 type Feed struct {
 	host   Host
 	log    *slog.Logger
-	times  membership.Times
+	timing membership.Timing
 	events chan any
 
-	mu    sync.Mutex
-	addr  string
-	moved chan struct{} // has room for one: the address has changed
-	now   State
+	mu             sync.Mutex
+	addr           string
+	addressChanged chan struct{} // capacity 1; signals that the address has changed
+	state          State
 
-	// the rest belongs to Run
-	list   *membership.List
-	cached *host.List // the list known at the start, not yet told
-	kept   *watch
-	trial  *watch
-	keeper *membership.Keeper
-	began  time.Time
+	// The fields below are used by Run only, and by SetKnownList before it.
+	list      *membership.List
+	cached    *host.List // the list known at the start, not yet delivered to the host
+	current   *watch
+	trial     *watch
+	scheduler *membership.Scheduler
+	startedAt time.Time
 }
 
-// State is what an operator sees.
+// State is the state of a feed, for operators.
 type State struct {
-	Address  string
-	Rev      uint64
-	Nodes    int
-	Heard    time.Time // when something last came
-	Watches  uint64    // asked for since the start
-	Passed   uint64    // entries passed over, as they could not be used
-	Watching bool
+	Address      string
+	Rev          uint64
+	Nodes        int
+	LastReceived time.Time // when the current watch last received bytes
+	Requests     uint64    // requests for a watch or a list since the start
+	Skipped      uint64    // invalid entries skipped since the start
+	Watching     bool
 }
 
-// New makes a feed of an address.
+// New returns a feed that follows discovery at an address, to be started with Run.
 func New(addr string, h Host, log *slog.Logger) *Feed {
-	return &Feed{host: h, log: log, times: membership.Usual, events: make(chan any), addr: addr,
-		moved: make(chan struct{}, 1), list: membership.New()}
+	return &Feed{host: h, log: log, timing: membership.DefaultTiming, events: make(chan any), addr: addr,
+		addressChanged: make(chan struct{}, 1), list: membership.New()}
 }
 
-// Start takes the list that this host held when it was last there. It may be out of date, and what the agent has
-// counts as told from a process's first moment: the host is told of it with the agent's first word, or when the
-// agent has said nothing for a while. It must be called before Run.
-func (f *Feed) Start(known []byte) error {
+// SetKnownList sets the node list that this host held before its restart. The list may be out of date, and the
+// agent's current list is binding from the start of the process. The known list is therefore delivered to the host
+// only with the agent's first object, or after KnownListDelay without one. It must be called before Run.
+func (f *Feed) SetKnownList(known []byte) error {
 	var u membership.Update
 	if err := json.Unmarshal(known, &u); err != nil {
 		return fmt.Errorf("known: %w", err)
 	}
 	u.All = true
-	l := f.take(control.ListCached, u)
+	l := f.applyUpdate(control.ListCached, u)
 	f.cached = l
 	return nil
 }
 
-// Follow names another address. The watch at the former one stays until one at this speaks.
-func (f *Feed) Follow(addr string) {
+// SetAddress changes the address of discovery. The watch at the former address stays open until a watch at the new
+// one has sent an object.
+func (f *Feed) SetAddress(addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.addr == addr {
@@ -85,171 +87,171 @@
 	}
 	f.addr = addr
 	select {
-	case f.moved <- struct{}{}:
+	case f.addressChanged <- struct{}{}:
 	default:
 	}
 }
 
-// State returns what is known of the feed.
+// State returns the current state of the feed.
 func (f *Feed) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.now
+	s := f.state
 	s.Address = f.addr
 	return s
 }
 
-func (f *Feed) note(change func(*State)) {
+func (f *Feed) updateState(change func(*State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	change(&f.now)
+	change(&f.state)
 }
 
-// Subscribe and Fetch are for lists that come only when asked for; this one comes by itself.
+// Subscribe does nothing: Run watches the list without being asked. It implements host.Register.
 func (f *Feed) Subscribe() {}
 
-// Fetch does nothing, see Subscribe.
+// Fetch does nothing; see Subscribe.
 func (f *Feed) Fetch() {}
 
-// Run follows until ctx ends. It alone has the list and the watches; they post to it.
+// Run follows the node list until ctx is done. It owns the list and the watches, which post their events to it.
 func (f *Feed) Run(ctx context.Context) {
-	f.began = time.Now()
-	f.keeper = membership.NewKeeper(f.times, f.list.Len() == 0)
+	f.startedAt = time.Now()
+	f.scheduler = membership.NewScheduler(f.timing, f.list.Len() == 0)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for ctx.Err() == nil {
-		f.step(ctx)
-		due := f.keeper.Due(f.clock())
+		f.runDue(ctx)
+		due := f.scheduler.Due(f.clock())
 		if f.cached != nil {
-			due = min(due, f.times.Start)
+			due = min(due, f.timing.KnownListDelay)
 		}
 		timer.Reset(max(0, due-f.clock()))
 		select {
 		case <-ctx.Done():
-		case <-f.moved:
-			f.end(&f.trial)
-			f.keeper.Moved(f.clock())
+		case <-f.addressChanged:
+			f.closeWatch(&f.trial)
+			f.scheduler.AddressChanged(f.clock())
 			f.log.Info("discovery: another address", "addr", f.State().Address)
 		case e := <-f.events:
-			f.event(e)
+			f.handleEvent(e)
 		case <-timer.C:
 		}
 	}
 }
 
-// clock is the time since Run began.
-func (f *Feed) clock() time.Duration { return time.Since(f.began) }
+// clock returns the time since Run began.
+func (f *Feed) clock() time.Duration { return time.Since(f.startedAt) }
 
-// step does what is due.
-func (f *Feed) step(ctx context.Context) {
-	if f.cached != nil && f.clock() >= f.times.Start {
+// runDue executes the steps that are due.
+func (f *Feed) runDue(ctx context.Context) {
+	if f.cached != nil && f.clock() >= f.timing.KnownListDelay {
 		f.log.Warn("discovery: nothing heard yet; the list known from before applies", "nodes", len(f.cached.Nodes))
-		f.tellCached()
+		f.deliverCached()
 	}
 	for {
-		switch s := f.keeper.Next(f.clock()); s {
-		case membership.Rest:
+		switch s := f.scheduler.Next(f.clock()); s {
+		case membership.Wait:
 			return
-		case membership.GiveUp:
-			f.log.Warn("discovery: no object in time; the list held applies meanwhile", "addr", f.trial.addr, "within", f.times.Try)
-			f.end(&f.trial)
-		case membership.Refrain:
-			f.end(&f.trial)
+		case membership.TrialTimedOut:
+			f.log.Warn("discovery: no object in time; the list held applies meanwhile", "addr", f.trial.addr, "within", f.timing.TrialTimeout)
+			f.closeWatch(&f.trial)
+		case membership.CancelTrial:
+			f.closeWatch(&f.trial)
 		default:
 			addr := f.State().Address
-			f.trial = f.start(ctx, addr, s == membership.AskAll, f.list.Rev())
-			f.note(func(s *State) { s.Watches++ })
+			f.trial = f.startWatch(ctx, addr, s == membership.FetchAll, f.list.Rev())
+			f.updateState(func(s *State) { s.Requests++ })
 		}
 	}
 }
 
-// end gives up a watch; what it may still post is for nobody.
-func (f *Feed) end(w **watch) {
+// closeWatch closes a watch. Events that it may still post are ignored.
+func (f *Feed) closeWatch(w **watch) {
 	if *w != nil {
 		(*w).cancel()
 		*w = nil
 	}
 }
 
-// event takes what a watch has posted.
-func (f *Feed) event(e any) {
+// handleEvent processes an event that a watch has posted.
+func (f *Feed) handleEvent(e any) {
 	now := f.clock()
 	switch e := e.(type) {
-	case spoke:
-		if e.w == f.kept {
-			f.keeper.Heard(now)
-			f.note(func(s *State) { s.Heard = time.Now() })
+	case bytesReceived:
+		if e.watch == f.current {
+			f.scheduler.Received(now)
+			f.updateState(func(s *State) { s.LastReceived = time.Now() })
 		}
-	case object:
-		switch e.w {
+	case objectReceived:
+		switch e.watch {
 		case f.trial:
 			f.trial = nil
-			f.keeper.Proved(now)
-			if e.w.whole {
-				e.w.cancel() // it was all that was asked for
+			f.scheduler.TrialSucceeded(now)
+			if e.watch.fetchAll {
+				e.watch.cancel() // the request was for the whole list only
 			} else {
-				f.end(&f.kept)
-				f.kept = e.w
-				f.note(func(s *State) { s.Heard, s.Watching = time.Now(), true })
+				f.closeWatch(&f.current)
+				f.current = e.watch
+				f.updateState(func(s *State) { s.LastReceived, s.Watching = time.Now(), true })
 			}
-		case f.kept:
-			f.keeper.Heard(now)
+		case f.current:
+			f.scheduler.Received(now)
 		default:
-			return // of one that was given up
+			return // of a watch that was closed
 		}
-		f.update(e.u)
-	case ended:
-		switch e.w {
+		f.handleUpdate(e.update)
+	case watchEnded:
+		switch e.watch {
 		case f.trial:
 			f.trial = nil
-			f.keeper.Failed(now)
-		case f.kept:
-			f.kept = nil
-			f.keeper.Ended(now)
-			f.note(func(s *State) { s.Watching = false })
+			f.scheduler.TrialFailed(now)
+		case f.current:
+			f.current = nil
+			f.scheduler.WatchEnded(now)
+			f.updateState(func(s *State) { s.Watching = false })
 		default:
 			return
 		}
-		f.log.Warn("discovery: a connection ended; the list held applies meanwhile", "addr", e.w.addr, "err", e.err)
+		f.log.Warn("discovery: a connection ended; the list held applies meanwhile", "addr", e.watch.addr, "err", e.err)
 	}
 }
 
-// update takes an object, and tells the host.
-func (f *Feed) update(u membership.Update) {
+// handleUpdate applies an object to the list and passes the result to the host.
+func (f *Feed) handleUpdate(u membership.Update) {
 	kind := control.ListDelta
 	if u.All {
 		kind, f.cached = control.ListFull, nil
 	}
-	l := f.take(kind, u)
+	l := f.applyUpdate(kind, u)
 	if u.All || l != nil || f.list.Rev() == u.Rev {
-		f.tellCached()
+		f.deliverCached()
 	}
 	if l != nil {
 		f.host.List(*l)
 	}
 }
 
-// tellCached tells the host the list known at the start, if it has not been.
-func (f *Feed) tellCached() {
+// deliverCached passes the list known at the start to the host, unless that was done before.
+func (f *Feed) deliverCached() {
 	if f.cached != nil {
 		f.host.List(*f.cached)
 		f.cached = nil
 	}
 }
 
-// take takes an update, and returns what the host is to be told of it; nil: nothing.
-func (f *Feed) take(kind control.ListKind, u membership.Update) *host.List {
+// applyUpdate applies an update and returns the list or change for the host, or nil if there is none.
+func (f *Feed) applyUpdate(kind control.ListKind, u membership.Update) *host.List {
 	held := f.list.Rev()
-	nodes, passed, verdict := f.list.Take(u)
-	switch verdict {
-	case membership.Held:
+	nodes, skipped, result := f.list.Apply(u)
+	switch result {
+	case membership.Unchanged:
 		return nil
-	case membership.Back:
+	case membership.Outdated:
 		f.log.Warn("discovery: a version older than the one held; the whole list is asked for", "rev", u.Rev, "held", held)
-		f.keeper.Astray()
+		f.scheduler.Resync()
 		return nil
 	}
-	for _, err := range passed {
+	for _, err := range skipped {
 		f.log.Warn("discovery: an entry is passed over", "err", err)
 	}
 	l := &host.List{Kind: kind}
@@ -259,6 +261,6 @@
 		}
 		l.Nodes = append(l.Nodes, host.Node{Node: n.Node, Addr: n.Endpoint})
 	}
-	f.note(func(s *State) { s.Rev, s.Nodes, s.Passed = u.Rev, f.list.Len(), s.Passed+uint64(len(passed)) })
+	f.updateState(func(s *State) { s.Rev, s.Nodes, s.Skipped = u.Rev, f.list.Len(), s.Skipped+uint64(len(skipped)) })
 	return l
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -22,15 +22,15 @@
 )
 
 // hearer is told lists.
-type hearer struct{ lists chan host.List }
+type fakeHost struct{ lists chan host.List }
 
-func (h *hearer) List(l host.List) { h.lists <- l }
-func (h *hearer) StartedAt(_ string, wall time.Time) time.Duration {
+func (h *fakeHost) List(l host.List) { h.lists <- l }
+func (h *fakeHost) StartedAt(_ string, wall time.Time) time.Duration {
 	return time.Duration(wall.UnixMilli()) * time.Millisecond
 }
 
 // next is the next list, as its kind and its nodes.
-func (h *hearer) next() string {
+func (h *fakeHost) next() string {
 	l := <-h.lists
 	s := [...]string{"delta", "full", "cached", "failed"}[l.Kind]
 	for _, n := range l.Nodes {
@@ -50,30 +50,30 @@
 }
 
 // quick are times at which tests do not wait long, in the proportions of the usual ones.
-var quick = membership.Times{Silence: 250 * time.Millisecond, Try: 60 * time.Millisecond, PauseLow: 2 * time.Millisecond,
-	PauseTop: 25 * time.Millisecond, Start: 150 * time.Millisecond}
+var shortTiming = membership.Timing{SilenceTimeout: 250 * time.Millisecond, TrialTimeout: 60 * time.Millisecond, MinRetryDelay: 2 * time.Millisecond,
+	MaxRetryDelay: 25 * time.Millisecond, KnownListDelay: 150 * time.Millisecond}
 
 // follow starts a feed with such times, and with a list known from before; empty: none.
-func follow(t *testing.T, addr string, times membership.Times, known string) (*Feed, *hearer, *standin.Log) {
+func startFeed(t *testing.T, addr string, timing membership.Timing, known string) (*Feed, *fakeHost, *standin.Log) {
 	t.Helper()
-	h, log := &hearer{make(chan host.List, 100)}, &standin.Log{}
+	h, log := &fakeHost{make(chan host.List, 100)}, &standin.Log{}
 	f := New(addr, h, slog.New(slog.NewTextHandler(log, nil)))
-	f.times = times
+	f.timing = timing
 	if known != "" {
-		if err := f.Start([]byte(known)); err != nil {
+		if err := f.SetKnownList([]byte(known)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { f.Run(ctx); close(over) }()
-	t.Cleanup(func() { cancel(); <-over })
+	stopped := make(chan bool)
+	go func() { f.Run(ctx); close(stopped) }()
+	t.Cleanup(func() { cancel(); <-stopped })
 	return f, h, log
 }
 
 func target(uid, state string) string { return standin.Target(uid, "127.0.0.1:1", 3, state, 0) }
 
-func expect(t *testing.T, h *hearer, want string) {
+func expect(t *testing.T, h *fakeHost, want string) {
 	t.Helper()
 	if got := h.next(); got != want {
 		t.Fatalf("told %q, expected %q", got, want)
@@ -84,7 +84,7 @@
 // which it goes on from where it was.
 func TestWatch(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
-	f, h, _ := follow(t, a.Addr(), membership.Usual, "")
+	f, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, "")
 	w := a.Next()
 	if !w.Whole {
 		t.Fatalf("a watch from %d", w.From)
@@ -115,9 +115,9 @@
 }
 
 // TestBack: changes of an older version are not taken; the whole list is asked for, and a watch from its version.
-func TestBack(t *testing.T) {
+func TestOlderRevision(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
-	_, h, _ := follow(t, a.Addr(), membership.Usual, standin.List(7, true, target("s-1", "active")))
+	_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	w.Line(standin.List(6, false, target("s-1", "left")))
@@ -133,7 +133,7 @@
 }
 
 // TestForms: lists come indented, several at once, without line ends, and in pieces of any size.
-func TestForms(t *testing.T) {
+func TestFraming(t *testing.T) {
 	indented := "{\n  \"rev\": 8,\n  \"all\": false,\n  \"targets\": [\n    " + target("s-1", "leaving") + "\n  ]\n}\n"
 	for name, send := range map[string]func(standin.Watch){
 		"indented": func(w standin.Watch) { w.Chunk(indented) },
@@ -148,7 +148,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newAgent(t, "", standin.Greet)
-			_, h, _ := follow(t, a.Addr(), membership.Usual, standin.List(7, true, target("s-1", "active")))
+			_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 			w := a.Next()
 			expect(t, h, "cached s-1=0")
 			send(w)
@@ -162,7 +162,7 @@
 // TestBadEntries: one is named in the log; what cannot be read, or is too long, ends the watch, which goes on anew.
 func TestBadEntries(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
-	_, h, log := follow(t, a.Addr(), membership.Usual, standin.List(1, true, target("s-1", "active")))
+	_, h, log := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(1, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	w.Line(standin.List(2, false, target("odd", "asleep"), target("s-2", "active")))
@@ -174,7 +174,7 @@
 	}
 	go func() {
 		w.Chunk(`{"rev":3,"targets":["`)
-		for range objectMost >> 16 {
+		for range maxObjectBytes >> 16 {
 			w.Chunk(strings.Repeat("x", 1<<16))
 		}
 	}()
@@ -186,20 +186,20 @@
 
 // TestMoves: another address is asked at once; the watch at the former one stays until the one there speaks. Down
 // at the start is no end.
-func TestMoves(t *testing.T) {
+func TestAddressChange(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	f, h, log := follow(t, addr, membership.Usual, standin.List(7, true, target("s-1", "active")))
+	f, h, log := startFeed(t, addr, membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 	log.Has("a connection ended")
 	a := newAgent(t, addr, standin.Greet) // it comes up later
 	former := a.Next()
 	expect(t, h, "cached s-1=0")
 	b := newAgent(t, "", func(w standin.Watch) { w.Head() }) // no object yet
-	f.Follow(b.Addr())
+	f.SetAddress(b.Addr())
 	w := b.Next()
 	if w.From != 7 {
 		t.Fatalf("from %d", w.From)
@@ -214,7 +214,7 @@
 }
 
 // TestSilence: a watch falls silent; whatever the next two tries come to, the third brings what was missed.
-func TestSilence(t *testing.T) {
+func TestSilentWatchReplaced(t *testing.T) {
 	half := standin.List(8, false, target("s-1", "leaving"))[:30]
 	bad := map[string]func(standin.Watch){
 		"accepts and says nothing": func(standin.Watch) {},
@@ -239,7 +239,7 @@
 					w.Line(standin.List(8, false, target("s-1", "leaving")))
 				}
 			})
-			_, h, _ := follow(t, a.Addr(), quick, standin.List(7, true, target("s-1", "active")))
+			_, h, _ := startFeed(t, a.Addr(), shortTiming, standin.List(7, true, target("s-1", "active")))
 			expect(t, h, "cached s-1=0")
 			expect(t, h, "delta s-1=1")
 		})
@@ -247,14 +247,14 @@
 }
 
 // TestSpeaksAgain: while another watch is tried the silent one is kept, and what it says then counts.
-func TestSpeaksAgain(t *testing.T) {
+func TestSilentWatchRecovers(t *testing.T) {
 	var n atomic.Int32
 	a := newAgent(t, "", func(w standin.Watch) {
 		if n.Add(1) == 1 {
 			standin.Greet(w)
 		}
 	})
-	_, h, _ := follow(t, a.Addr(), quick, standin.List(7, true, target("s-1", "active")))
+	_, h, _ := startFeed(t, a.Addr(), shortTiming, standin.List(7, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	a.Next()
@@ -265,7 +265,7 @@
 
 // TestKnown: what was known from before is told with the agent's first word, with what changed since; not at all
 // if that is the whole list; and after a while if the agent says nothing. One that cannot be read is an error.
-func TestKnown(t *testing.T) {
+func TestKnownList(t *testing.T) {
 	known := standin.List(5, true, target("s-1", "active"), target("s-2", "active"))
 	for _, c := range []struct {
 		name  string
@@ -281,11 +281,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := newAgent(t, "", c.greet)
-			times := quick
+			timing := shortTiming
 			if c.name != "says nothing" {
-				times.Start = time.Hour // only the agent's word brings it
+				timing.KnownListDelay = time.Hour // only the agent's word brings it
 			}
-			_, h, _ := follow(t, a.Addr(), times, known)
+			_, h, _ := startFeed(t, a.Addr(), timing, known)
 			if w := a.Next(); w.From != 5 {
 				t.Fatalf("from %d", w.From)
 			}
@@ -294,16 +294,16 @@
 			}
 		})
 	}
-	if err := New("127.0.0.1:1", &hearer{}, slog.New(slog.DiscardHandler)).Start([]byte("[")); err == nil {
+	if err := New("127.0.0.1:1", &fakeHost{}, slog.New(slog.DiscardHandler)).SetKnownList([]byte("[")); err == nil {
 		t.Fatal("taken")
 	}
 }
 
 // read is what a feed takes of an answer.
-func read(r io.Reader) (updates []membership.Update) {
-	b := &body{conn: r, heard: func() error { return nil }}
-	if b.head() == nil {
-		_ = objects(b, func(u membership.Update) error { updates = append(updates, u); return nil })
+func readUpdates(r io.Reader) (updates []membership.Update) {
+	b := &responseBody{conn: r, onRead: func() error { return nil }}
+	if b.readHead() == nil {
+		_ = readObjects(b, func(u membership.Update) error { updates = append(updates, u); return nil })
 	}
 	return updates
 }
@@ -314,7 +314,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + standin.List(1, true, target("s-1", "active")) + "\n{\n}"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{}{}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, pieces := read(bytes.NewReader(b)), read(iotest.OneByteReader(bytes.NewReader(b)))
+		whole, pieces := readUpdates(bytes.NewReader(b)), readUpdates(iotest.OneByteReader(bytes.NewReader(b)))
 		if !reflect.DeepEqual(whole, pieces) {
 			t.Fatalf("%+v of the whole, %+v of pieces", whole, pieces)
 		}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -13,31 +13,31 @@
 	"eiderhold/membership"
 )
 
-// watch is one connection to discovery: a watch, or a question for the whole list.
+// watch is one connection to discovery, for a watch or for a single request of the whole list.
 type watch struct {
-	addr   string
-	whole  bool
-	cancel context.CancelFunc
+	addr     string
+	fetchAll bool
+	cancel   context.CancelFunc
 }
 
-// Events of a watch, for the feed's loop.
+// Events that a watch posts to Feed.Run.
 type (
-	spoke  struct{ w *watch } // bytes came
-	object struct {
-		w *watch
-		u membership.Update
+	bytesReceived  struct{ watch *watch } // any bytes, also of an incomplete object
+	objectReceived struct {
+		watch  *watch
+		update membership.Update
 	}
-	ended struct {
-		w   *watch
-		err error
+	watchEnded struct {
+		watch *watch
+		err   error
 	}
 )
 
-// start opens a watch from a version, in a goroutine of its own. What comes of it is posted; it ends with
-// ended, unless ctx did first.
-func (f *Feed) start(ctx context.Context, addr string, whole bool, from uint64) *watch {
+// startWatch opens a watch from a revision, in its own goroutine. It posts the watch's events; the last one is
+// watchEnded unless ctx is done first.
+func (f *Feed) startWatch(ctx context.Context, addr string, fetchAll bool, from uint64) *watch {
 	ctx, cancel := context.WithCancel(ctx)
-	w := &watch{addr: addr, whole: whole, cancel: cancel}
+	w := &watch{addr: addr, fetchAll: fetchAll, cancel: cancel}
 	go func() {
 		defer cancel()
 		post := func(e any) error {
@@ -48,14 +48,14 @@
 				return ctx.Err()
 			}
 		}
-		err := w.follow(ctx, from, post)
-		_ = post(ended{w, fmt.Errorf("discovery: %w", err)})
+		err := w.run(ctx, from, post)
+		_ = post(watchEnded{w, fmt.Errorf("discovery: %w", err)})
 	}()
 	return w
 }
 
-// follow asks, and posts what comes until the connection or ctx ends.
-func (w *watch) follow(ctx context.Context, from uint64, post func(any) error) error {
+// run sends the request and posts what it receives until the connection ends or ctx is done.
+func (w *watch) run(ctx context.Context, from uint64, post func(any) error) error {
 	d := net.Dialer{}
 	conn, err := d.DialContext(ctx, "tcp", w.addr)
 	if err != nil {
@@ -65,34 +65,34 @@
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	target := "/catalog/members"
-	if !w.whole {
+	if !w.fetchAll {
 		target += "?watch=1&from=" + strconv.FormatUint(from, 10)
 	}
 	p := http1.AppendEnd(http1.AppendField(http1.AppendRequestLine(nil, "GET", target), "Host", w.addr))
 	if _, err := conn.Write(p); err != nil {
 		return err
 	}
-	body := &body{conn: conn, heard: func() error { return post(spoke{w}) }}
-	if err := body.head(); err != nil {
+	body := &responseBody{conn: conn, onRead: func() error { return post(bytesReceived{w}) }}
+	if err := body.readHead(); err != nil {
 		return err
 	}
-	return objects(body, func(u membership.Update) error {
-		if w.whole {
+	return readObjects(body, func(u membership.Update) error {
+		if w.fetchAll {
 			u.All = true
 		}
-		return post(object{w, u})
+		return post(objectReceived{w, u})
 	})
 }
 
-// objects reads one JSON value after another, with white space of any kind between and within them, until the
-// stream ends. How deep a value may be nested the library bounds, its bytes body does.
-func objects(b *body, take func(membership.Update) error) error {
+// readObjects reads JSON values, with any white space between and within them, until the stream ends. encoding/json
+// bounds the nesting of a value, responseBody its size.
+func readObjects(b *responseBody, take func(membership.Update) error) error {
 	dec := json.NewDecoder(b)
-	b.used = dec.InputOffset
+	b.consumed = dec.InputOffset
 	for {
 		var u membership.Update
 		if err := dec.Decode(&u); err != nil {
-			return fmt.Errorf("object from byte %d on: %w", dec.InputOffset(), err)
+			return fmt.Errorf("object at byte %d: %w", dec.InputOffset(), err)
 		}
 		if err := take(u); err != nil {
 			return err
@@ -100,92 +100,91 @@
 	}
 }
 
-// body reads the body of an answer as it comes, in pieces of any size. It holds objectMost bytes that were not
-// used yet at the most.
-type body struct {
-	conn   io.Reader
-	heard  func() error // bytes came
-	used   func() int64 // bytes that the reader is done with
-	in     [16 << 10]byte
-	out    []byte // read and not handed on
-	chunks *http1.Chunks
-	left   int64 // of a body of stated length; below 0: until the connection ends
-	read   int64
-	done   bool
+// responseBody reads the body of a response in pieces of any size. It fails when an object exceeds maxObjectBytes.
+type responseBody struct {
+	conn       io.Reader
+	onRead     func() error // called after each read that returns bytes
+	consumed   func() int64 // returns the number of bytes that the JSON decoder has consumed
+	readBuffer [16 << 10]byte
+	unread     []byte // decoded and not yet returned by Read
+	chunks     *http1.Chunks
+	remaining  int64 // bytes left of a body with a Content-Length; negative: until the connection ends
+	received   int64
+	done       bool
 }
 
-var errOver = errors.New("the answer ended")
+var errResponseEnded = errors.New("the response ended")
 
-// head reads the answer's head.
-func (b *body) head() error {
+// readHead reads the head of the response.
+func (b *responseBody) readHead() error {
 	var in []byte
 	for {
-		n, err := b.conn.Read(b.in[:])
+		n, err := b.conn.Read(b.readBuffer[:])
 		if n > 0 {
-			if err := b.heard(); err != nil {
+			if err := b.onRead(); err != nil {
 				return err
 			}
 		}
-		in = append(in, b.in[:n]...)
-		h, size, perr := http1.ParseResponse(in, 0)
+		in = append(in, b.readBuffer[:n]...)
+		h, size, parseErr := http1.ParseResponse(in, 0)
 		switch {
-		case perr == http1.ErrShort && err != nil:
+		case parseErr == http1.ErrShort && err != nil:
 			return err
-		case perr == http1.ErrShort:
+		case parseErr == http1.ErrShort:
 			continue
-		case perr != nil:
-			return perr
+		case parseErr != nil:
+			return parseErr
 		case h.Status != 200:
 			return fmt.Errorf("status %d: expected 200", h.Status)
 		}
-		b.left = h.Body.Length
+		b.remaining = h.Body.Length
 		if h.Body.Chunked {
 			b.chunks = &http1.Chunks{}
 		}
-		return b.feed(in[size:])
+		return b.decode(in[size:])
 	}
 }
 
-// feed takes bytes of the body.
-func (b *body) feed(p []byte) (err error) {
-	was := len(b.out)
+// decode decodes bytes of the body and appends them to unread.
+func (b *responseBody) decode(p []byte) (err error) {
+	before := len(b.unread)
 	switch {
 	case b.chunks != nil:
-		b.out, _, b.done, err = b.chunks.Feed(b.out, p)
-	case b.left >= 0:
-		n := min(int64(len(p)), b.left)
-		b.out, b.left = append(b.out, p[:n]...), b.left-n
-		b.done = b.left == 0
+		b.unread, _, b.done, err = b.chunks.Feed(b.unread, p)
+	case b.remaining >= 0:
+		n := min(int64(len(p)), b.remaining)
+		b.unread, b.remaining = append(b.unread, p[:n]...), b.remaining-n
+		b.done = b.remaining == 0
 	default:
-		b.out = append(b.out, p...)
+		b.unread = append(b.unread, p...)
 	}
-	b.read += int64(len(b.out) - was)
+	b.received += int64(len(b.unread) - before)
 	return err
 }
 
-// Read is for the reader of objects.
-func (b *body) Read(p []byte) (int, error) {
-	for len(b.out) == 0 {
+// Read implements io.Reader for the JSON decoder.
+func (b *responseBody) Read(p []byte) (int, error) {
+	for len(b.unread) == 0 {
 		if b.done {
-			return 0, errOver
+			return 0, errResponseEnded
 		}
-		if b.read-b.used() > objectMost {
-			return 0, fmt.Errorf("an object of over %d bytes", objectMost)
+		if b.received-b.consumed() > maxObjectBytes {
+			return 0, fmt.Errorf("an object of over %d bytes", maxObjectBytes)
 		}
-		n, err := b.conn.Read(b.in[:])
+		n, err := b.conn.Read(b.readBuffer[:])
 		if n > 0 {
-			if err := b.heard(); err != nil {
+			if err := b.onRead(); err != nil {
 				return 0, err
 			}
-			if err := b.feed(b.in[:n]); err != nil {
+			if err := b.decode(b.readBuffer[:n]); err != nil {
 				return 0, err
 			}
 		}
-		if err != nil && len(b.out) == 0 {
+		if err != nil && len(b.unread) == 0 {
 			return 0, err
 		}
 	}
-	n := copy(p, b.out)
-	b.out = b.out[:copy(b.out, b.out[n:])]
+	n := copy(p, b.unread)
+	b.unread = b.unread[:copy(b.unread, b.unread[n:])]
 	return n, nil
 }
--- a/internal/live/bench_test.go
+++ b/internal/live/bench_test.go
@@ -69,7 +69,7 @@
 	b.ResetTimer()
 	for i := range clients {
 		go func() {
-			if err := askOn(l.Addr(), i, b.N/clients+1); err != nil {
+			if err := sendRequests(l.Addr(), i, b.N/clients+1); err != nil {
 				b.Error(err)
 			}
 			left <- true
@@ -81,7 +81,7 @@
 }
 
 // askOn asks so many times on one connection.
-func askOn(addr string, client, times int) error {
+func sendRequests(addr string, client, times int) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return err
--- a/internal/live/config.go
+++ b/internal/live/config.go
@@ -11,7 +11,7 @@
 	"eiderhold/internal/wire"
 )
 
-// Config is what the platform tells a host: the file that BALANCER_CONFIG names.
+// Config is the configuration that the platform gives a host, from the file that BALANCER_CONFIG names.
 type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -22,29 +22,29 @@
 		MemoryMB float64 `json:"memory_mb"`
 		Sockets  int     `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	KnownNodes json.RawMessage `json:"known"`
+	Settings   json.RawMessage `json:"settings"`
 
 	control control.Settings
 	conns   wire.Conns
 	seed    uint64
 }
 
-const configMost = 16 << 20 // bytes of the file
+const maxConfigBytes = 16 << 20 // maximum size of the file
 
-// Load reads the configuration and checks it whole. Where the file leaves name, listen or discovery out,
-// the variables say them.
+// Load reads and validates the configuration file. Where the file leaves out name, listen or discovery, the
+// environment variables BALANCER_NAME, BALANCER_LISTEN and BALANCER_DISCOVERY apply.
 func Load(env func(string) string) (*Config, error) {
 	file := env("BALANCER_CONFIG")
 	if file == "" {
-		return nil, fmt.Errorf("BALANCER_CONFIG is not set: expected the configuration's file")
+		return nil, fmt.Errorf("BALANCER_CONFIG is not set: expected the path of the configuration file")
 	}
 	info, err := os.Stat(file)
 	if err != nil {
 		return nil, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	if info.Size() > configMost {
-		return nil, fmt.Errorf("BALANCER_CONFIG: %s: %d bytes: %d at most", file, info.Size(), configMost)
+	if info.Size() > maxConfigBytes {
+		return nil, fmt.Errorf("BALANCER_CONFIG: %s: file of %d bytes: expected at most %d", file, info.Size(), maxConfigBytes)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return c, nil
 }
 
-// Parse reads a configuration's text.
+// Parse parses and validates the text of a configuration.
 func Parse(text []byte, env func(string) string) (*Config, error) {
 	c := &Config{}
 	if err := json.Unmarshal(text, c); err != nil {
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -33,53 +33,53 @@
 }
 
 // patience bounds a wait for what takes milliseconds on an idle machine; every answer is due in half of it.
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-type rig struct {
-	*Live
+type testServer struct {
+	*Server
 	t       *testing.T
 	agent   *standin.Agent
 	watch   standin.Watch
 	log     *standin.Log
 	signals chan os.Signal
 	ended   chan error
-	over    bool
+	closed  bool
 
-	mu   sync.Mutex
-	next string // the configuration that a reload reads
+	mu         sync.Mutex
+	reloadText string // the configuration that a reload reads
 }
 
 // newRig starts a host that knows these entries, and serves until a signal ends it. It returns once the host is
 // ready: that the agent has spoken does not yet mean that it was heard, and until then requests are refused.
-func newRig(t *testing.T, targets ...string) *rig {
+func newTestServer(t *testing.T, targets ...string) *testServer {
 	t.Helper()
 	a := newAgent(t)
-	r := newRigAt(t, a, targets...)
+	r := newTestServerAt(t, a, targets...)
 	r.watch = a.Next()
-	r.ready()
+	r.waitReady()
 	return r
 }
 
 // newRigAt starts one whose discovery is there.
-func newRigAt(t *testing.T, a *standin.Agent, targets ...string) *rig {
+func newTestServerAt(t *testing.T, a *standin.Agent, targets ...string) *testServer {
 	t.Helper()
 	cfg, err := Parse([]byte(config(a.Addr(), standin.List(1, true, targets...))), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, agent: a, log: &standin.Log{}, signals: make(chan os.Signal, 16), ended: make(chan error, 1)}
-	if r.Live, err = Start(cfg, slog.New(slog.NewTextHandler(r.log, nil))); err != nil {
+	r := &testServer{t: t, agent: a, log: &standin.Log{}, signals: make(chan os.Signal, 16), ended: make(chan error, 1)}
+	if r.Server, err = Start(cfg, slog.New(slog.NewTextHandler(r.log, nil))); err != nil {
 		t.Fatal(err)
 	}
 	go func() {
 		r.ended <- r.Serve(r.signals, func() (*Config, error) {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return Parse([]byte(r.next), func(string) string { return "" })
+			return Parse([]byte(r.reloadText), func(string) string { return "" })
 		})
 	}()
 	t.Cleanup(func() {
-		if r.over {
+		if r.closed {
 			return
 		}
 		if err := r.Close(); err != nil {
@@ -90,23 +90,23 @@
 	return r
 }
 
-const health = "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
+const healthRequest = "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
 
 // ready waits until the host says that it is.
-func (r *rig) ready() {
+func (r *testServer) waitReady() {
 	r.t.Helper()
 	got := ""
-	for began := time.Now(); time.Since(began) < patience; {
-		if got = r.say(health); strings.HasPrefix(got, "200") {
+	for began := time.Now(); time.Since(began) < testTimeout; {
+		if got = r.roundTrip(healthRequest); strings.HasPrefix(got, "200") {
 			return
 		}
 	}
-	r.t.Fatalf("not ready within %v: %q", patience, got)
+	r.t.Fatalf("not ready within %v: %q", testTimeout, got)
 }
 
 // reach waits until so many requests have come to the node. It fails with the answer if one of these, which are
 // needed for as many, was answered before: then no more will come.
-func (r *rig) reach(n *standin.HTTPNode, atLeast int, answers ...chan string) {
+func (r *testServer) waitReceived(n *standin.HTTPNode, atLeast int, answers ...chan string) {
 	r.t.Helper()
 	seen, early := make(chan bool), make(chan string, len(answers))
 	go func() { n.Seen(atLeast); close(seen) }()
@@ -123,8 +123,8 @@
 		if k := len(n.Seen(0)); k < atLeast {
 			r.t.Fatalf("answered %q when %d of %d requests had come to the node", got, k, atLeast)
 		}
-	case <-time.After(patience):
-		r.t.Fatalf("%d of %d requests came to the node within %v, and no answer", len(n.Seen(0)), atLeast, patience)
+	case <-time.After(testTimeout):
+		r.t.Fatalf("%d of %d requests came to the node within %v, and no answer", len(n.Seen(0)), atLeast, testTimeout)
 	}
 }
 
@@ -153,20 +153,20 @@
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
 // ask sends one read on a connection of its own; the answer comes on the channel.
-func (r *rig) ask(n, shard int) chan string {
+func (r *testServer) startRead(n, shard int) chan string {
 	answer := make(chan string, 1)
-	go func() { answer <- r.asked(n, shard, 9*time.Second) }()
+	go func() { answer <- r.read(n, shard, 9*time.Second) }()
 	return answer
 }
 
 // asked is the answer to one read whose client waits so long by its own word.
-func (r *rig) asked(n, shard int, within time.Duration) string {
-	return r.say(fmt.Sprintf("GET /api/%s/%s HTTP/1.1\r\nHost: o\r\nRequest-Id: %s\r\nRequest-Class: read\r\nX-Storage-Class: gold\r\n"+
+func (r *testServer) read(n, shard int, within time.Duration) string {
+	return r.roundTrip(fmt.Sprintf("GET /api/%s/%s HTTP/1.1\r\nHost: o\r\nRequest-Id: %s\r\nRequest-Class: read\r\nX-Storage-Class: gold\r\n"+
 		"Request-Timeout-Ms: %d\r\nX-Extent: units=2,shard=%d,hosts=1\r\n\r\n", id(n%7), id(n), id(n), within.Milliseconds(), shard))
 }
 
 // say sends a request on a connection of its own and returns the answer's status and body.
-func (r *rig) say(request string) string {
+func (r *testServer) roundTrip(request string) string {
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
 		return err.Error()
@@ -186,7 +186,7 @@
 	return fmt.Sprint(resp.StatusCode, " ", string(body))
 }
 
-func (r *rig) expect(answer chan string, want string) {
+func (r *testServer) expect(answer chan string, want string) {
 	r.t.Helper()
 	if got := <-answer; !strings.HasPrefix(got, want) {
 		r.t.Fatalf("%q, expected %q", got, want)
@@ -196,9 +196,9 @@
 func served(n int) string { return "200 of " + id(n) }
 
 // until asks again until an answer is as wanted: what has been told takes effect with the next turn.
-func (r *rig) until(n, shard int, want string) int {
+func (r *testServer) readUntil(n, shard int, want string) int {
 	for ; ; n++ {
-		if strings.HasPrefix(r.asked(n, shard, 9*time.Second), strings.Replace(want, "ID", id(n), 1)) {
+		if strings.HasPrefix(r.read(n, shard, 9*time.Second), strings.Replace(want, "ID", id(n), 1)) {
 			return n
 		}
 	}
@@ -207,16 +207,16 @@
 // TestList: a new uid at an old endpoint, a drain, a node that is gone: what is told binds at once.
 func TestList(t *testing.T) {
 	a, b := newNode(t, echo), newNode(t, echo)
-	r := newRig(t, standin.Target("s-1", a.Addr(), 0, "active", 0))
-	r.expect(r.ask(1, 0), served(1))
+	r := newTestServer(t, standin.Target("s-1", a.Addr(), 0, "active", 0))
+	r.expect(r.startRead(1, 0), served(1))
 	r.watch.Line(standin.List(2, false, standin.Target("s-1", "", 0, "left", 0), standin.Target("s-2", a.Addr(), 0, "active", 0),
 		standin.Target("s-3", b.Addr(), 1, "active", 0)))
-	n := r.until(2, 1, "200 of ID")
-	r.expect(r.ask(n+1, 0), served(n+1))
+	n := r.readUntil(2, 1, "200 of ID")
+	r.expect(r.startRead(n+1, 0), served(n+1))
 	r.watch.Line(standin.List(3, false, standin.Target("s-3", b.Addr(), 1, "leaving", 0)))
-	n = r.until(n+2, 1, "503")
+	n = r.readUntil(n+2, 1, "503")
 	before := len(b.Seen(1))
-	r.expect(r.ask(n+1, 1), "503")
+	r.expect(r.startRead(n+1, 1), "503")
 	if after := len(b.Seen(1)); after != before {
 		t.Fatalf("a draining node got %d more", after-before)
 	}
@@ -224,7 +224,7 @@
 
 // TestFirstList: what a host knew from before is not served by until the agent has spoken, and a node that its
 // first list takes away gets nothing.
-func TestFirstList(t *testing.T) {
+func TestNotReadyBeforeFirstList(t *testing.T) {
 	gone, there := newNode(t, echo), newNode(t, echo)
 	speak := make(chan bool)
 	a, err := standin.NewAgentWith("", func(w standin.Watch) {
@@ -236,13 +236,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	r := newRigAt(t, a, standin.Target("s-1", gone.Addr(), 0, "active", 0))
-	if got := r.say(health); !strings.HasPrefix(got, "503") {
+	r := newTestServerAt(t, a, standin.Target("s-1", gone.Addr(), 0, "active", 0))
+	if got := r.roundTrip(healthRequest); !strings.HasPrefix(got, "503") {
 		t.Fatalf("ready by the list known from before: %q", got)
 	}
 	close(speak)
-	r.ready()
-	r.expect(r.ask(1, 0), served(1))
+	r.waitReady()
+	r.expect(r.startRead(1, 0), served(1))
 	if n := len(gone.Seen(0)); n != 0 || len(there.Seen(1)) != 1 {
 		t.Fatalf("%d requests to the node that is gone", n)
 	}
@@ -250,17 +250,17 @@
 
 // TestDrainWhileHeld: requests that are held for a node as it is told to drain are answered, and none of
 // them goes there any more.
-func TestDrainWhileHeld(t *testing.T) {
+func TestDrainWithQueuedRequests(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
-	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
+	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
 	var answers []chan string
 	for i := range 40 {
-		answers = append(answers, r.ask(i, 0))
+		answers = append(answers, r.startRead(i, 0))
 	}
 	for settled := false; !settled; {
 		got := make(chan bool)
-		r.Compare(func(b []host.Believed, p map[string]backend.Passed) { // what waits for a connection is not out yet
+		r.CompareNodes(func(b []host.Believed, p map[string]backend.Passed) { // what waits for a connection is not out yet
 			got <- len(b) == 1 && b[0].Out > 0 && b[0].Held > 0 && p["s-1"].Waiting == 0 && p["s-1"].Out == b[0].Out
 		})
 		settled = <-got
@@ -269,7 +269,7 @@
 	before := 0 // sent by the time that nothing is held any more
 	for held := 1; held > 0; {
 		got := make(chan host.Believed)
-		r.Compare(func(b []host.Believed, _ map[string]backend.Passed) { got <- b[0] })
+		r.CompareNodes(func(b []host.Believed, _ map[string]backend.Passed) { got <- b[0] })
 		b := <-got
 		held, before = b.Held, b.Out
 	}
@@ -292,18 +292,18 @@
 func TestBeliefs(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
-	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
+	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
 	compare := func() (b host.Believed, p backend.Passed) {
 		got := make(chan bool)
-		r.Compare(func(bs []host.Believed, ps map[string]backend.Passed) { b, p = bs[0], ps["s-1"]; close(got) })
+		r.CompareNodes(func(bs []host.Believed, ps map[string]backend.Passed) { b, p = bs[0], ps["s-1"]; close(got) })
 		<-got
 		return b, p
 	}
 	var answers []chan string
 	for i := range 3 {
-		answers = append(answers, r.ask(i, 0))
+		answers = append(answers, r.startRead(i, 0))
 	}
-	r.reach(n, 3, answers...)
+	r.waitReceived(n, 3, answers...)
 	if b, p := compare(); b.Out != 3 || b.Carried != 3 || p.Out+p.Waiting != 3 || p.Written != 3 || p.Answered != 0 {
 		t.Fatalf("believed %+v, passed %+v", b, p)
 	}
@@ -329,16 +329,16 @@
 	hold := make(chan bool)
 	n := newNode(t, func(standin.Seen) standin.Reply { <-hold; return standin.Reply{} })
 	defer close(hold)
-	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
+	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
 	write := make(chan string, 1)
 	go func() {
-		write <- r.say("PUT /api/" + id(1) + "/" + id(2) + " HTTP/1.1\r\nHost: o\r\nRequest-Id: " + id(99) + "\r\nRequest-Class: write\r\n" +
+		write <- r.roundTrip("PUT /api/" + id(1) + "/" + id(2) + " HTTP/1.1\r\nHost: o\r\nRequest-Id: " + id(99) + "\r\nRequest-Class: write\r\n" +
 			"X-Storage-Class: gold\r\nRequest-Timeout-Ms: 500\r\nX-Extent: units=2,shard=0,hosts=1\r\nIdempotency-Key: k\r\nContent-Length: 1\r\n\r\nx")
 	}()
-	r.reach(n, 1, write)
+	r.waitReceived(n, 1, write)
 	reads := make(chan string, 30)
 	for i := range cap(reads) {
-		go func() { reads <- r.asked(i, 0, 500*time.Millisecond) }()
+		go func() { reads <- r.read(i, 0, 500*time.Millisecond) }()
 	}
 	for range cap(reads) {
 		r.expect(reads, "503")
@@ -351,18 +351,18 @@
 
 // TestHangup: SIGHUP under load follows discovery to its new address; a configuration that cannot be used
 // changes nothing; what is open is answered.
-func TestHangup(t *testing.T) {
+func TestReload(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
-	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
-	open := r.ask(1, 0)
-	r.reach(n, 1, open)
-	r.next = `{"name":"n3","listen":"nowhere"}`
+	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
+	open := r.startRead(1, 0)
+	r.waitReceived(n, 1, open)
+	r.reloadText = `{"name":"n3","listen":"nowhere"}`
 	r.signals <- syscall.SIGHUP
 	r.log.Has("the new configuration cannot be used")
 	b := newAgent(t)
 	r.mu.Lock()
-	r.next = config(b.Addr(), "null")
+	r.reloadText = config(b.Addr(), "null")
 	r.mu.Unlock()
 	r.signals <- syscall.SIGHUP
 	w := b.Next()
@@ -371,7 +371,7 @@
 	}
 	w.Line(standin.List(2, false, standin.Target("s-2", n.Addr(), 1, "active", 0)))
 	close(release)
-	r.until(2, 1, "200 of ID")
+	r.readUntil(2, 1, "200 of ID")
 	r.expect(open, served(1))
 }
 
@@ -380,19 +380,19 @@
 func TestTerminate(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
-	r := newRig(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
-	first := r.ask(1, 0)
-	r.reach(n, 1, first)
+	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
+	first := r.startRead(1, 0)
+	r.waitReceived(n, 1, first)
 	r.signals <- syscall.SIGTERM
 	r.signals <- syscall.SIGHUP
 	r.signals <- syscall.SIGTERM
 	r.log.Has("ending")
-	late := r.ask(2, 0) // connections go on being served
-	r.reach(n, 2, late)
+	late := r.startRead(2, 0) // connections go on being served
+	r.waitReceived(n, 2, late)
 	close(release)
 	r.expect(first, served(1))
 	r.expect(late, served(2))
-	r.over = true
+	r.closed = true
 	if err := <-r.ended; err != nil {
 		t.Fatal(err)
 	}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,133 +1,136 @@
-// Package limits decides how one process's descriptors and memory are split among those who need them,
-// and which client's connection goes when they run short. It owns nothing and does no I/O: who calls it
-// keeps to the split before it accepts, dials or buffers.
+// Package limits divides the descriptors and the memory of a process among its parts, and decides which client
+// connection is closed when they run short. It does no I/O: internal/live and internal/front/http apply the limits
+// before they accept, dial or buffer.
 package limits
 
 import "time"
 
-// The parts. A third of the descriptors is what clients hold for requests at most; what is over it at the
-// door is for those who hold connections and ask nothing.
+// The division of descriptors and memory. Clients need at most a third of the descriptors for requests; their share
+// is larger to leave room for connections without a request.
 const (
-	fixed       = 28   // descriptors of the process itself: standard ones, loops, listener, discovery, spare
-	clientsPart = 0.58 // of the descriptors that are left
-	nodesPart   = 0.34 // the rest is for sockets that are handed from one owner to another
-	heapPart    = 0.55 // of the memory: the collector works the harder the nearer it comes to it
-	bytesPart   = 0.12 // of the memory: bytes of requests held, and as much of answers that are not whole
-	requestSize = 8 << 10
+	reservedDescriptors = 28   // standard streams, event loops, listener, discovery, and a reserve
+	clientsFraction     = 0.58 // of the remaining descriptors
+	nodesFraction       = 0.34 // the rest is for sockets that are moved between owners
+	heapFraction        = 0.55 // of the memory; garbage collection costs more the closer the heap comes to it
+	bufferFraction      = 0.12 // of the memory, for requests, and as much for incomplete answers
+	requestBytes        = 8 << 10
 )
 
-// Split is who may hold how much.
+// Split is a division of the resources of a process.
 type Split struct {
-	Clients  int   // connections of clients
-	Nodes    int   // connections to nodes
-	Heap     int64 // bytes, the collector's soft limit
-	Bytes    int64 // bytes of requests held, not yet answered
-	Answers  int64 // bytes held of nodes' answers that are not whole
-	Requests int   // open at a time
+	ClientConns  int   // connections from clients
+	NodeConns    int   // connections to nodes
+	HeapBytes    int64 // soft memory limit of the Go runtime
+	RequestBytes int64 // buffered bytes of requests without an answer
+	AnswerBytes  int64 // buffered bytes of incomplete answers from nodes
+	MaxRequests  int   // maximum of open requests
 }
 
-// Divide splits what a process may hold.
+// Divide divides the descriptors and bytes of memory that a process may use.
 func Divide(descriptors int, memory int64) Split {
-	free := max(8, descriptors-fixed)
+	free := max(8, descriptors-reservedDescriptors)
 	return Split{
-		Clients:  max(2, int(clientsPart*float64(free))),
-		Nodes:    max(2, int(nodesPart*float64(free))),
-		Heap:     int64(heapPart * float64(memory)),
-		Bytes:    int64(bytesPart * float64(memory)),
-		Answers:  int64(bytesPart * float64(memory)),
-		Requests: max(64, int(bytesPart*float64(memory)/requestSize)),
+		ClientConns:  max(2, int(clientsFraction*float64(free))),
+		NodeConns:    max(2, int(nodesFraction*float64(free))),
+		HeapBytes:    int64(heapFraction * float64(memory)),
+		RequestBytes: int64(bufferFraction * float64(memory)),
+		AnswerBytes:  int64(bufferFraction * float64(memory)),
+		MaxRequests:  max(64, int(bufferFraction*float64(memory)/requestBytes)),
 	}
 }
 
-// Yields says that who holds so many bytes of a request that is not whole goes, in the place of a newcomer with
-// so many, where there is no room for both. Guards against clients that begin large requests by the hundred.
+// Yields reports whether a connection that holds bytes of an incomplete request is closed in favour of a new request
+// of that size, when there is no room for both. It guards against clients that begin hundreds of large requests.
 func Yields(holds, comes int) bool { return holds > comes }
 
-// Again is when a client may come back that was turned away for want of room.
+// Again is the retry delay told to a client that is refused for lack of room.
 const Again = 500 * time.Millisecond
 
-// Conn is what is known of a client's connection.
+// Conn is the state of a client connection.
 type Conn struct {
-	Open   bool          // a request of it is open
-	Taking bool          // its last answer is not yet out whole
-	Ending bool          // it is being closed: it waits for the other side's end
-	Asked  bool          // it has brought a whole request before
-	Begun  bool          // a request has begun to come and is not whole
-	Opened time.Duration // when it came
-	Since  time.Duration // since when it is in this state
+	Open   bool          // it has an open request
+	Taking bool          // its last answer has not been written completely
+	Ending bool          // it is being closed and waits for the other side to close
+	Asked  bool          // it has sent a complete request before
+	Begun  bool          // a request has been received in part
+	Opened time.Duration // when it was accepted
+	Since  time.Duration // when it entered this state
 }
 
-// How long a connection may stand without a request that is open.
+// The time limits of connections without an open request.
 const (
-	// beginWithin is for all up to the first whole request. Guards against those who open connections and
-	// say nothing, or half of something: within 3 s they are owed an error or a close.
-	beginWithin = 2200 * time.Millisecond
-	// wholeWithin is for a further request that has begun to come.
-	wholeWithin = 2 * time.Second
-	// idleWithin is for a connection between requests while there is room; shortWithin while there is little.
-	idleWithin  = 20 * time.Second
-	shortWithin = 2 * time.Second
-	// takeWithin is for a client to take an answer. Guards against clients that ask and do not read.
-	takeWithin = 5 * time.Second
-	// silentWithin is for one that never said anything while there is none: a client sends as it connects.
-	silentWithin = 300 * time.Millisecond
-	// lingerShort is for one that is being closed while there is no room: by then its client has read its answer.
-	lingerShort = 100 * time.Millisecond
-	keepRoom    = 0.6  // part of the places taken from which on a connection ends with its answer
-	littleRoom  = 0.75 // part of the places taken from which on there is little room
+	// firstRequestTimeout is the time from accepting a connection to its first complete request. It guards against
+	// clients that open connections and send nothing or part of a request: the platform expects an error or a close
+	// within 3 s.
+	firstRequestTimeout = 2200 * time.Millisecond
+	// requestTimeout is the time to receive a later request completely.
+	requestTimeout = 2 * time.Second
+	// idleTimeout is for a connection between requests while there is room, shortIdleTimeout above busyOccupancy.
+	idleTimeout      = 20 * time.Second
+	shortIdleTimeout = 2 * time.Second
+	// answerTimeout is the time to write an answer completely. It guards against clients that do not read.
+	answerTimeout = 5 * time.Second
+	// silentTimeout is for a connection that has sent nothing, while there is no room: clients send as they connect.
+	silentTimeout = 300 * time.Millisecond
+	// shortLingerTimeout is for a connection that is being closed, while there is no room: by then its client has
+	// read its answer.
+	shortLingerTimeout = 100 * time.Millisecond
+	keepAliveOccupancy = 0.6  // part of the places in use from which a connection closes after its answer
+	busyOccupancy      = 0.75 // part of the places in use from which shortIdleTimeout applies
 )
 
-// Verdict says what becomes of a connection.
+// Verdict is the decision about a connection.
 type Verdict int
 
 // The verdicts.
 const (
-	Stay Verdict = iota
-	Leave
-	Late // its request did not come in time: it is told so, then closed
+	Stay  Verdict = iota // keep it open
+	Leave                // close it
+	Late                 // answer that the request did not arrive in time, then close it
 )
 
-// Judge says whether a connection stays, of so many of so many places taken.
+// Judge decides whether a connection stays open while taken of places are in use.
 func Judge(now time.Duration, c Conn, taken, places int) Verdict {
 	age := now - c.Since
 	switch {
 	case c.Open || c.Ending:
 		return Stay
-	case c.Taking && age >= takeWithin:
+	case c.Taking && age >= answerTimeout:
 		return Leave
 	case c.Taking:
 		return Stay
-	case c.Begun && !c.Asked && now-c.Opened >= beginWithin, c.Begun && c.Asked && age >= wholeWithin:
+	case c.Begun && !c.Asked && now-c.Opened >= firstRequestTimeout, c.Begun && c.Asked && age >= requestTimeout:
 		return Late
 	case c.Begun:
 		return Stay
-	case !c.Asked && age >= beginWithin:
+	case !c.Asked && age >= firstRequestTimeout:
 		return Leave
-	case c.Asked && (age >= idleWithin || age >= shortWithin && float64(taken) >= littleRoom*float64(places)):
+	case c.Asked && (age >= idleTimeout || age >= shortIdleTimeout && float64(taken) >= busyOccupancy*float64(places)):
 		return Leave
-	case !c.Asked && taken >= places && age >= silentWithin:
+	case !c.Asked && taken >= places && age >= silentTimeout:
 		return Leave
 	}
 	return Stay
 }
 
-// Keep says whether a connection goes on after an answer, of so many of so many places taken. Guards against
-// clients that ask once and stay: they would hold the places of those that ask, and to find out who stays
-// takes longer than a new connection. Who is told with the answer sends nothing into a connection that ends.
-// Harm: while there is little room, clients connect anew for each request.
-func Keep(taken, places int) bool { return float64(taken) < keepRoom*float64(places) }
+// Keep reports whether a connection stays open after an answer while taken of places are in use. It guards against
+// clients that send one request and stay connected: they would hold the places of active clients, and detecting them
+// takes longer than opening a new connection. A client that is told with the answer sends nothing more on a
+// connection that closes. The cost is that clients reconnect for each request while places are short.
+func Keep(taken, places int) bool { return float64(taken) < keepAliveOccupancy*float64(places) }
 
-// Rank orders connections where none of the above makes room and one more client is at the door: the
-// highest goes first. Those whose request is open have none. Those that are being closed go before those that came
-// and said nothing, these before those between requests, and these before those half through a first request.
+// Rank orders connections for eviction when a new client connects and Judge frees no place: the highest rank is closed
+// first. may is false for a connection that must not be closed, such as one with an open request. Connections that are
+// being closed rank above those that have sent nothing, these above those between requests, and these above those
+// with part of a first request.
 func Rank(now time.Duration, c Conn) (rank float64, may bool) {
 	age := min(0.99, max(0, (now-c.Since).Seconds()/60))
 	switch {
 	case c.Ending:
-		return 4 + age, now-c.Since >= lingerShort
+		return 4 + age, now-c.Since >= shortLingerTimeout
 	case c.Open || c.Taking || c.Begun && c.Asked:
 		return 0, false
-	case c.Asked && now-c.Since < shortWithin/8, !c.Asked && now-c.Opened < silentWithin:
+	case c.Asked && now-c.Since < shortIdleTimeout/8, !c.Asked && now-c.Opened < silentTimeout:
 		return 0, false
 	case !c.Asked && !c.Begun:
 		return 3 + age, true
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -10,10 +10,10 @@
 func TestDivide(t *testing.T) {
 	for _, c := range []struct{ descriptors, mb int }{{256, 32}, {384, 64}, {1024, 192}} {
 		s := Divide(c.descriptors, int64(c.mb)<<20)
-		if s.Clients+s.Nodes+fixed > c.descriptors || s.Clients < c.descriptors/3 {
+		if s.ClientConns+s.NodeConns+reservedDescriptors > c.descriptors || s.ClientConns < c.descriptors/3 {
 			t.Errorf("%d descriptors: %+v", c.descriptors, s)
 		}
-		if s.Heap+2*s.Bytes+s.Answers > int64(c.mb)<<20 || s.Requests < s.Clients {
+		if s.HeapBytes+2*s.RequestBytes+s.AnswerBytes > int64(c.mb)<<20 || s.MaxRequests < s.ClientConns {
 			t.Errorf("%d MB: %+v", c.mb, s)
 		}
 	}
--- a/membership/keeper.go
+++ b/membership/keeper.go
@@ -2,139 +2,145 @@
 
 import "time"
 
-// Told is within what time a change counts as told, whether it arrived or not: from the moment at which a watch
-// fell silent, or at which discovery had the change and could be reached (the platform's standing test).
-const Told = 6 * time.Second
-
-// Times are the bounds that together keep Told: Silence + 3 x (Try + PauseTop) is less, so that two tries in a
-// row may come to nothing. A change that the agent has after it was down counts at once: a try is short.
-type Times struct {
-	Silence  time.Duration // without a byte, after which another watch is asked for; an empty line comes every 2 s
-	Try      time.Duration // from the dial to the first object, which an agent on the same machine sends at once
-	PauseLow time.Duration // between tries, at first
-	PauseTop time.Duration // and at most
-	Start    time.Duration // a new process waits so long for the agent before the list known from before applies
+// UpdateDeadline is the time within which a change must be applied, whether it has arrived or not. It is counted from
+// the moment at which a watch fell silent, or at which discovery had the change and was reachable (the platform's
+// standing test).
+const UpdateDeadline = 6 * time.Second
+
+// Timing holds the bounds that together meet UpdateDeadline: SilenceTimeout + 3 x (TrialTimeout + MaxRetryDelay) is
+// less, so that two consecutive trials may fail. A change that the agent has after downtime is due at once, hence
+// the short TrialTimeout.
+type Timing struct {
+	SilenceTimeout time.Duration // without a byte, until another watch is opened; discovery sends an empty line every 2 s
+	TrialTimeout   time.Duration // from the dial to the first object, which the agent on the same machine sends at once
+	MinRetryDelay  time.Duration // after the first failed trial
+	MaxRetryDelay  time.Duration // maximum after repeated failures
+	KnownListDelay time.Duration // how long a new process waits for the agent before it uses the list known from before
 }
 
-// slowAfter is after how many tries on end without an object the next ones get twice the time each, slowMost times at
-// most: Told is lost by then, and an agent that needs longer for its list is to be heard at all.
+// After extendAfterFailures consecutive failures, each further trial gets twice the time of the one before, up to
+// maxTrialDoublings times. UpdateDeadline is missed by then; an agent that needs longer for its list still gets
+// through.
 const (
-	slowAfter = 8
-	slowMost  = 4
+	extendAfterFailures = 8
+	maxTrialDoublings   = 4
 )
 
-// Usual are the times on the platform.
-var Usual = Times{Silence: 2500 * time.Millisecond, Try: 600 * time.Millisecond, PauseLow: 20 * time.Millisecond,
-	PauseTop: 250 * time.Millisecond, Start: 1500 * time.Millisecond}
-
-// Keeper decides when a watch is asked for. At most two are open: the one that is kept, and one on trial, which
-// takes its place with its first object. So a watch that still speaks is never given up for one that does not.
-type Keeper struct {
-	times Times
-
-	kept     bool
-	since    time.Duration // of the one that is kept
-	heardAt  time.Duration // when it last spoke
-	replace  bool          // another one is wanted however much it speaks: another address, or another version
-	whole    bool          // the whole list is asked for first
-	trial    bool
-	trialBy  time.Duration
-	nextAt   time.Duration // not before
-	failures int
+// DefaultTiming is the timing used on the platform.
+var DefaultTiming = Timing{SilenceTimeout: 2500 * time.Millisecond, TrialTimeout: 600 * time.Millisecond,
+	MinRetryDelay: 20 * time.Millisecond, MaxRetryDelay: 250 * time.Millisecond, KnownListDelay: 1500 * time.Millisecond}
+
+// Scheduler decides when a watch is opened. At most two are open: the current watch, and one on trial, which replaces
+// it with its first object. So a working watch is never dropped for one that does not work.
+type Scheduler struct {
+	timing Timing
+
+	watching      bool
+	watchingSince time.Duration // when the current watch became current
+	lastReceived  time.Duration // when the current watch last received bytes
+	replace       bool          // replace even a working watch: new address, or resync
+	fetchAll      bool          // request the whole list before the next watch
+	trial         bool
+	trialDeadline time.Duration
+	notBefore     time.Duration // the next trial starts no earlier
+	failures      int
 }
 
-// NewKeeper returns one that has nothing. whole says that there is no list from which a watch could go on.
-func NewKeeper(times Times, whole bool) *Keeper { return &Keeper{times: times, whole: whole} }
+// NewScheduler returns a Scheduler without a watch. fetchAll says that there is no list yet that a watch could
+// continue from.
+func NewScheduler(timing Timing, fetchAll bool) *Scheduler {
+	return &Scheduler{timing: timing, fetchAll: fetchAll}
+}
 
-// Step is what is to be done.
+// Step is the next step for the caller of a Scheduler.
 type Step int
 
 // The steps.
 const (
-	Rest    Step = iota // nothing until the moment that Due says
-	Ask                 // ask for a watch
-	AskAll              // ask for the whole list, once
-	GiveUp              // the one on trial has had its time: end it
-	Refrain             // the one kept speaks again: end the one on trial
+	Wait          Step = iota // do nothing until Due
+	OpenWatch                 // open a watch, on trial
+	FetchAll                  // request the whole list, on trial
+	TrialTimedOut             // close the watch on trial: it has had no object in time
+	CancelTrial               // close the watch on trial: the current watch works again
 )
 
-// Next says what is to be done now. Ask, AskAll and GiveUp are booked as done.
-func (k *Keeper) Next(now time.Duration) Step {
-	wanted := k.whole || !k.kept || k.replace || now >= k.heardAt+k.times.Silence
+// Next returns the step for now. The caller must execute it: the Scheduler takes it as done.
+func (k *Scheduler) Next(now time.Duration) Step {
+	wanted := k.fetchAll || !k.watching || k.replace || now >= k.lastReceived+k.timing.SilenceTimeout
 	switch {
 	case k.trial && !wanted:
 		k.trial = false
-		return Refrain
-	case k.trial && now >= k.trialBy:
-		k.Failed(now)
-		return GiveUp
-	case k.trial || !wanted || now < k.nextAt:
-		return Rest
+		return CancelTrial
+	case k.trial && now >= k.trialDeadline:
+		k.TrialFailed(now)
+		return TrialTimedOut
+	case k.trial || !wanted || now < k.notBefore:
+		return Wait
 	}
-	k.trial, k.trialBy = true, now+k.times.Try<<min(max(0, k.failures-slowAfter), slowMost)
-	if k.whole {
-		return AskAll
+	k.trial, k.trialDeadline = true, now+k.timing.TrialTimeout<<min(max(0, k.failures-extendAfterFailures), maxTrialDoublings)
+	if k.fetchAll {
+		return FetchAll
 	}
-	return Ask
+	return OpenWatch
 }
 
-// Due is when Next has to be asked again at the latest.
-func (k *Keeper) Due(now time.Duration) time.Duration {
+// Due returns the time at which Next must be called again at the latest.
+func (k *Scheduler) Due(now time.Duration) time.Duration {
 	switch {
 	case k.trial:
-		return k.trialBy
-	case !k.kept || k.replace || k.whole || now >= k.heardAt+k.times.Silence:
-		return max(now, k.nextAt)
+		return k.trialDeadline
+	case !k.watching || k.replace || k.fetchAll || now >= k.lastReceived+k.timing.SilenceTimeout:
+		return max(now, k.notBefore)
 	}
-	return max(k.heardAt+k.times.Silence, k.nextAt)
+	return max(k.lastReceived+k.timing.SilenceTimeout, k.notBefore)
 }
 
-// Heard books bytes on the watch that is kept.
-func (k *Keeper) Heard(now time.Duration) {
-	k.heardAt = now
-	if now-k.since > k.times.Silence {
+// Received reports bytes on the current watch.
+func (k *Scheduler) Received(now time.Duration) {
+	k.lastReceived = now
+	if now-k.watchingSince > k.timing.SilenceTimeout {
 		k.failures = 0
 	}
 }
 
-// Proved books the first object on the one on trial. A watch is kept from now on; a whole list was all that was
-// asked for.
-func (k *Keeper) Proved(now time.Duration) {
+// TrialSucceeded reports the first object on trial. A watch becomes the current one; a request of the whole list is
+// complete.
+func (k *Scheduler) TrialSucceeded(now time.Duration) {
 	k.trial = false
-	if k.whole {
-		k.whole = false
+	if k.fetchAll {
+		k.fetchAll = false
 		return
 	}
-	k.kept, k.replace, k.since, k.heardAt = true, false, now, now
+	k.watching, k.replace, k.watchingSince, k.lastReceived = true, false, now, now
 }
 
-// Failed books that the one on trial came to nothing.
-func (k *Keeper) Failed(now time.Duration) {
+// TrialFailed reports that the watch on trial has ended without an object.
+func (k *Scheduler) TrialFailed(now time.Duration) {
 	k.trial = false
-	k.pause(now)
+	k.backOff(now)
 }
 
-// Ended books that the one that is kept has ended.
-func (k *Keeper) Ended(now time.Duration) {
-	k.kept = false
+// WatchEnded reports that the current watch has ended.
+func (k *Scheduler) WatchEnded(now time.Duration) {
+	k.watching = false
 	if !k.trial {
-		k.pause(now)
+		k.backOff(now)
 	}
 }
 
-// pause puts the next try off, the longer the more failed on end. Guards against an agent that ends each watch
-// at once.
-func (k *Keeper) pause(now time.Duration) {
-	k.nextAt = now + min(k.times.PauseTop, k.times.PauseLow<<min(k.failures, 10))
+// backOff delays the next trial, the longer the more have failed in a row. It limits the rate of requests to an agent
+// that ends each watch at once.
+func (k *Scheduler) backOff(now time.Duration) {
+	k.notBefore = now + min(k.timing.MaxRetryDelay, k.timing.MinRetryDelay<<min(k.failures, 10))
 	k.failures++
 }
 
-// Moved books that discovery is at another address: the one kept stays until a watch there speaks. The one on
-// trial is to be ended by who calls.
-func (k *Keeper) Moved(now time.Duration) {
-	k.trial, k.replace, k.failures, k.nextAt = false, k.kept, 0, now
+// AddressChanged reports a new address of discovery. The current watch stays until a watch at the new address has
+// sent an object. The caller closes the watch on trial.
+func (k *Scheduler) AddressChanged(now time.Duration) {
+	k.trial, k.replace, k.failures, k.notBefore = false, k.watching, 0, now
 }
 
-// Astray books that what is held and what is told do not follow on each other: the whole list is asked for, then
-// another watch from there.
-func (k *Keeper) Astray() { k.whole, k.replace = true, k.kept }
+// Resync reports that an update does not follow on the list held: the whole list is requested, then a new watch from
+// its revision.
+func (k *Scheduler) Resync() { k.fetchAll, k.replace = true, k.watching }
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,6 +1,6 @@
-// Package membership decides what of discovery's news about nodes is taken (this file), and when a watch is
-// asked for, given up or left for another one (keeper.go). It opens nothing and reads no clock: updates go in as
-// they were told, what the host is to be told comes out. internal/discovery drives it.
+// Package membership decides which updates of discovery's node list apply (this file), and when a watch is opened,
+// abandoned or replaced (keeper.go). It does no I/O and reads no clock. internal/discovery passes it updates as
+// received, and times, and passes the resulting nodes to the host.
 package membership
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	nodesMost = 100_000 // entries of the list
-	textMost  = 255     // bytes of a uid or an endpoint
+	maxNodes     = 100_000 // maximum number of entries in the list
+	maxTextBytes = 255     // maximum length of a uid or an endpoint
 )
 
-// Entry is one node as discovery tells it.
+// Entry is one node as sent by discovery.
 type Entry struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -27,7 +27,7 @@
 	BootMS   float64 `json:"boot_ms"` // Unix time of its last start; 0: long ago
 }
 
-// Update is one object of the watch, or a whole list.
+// Update is one object of a watch, or the whole list.
 type Update struct {
 	Rev     uint64            `json:"rev"`
 	All     bool              `json:"all"`
@@ -36,76 +36,76 @@
 
 var states = map[string]control.NodeState{"active": control.Ready, "leaving": control.Draining, "left": control.Gone}
 
-// Node is an entry that can be used.
+// Node is a valid entry.
 type Node struct {
 	control.Node
 	Endpoint string
 	BootMS   int64
 }
 
-// List is what has been taken.
+// List is the state of the node list: its revision and the nodes in it.
 type List struct {
-	rev   uint64
-	known map[string]bool // uids held
+	rev  uint64
+	uids map[string]bool // of the nodes in the list
 }
 
 // New returns an empty list.
-func New() *List { return &List{known: map[string]bool{}} }
+func New() *List { return &List{uids: map[string]bool{}} }
 
-// Rev is the version held, from which a watch goes on.
+// Rev returns the revision of the list, from which a watch continues.
 func (l *List) Rev() uint64 { return l.rev }
 
-// Len is the number of nodes held.
-func (l *List) Len() int { return len(l.known) }
+// Len returns the number of nodes in the list.
+func (l *List) Len() int { return len(l.uids) }
 
-// Verdict says what an update is.
-type Verdict int
+// Result is the result of applying an update.
+type Result int
 
-// The verdicts.
+// The results of Apply.
 const (
-	Fresh Verdict = iota // it was taken
-	Held                 // it tells nothing: the version held, and no entries
-	Back                 // changes older than what is held: the whole list has to be asked for
+	Applied   Result = iota // the update was applied
+	Unchanged               // the update has the revision of the list and no entries
+	Outdated                // the changes are older than the list: the whole list must be requested
 )
 
-// Take takes an update. Changes of an older version than the one held are not taken: an older state must not
-// replace a newer one, and who tells them counts from elsewhere than this list. Versions may jump: not every
-// one changes an entry. A whole list is always taken. Entries that cannot be used are named and passed over;
-// the others count.
-func (l *List) Take(u Update) (nodes []Node, passed []error, v Verdict) {
+// Apply applies an update and returns the valid entries and an error for each entry that was skipped as invalid.
+// Changes of an older revision than the list's are not applied: an older state must not replace a newer one, and
+// their source counts revisions from another base than this list. Revisions may have gaps, as not every revision
+// changes an entry. A whole list is always applied.
+func (l *List) Apply(u Update) (nodes []Node, skipped []error, result Result) {
 	switch {
 	case u.All:
-		clear(l.known)
+		clear(l.uids)
 	case u.Rev < l.rev:
-		return nil, nil, Back
+		return nil, nil, Outdated
 	case u.Rev == l.rev && len(u.Targets) == 0:
-		return nil, nil, Held
+		return nil, nil, Unchanged
 	}
 	for i, raw := range u.Targets {
-		n, err := l.entry(raw)
+		n, err := l.parseEntry(raw)
 		if err != nil {
-			passed = append(passed, fmt.Errorf("rev %d: targets[%d]: %w", u.Rev, i, err))
+			skipped = append(skipped, fmt.Errorf("rev %d: targets[%d]: %w", u.Rev, i, err))
 			continue
 		}
 		if n.State == control.Gone {
-			delete(l.known, n.ID)
+			delete(l.uids, n.ID)
 		} else {
-			l.known[n.ID] = true
+			l.uids[n.ID] = true
 		}
 		nodes = append(nodes, n)
 	}
 	l.rev = u.Rev
-	return nodes, passed, Fresh
+	return nodes, skipped, Applied
 }
 
-// entry reads one entry.
-func (l *List) entry(raw json.RawMessage) (Node, error) {
+// parseEntry parses and validates an entry.
+func (l *List) parseEntry(raw json.RawMessage) (Node, error) {
 	var e Entry
 	if err := json.Unmarshal(raw, &e); err != nil {
 		return Node{}, err
 	}
-	if e.UID == "" || len(e.UID) > textMost {
-		return Node{}, fmt.Errorf("uid of %d bytes: expected 1 to %d", len(e.UID), textMost)
+	if e.UID == "" || len(e.UID) > maxTextBytes {
+		return Node{}, fmt.Errorf("uid of %d bytes: expected 1 to %d", len(e.UID), maxTextBytes)
 	}
 	state, ok := states[e.State]
 	if !ok {
@@ -115,14 +115,15 @@
 	if state == control.Gone {
 		return n, nil
 	}
-	if e.Shard < 0 || len(e.Endpoint) > textMost || !(e.Size >= 0) || !(e.BootMS >= 0 && e.BootMS < 1e15) {
-		return n, fmt.Errorf("%s: pod_group %d, capacity_hint %v, boot_ms %v: expected none below 0", e.UID, e.Shard, e.Size, e.BootMS)
+	if e.Shard < 0 || len(e.Endpoint) > maxTextBytes || !(e.Size >= 0) || !(e.BootMS >= 0 && e.BootMS < 1e15) {
+		return n, fmt.Errorf("%s: pod_group %d, capacity_hint %v, boot_ms %v, endpoint of %d bytes: "+
+			"expected none below 0, and at most %d bytes", e.UID, e.Shard, e.Size, e.BootMS, len(e.Endpoint), maxTextBytes)
 	}
 	if _, port, err := net.SplitHostPort(e.Endpoint); err != nil || port == "" {
 		return n, fmt.Errorf("%s: endpoint %q: expected address:port", e.UID, e.Endpoint)
 	}
-	if !l.known[e.UID] && len(l.known) >= nodesMost {
-		return n, fmt.Errorf("%s: over %d nodes", e.UID, nodesMost)
+	if !l.uids[e.UID] && len(l.uids) >= maxNodes {
+		return n, fmt.Errorf("%s: the list is full: expected at most %d nodes", e.UID, maxNodes)
 	}
 	return n, nil
 }
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -22,40 +22,40 @@
 }
 
 // TestTake: a list, its changes, repeats and older ones, a gap, and a whole list after it.
-func TestTake(t *testing.T) {
+func TestApply(t *testing.T) {
 	l := New()
 	for _, c := range []struct {
 		u           Update
-		verdict     Verdict
+		result      Result
 		nodes, held int
 	}{
-		{update(5, true, target("a", "active"), target("b", "leaving")), Fresh, 2, 2},
-		{update(5, false), Held, 0, 2},
-		{update(4, false, target("a", "left")), Back, 0, 2},
-		{update(4, false), Back, 0, 2},
-		{update(5, false, target("b", "leaving")), Fresh, 1, 2},
-		{update(6, false, target("a", "left")), Fresh, 1, 1},
-		{update(9, false, target("c", "active")), Fresh, 1, 2},
-		{update(3, true, target("d", "active")), Fresh, 1, 1}, // whole: what it does not name is gone
+		{update(5, true, target("a", "active"), target("b", "leaving")), Applied, 2, 2},
+		{update(5, false), Unchanged, 0, 2},
+		{update(4, false, target("a", "left")), Outdated, 0, 2},
+		{update(4, false), Outdated, 0, 2},
+		{update(5, false, target("b", "leaving")), Applied, 1, 2},
+		{update(6, false, target("a", "left")), Applied, 1, 1},
+		{update(9, false, target("c", "active")), Applied, 1, 2},
+		{update(3, true, target("d", "active")), Applied, 1, 1}, // whole: what it does not name is gone
 	} {
-		nodes, passed, v := l.Take(c.u)
-		if v != c.verdict || len(nodes) != c.nodes || l.Len() != c.held || len(passed) != 0 || v == Fresh && l.Rev() != c.u.Rev {
-			t.Errorf("rev %d: %+v, %v, verdict %d, %d held", c.u.Rev, nodes, passed, v, l.Len())
+		nodes, skipped, v := l.Apply(c.u)
+		if v != c.result || len(nodes) != c.nodes || l.Len() != c.held || len(skipped) != 0 || v == Applied && l.Rev() != c.u.Rev {
+			t.Errorf("rev %d: %+v, %v, verdict %d, %d held", c.u.Rev, nodes, skipped, v, l.Len())
 		}
 	}
-	nodes, _, _ := l.Take(update(10, false, target("e", "leaving")))
+	nodes, _, _ := l.Apply(update(10, false, target("e", "leaving")))
 	if n := nodes[0]; n.ID != "e" || n.Shard != 3 || n.State != control.Draining || n.Endpoint != "10.0.0.1:1" || n.BootMS != 7 {
 		t.Errorf("%+v", n)
 	}
 }
 
 // TestPassed: what cannot be used is named with its place, and the others count.
-func TestPassed(t *testing.T) {
+func TestSkippedEntries(t *testing.T) {
 	l := New()
-	_, passed, _ := l.Take(update(1, true, `{"uid":""}`, `{"uid":7}`, `3`, target("odd", "asleep"), target("good", "active"),
+	_, skipped, _ := l.Apply(update(1, true, `{"uid":""}`, `{"uid":7}`, `3`, target("odd", "asleep"), target("good", "active"),
 		`{"uid":"neg","endpoint":"x:1","pod_group":-1,"state":"active"}`, `{"uid":"nowhere","endpoint":"x","state":"active"}`,
 		`{"uid":"late","endpoint":"x:1","state":"active","boot_ms":-1}`))
-	if len(passed) != 7 || l.Len() != 1 || !strings.Contains(passed[3].Error(), "targets[3]: odd") {
-		t.Errorf("%v, %d held", passed, l.Len())
+	if len(skipped) != 7 || l.Len() != 1 || !strings.Contains(skipped[3].Error(), "targets[3]: odd") {
+		t.Errorf("%v, %d held", skipped, l.Len())
 	}
 }
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -1,53 +1,55 @@
-// Package shutdown decides how a host that was told to end divides the time it has left: until when it takes
-// connections and requests, how long a late request may take, and when the rest ends. It does no I/O and
-// reads no clock; internal/live asks it as time passes.
+// Package shutdown plans the shutdown of a host: until when it accepts connections and requests, how long a late
+// request may take, and when the process exits. It does no I/O and reads no clock; internal/live asks it for the
+// phase as time passes.
 package shutdown
 
 import "time"
 
-// What the platform says of a planned restart (PROTOCOL, Figures). Clients keep using the connections that
-// they have as long as these stay open, and the next process starts no sooner for an early end: every moment
-// in which a host that ends still serves is a moment in which its clients have one.
+// The platform's figures for a planned restart (PROTOCOL, Figures). Clients use their connections as long as these
+// stay open, and an early exit does not make the next process start sooner. A host therefore serves as long as
+// possible during shutdown: without it its clients have no host. A request that arrives within requestGrace of the
+// signal and is open when the host is killed does not count against the host.
 const (
-	newFor      = 400 * time.Millisecond // new connections keep coming for so long at most
-	wholeFor    = 700 * time.Millisecond // what comes by then is not held against a host that is killed with it open
-	longestMost = 3 * time.Second        // the longest deadline counts as this at most
+	connectDuration    = 400 * time.Millisecond // new connections arrive for this time at most
+	requestGrace       = 700 * time.Millisecond // added to the longest deadline before the host may be killed
+	maxLongestDeadline = 3 * time.Second        // upper bound on the longest deadline in the plan
 )
 
-// Margins, ours.
+// Safety margins.
 const (
-	acceptMargin = 150 * time.Millisecond // after newFor, for connections that wait in the kernel
-	killMargin   = 250 * time.Millisecond // before the first moment at which it may be killed, all is answered
-	leastTime    = 100 * time.Millisecond // a request that has less left is not worth taking
+	acceptMargin   = 150 * time.Millisecond // after connectDuration, for connections in the listen queue
+	killMargin     = 250 * time.Millisecond // from the last answer to the earliest time at which the host may be killed
+	minRequestTime = 100 * time.Millisecond // a request with less time left is not accepted
 )
 
-// Phase is what holds at a moment.
+// Phase is the state of a shutdown at a given time.
 type Phase struct {
-	Accept bool // new connections are taken
-	// Serve: connections stay open, also where places are short: a client that loses its own finds no other. If
-	// not, each ends with its answer, and idle ones at once.
-	Serve  bool
-	Within time.Duration // a request taken now must be answered by then, from the signal on; 0: by its own time
-	// Shut: all that was taken has its answer. What is half read is refused, and nothing that comes now is read:
-	// it would be open when the process ends.
-	Shut bool
-	Over bool // the process ends, whatever is open
+	Accept bool // new connections are accepted
+	// Serve says that connections stay open, even when places are short: a client that loses its connection cannot
+	// open another. When it is false, each connection closes after its answer, and idle ones at once.
+	Serve    bool
+	AnswerBy time.Duration // time from the signal by which requests accepted now must be answered; 0: their own deadline
+	// StopReading says that all accepted requests have their answers. Requests received in part are refused, and
+	// further input is not read: such requests would be open when the process exits.
+	StopReading bool
+	Exit        bool // the process exits, whatever is open
 }
 
-// Plan is the division for one host.
-type Plan struct{ kill time.Duration }
+// Plan is the shutdown plan of one host.
+type Plan struct{ killAt time.Duration }
 
-// New returns the plan of a host whose clients wait for so long at most.
+// New returns the plan for a host with the given longest deadline of a request.
 func New(longest time.Duration) Plan {
-	return Plan{min(longest, longestMost) + wholeFor}
+	return Plan{min(longest, maxLongestDeadline) + requestGrace}
 }
 
-// At is the phase so long after the signal.
+// At returns the phase at time t after the signal.
 func (p Plan) At(t time.Duration) Phase {
-	by := p.kill - killMargin
-	ph := Phase{Accept: t < newFor+acceptMargin, Serve: t < by-leastTime, Shut: t >= by, Over: t >= by+killMargin/2}
-	if t >= wholeFor-killMargin { // before, its own time ends by then
-		ph.Within = by
+	answerBy := p.killAt - killMargin
+	phase := Phase{Accept: t < connectDuration+acceptMargin, Serve: t < answerBy-minRequestTime,
+		StopReading: t >= answerBy, Exit: t >= answerBy+killMargin/2}
+	if t >= requestGrace-killMargin { // requests accepted earlier have deadlines before answerBy
+		phase.AnswerBy = answerBy
 	}
-	return ph
+	return phase
 }
--- a/shutdown/shutdown_test.go
+++ b/shutdown/shutdown_test.go
@@ -10,32 +10,32 @@
 func TestPlan(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second, time.Minute} {
 		p := New(longest)
-		kill := min(longest, 3*time.Second) + 700*time.Millisecond
-		last, accepted, over := time.Duration(0), time.Duration(0), time.Duration(0)
+		killAt := min(longest, 3*time.Second) + 700*time.Millisecond
+		lastServed, lastAccepted, exitAt := time.Duration(0), time.Duration(0), time.Duration(0)
 		for at := time.Duration(0); at < 5*time.Second; at += time.Millisecond {
-			ph := p.At(at)
-			if ph.Accept {
-				accepted = at
+			phase := p.At(at)
+			if phase.Accept {
+				lastAccepted = at
 			}
-			if ph.Serve {
-				last = at
+			if phase.Serve {
+				lastServed = at
 				end := at + min(longest, 3*time.Second)
-				if ph.Within > 0 {
-					end = min(end, ph.Within)
+				if phase.AnswerBy > 0 {
+					end = min(end, phase.AnswerBy)
 				}
-				if end >= kill {
-					t.Fatalf("deadline %v: taken at %v, answered by %v, killed at %v", longest, at, end, kill)
+				if end >= killAt {
+					t.Fatalf("deadline %v: taken at %v, answered by %v, killed at %v", longest, at, end, killAt)
 				}
-				if end < at+leastTime {
+				if end < at+minRequestTime {
 					t.Fatalf("deadline %v: taken at %v with %v left", longest, at, end-at)
 				}
 			}
-			if ph.Over && over == 0 {
-				over = at
+			if phase.Exit && exitAt == 0 {
+				exitAt = at
 			}
 		}
-		if accepted < newFor || last < accepted || over <= last || over >= kill {
-			t.Errorf("deadline %v: accepts until %v, serves until %v, over at %v, killed at %v", longest, accepted, last, over, kill)
+		if lastAccepted < connectDuration || lastServed < lastAccepted || exitAt <= lastServed || exitAt >= killAt {
+			t.Errorf("deadline %v: accepts until %v, serves until %v, over at %v, killed at %v", longest, lastAccepted, lastServed, exitAt, killAt)
 		}
 	}
 }
