--- a/connpool/connpool_test.go
+++ b/connpool/connpool_test.go
@@ -10,8 +10,8 @@
 
 const ms = time.Millisecond
 
-// TestRest: what has just carried an answer carries nothing at once; a second attempt has one opened, a
-// third that comes while two will be there waits for them.
+// TestReuseDelay checks that a connection is not reused right after an answer, that a second attempt meanwhile opens
+// another, that a third waits while connections for both are on their way, and that Excess extends the delay.
 func TestReuseDelay(t *testing.T) {
 	p := New[int](Settings{Total: 10, Idle: time.Second})
 	expect := func(now time.Duration, waiting int, conn int, want Verdict) {
@@ -22,7 +22,7 @@
 	}
 	expect(0, 0, 0, Open)
 	p.Opened(1*ms, "n", 1)
-	expect(1*ms, 0, 1, Use) // a new one need not rest
+	expect(1*ms, 0, 1, Use) // a new connection need not rest
 	p.Done(2*ms, "n", 1)
 	expect(2*ms, 0, 0, Resume)
 	expect(2*ms, 1, 0, Open)
@@ -31,7 +31,7 @@
 		t.Fatalf("due at %v, %v", at, ok)
 	}
 	expect(2*ms+reuseDelay, 0, 1, Use)
-	p.Excess(3 * ms) // something came on its own
+	p.Excess(3 * ms) // excess bytes arrived
 	p.Done(4*ms, "n", 1)
 	expect(4*ms+reuseDelay, 0, 0, Resume)
 	expect(4*ms+longReuseDelay, 0, 1, Use)
@@ -39,8 +39,8 @@
 	expect(3*ms+longDelayDuration+reuseDelay, 0, 1, Use)
 }
 
-// TestLatestFirst: the connection that idled least is used, the others grow old and are closed before the
-// node would.
+// TestMostRecentlyUsedFirst checks that the connection that has idled least is used, and that the others are closed
+// before the node's idle timeout.
 func TestMostRecentlyUsedFirst(t *testing.T) {
 	p := New[int](Settings{Total: 10, Idle: time.Second})
 	for i := 1; i <= 3; i++ {
@@ -55,18 +55,18 @@
 	p.Done(900*ms, "n", 3)
 	wanted := func(string) bool { return true }
 	if old := p.Old(699*ms, wanted); len(old) != 0 {
-		t.Fatalf("%v are old too early", old)
+		t.Fatalf("%v were removed before the idle timeout", old)
 	}
 	if old := p.Old(702*ms, wanted); len(old) != 2 || old[0] != 1 || old[1] != 2 {
 		t.Fatalf("old: %v, expected 1 and 2", old)
 	}
 	if old := p.Old(902*ms, func(string) bool { return false }); len(old) != 1 || p.Total() != 0 {
-		t.Fatalf("of a node that is not wanted: %v, %d left", old, p.Total())
+		t.Fatalf("removed of an unwanted node: %v, %d connections left", old, p.Total())
 	}
 }
 
-// TestCeiling: at the ceiling the one that idled longest at another node goes; if there is none, the
-// attempt waits.
+// TestMaxConnections checks that at the maximum the connection that has idled longest at another node is evicted, and
+// that the attempt waits if there is none.
 func TestMaxConnections(t *testing.T) {
 	p := New[int](Settings{Total: 2})
 	p.Take(0, "a", 0)
@@ -84,12 +84,12 @@
 	}
 	p.Failed("c")
 	if _, v := p.Take(4*ms, "b", 0); v != Open {
-		t.Fatalf("a dial that failed gives its place back: verdict %d", v)
+		t.Fatalf("after a failed dial: verdict %d, expected Open", v)
 	}
 }
 
-// TestBooks plays any order of what can happen against plain books: the ceiling holds, a connection is
-// never in two places, and nodes without connections are forgotten.
+// TestRandomOperations runs random operations against a simple model: the maximum holds, a connection is never in two
+// states, and nodes without connections are removed.
 func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 6).Draw(t, "total")
@@ -147,13 +147,13 @@
 			case 4:
 				for _, c := range p.Old(now, func(n string) bool { return n != id }) {
 					if conns[c].busy {
-						t.Fatalf("connection %d is old and in use", c)
+						t.Fatalf("connection %d was removed as idle while in use", c)
 					}
 					delete(conns, c)
 				}
 			}
 			if p.Total() != len(conns)+len(opening) || p.Total() > total {
-				t.Fatalf("%d in the books, %d and %d opening, %d allowed", p.Total(), len(conns), len(opening), total)
+				t.Fatalf("the pool counts %d, the model %d and %d opening; the maximum is %d", p.Total(), len(conns), len(opening), total)
 			}
 		}
 		for c, w := range conns {
@@ -172,7 +172,8 @@
 	})
 }
 
-// TestForEver: 100,000 nodes, each with connections of its own, come and go and leave nothing behind.
+// TestNodeTurnover checks that 100,000 nodes which appear and disappear, each with its own connections, leave no state
+// behind.
 func TestNodeTurnover(t *testing.T) {
 	p := New[int](Settings{Total: 50, Idle: time.Second})
 	now, next := time.Duration(0), 0
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,7 +21,7 @@
 	"eiderhold/membership"
 )
 
-// hearer is told lists.
+// fakeHost receives node lists.
 type fakeHost struct{ lists chan host.List }
 
 func (h *fakeHost) List(l host.List) { h.lists <- l }
@@ -29,7 +29,7 @@
 	return time.Duration(wall.UnixMilli()) * time.Millisecond
 }
 
-// next is the next list, as its kind and its nodes.
+// next returns the next list as text: its kind and its nodes with their states.
 func (h *fakeHost) next() string {
 	l := <-h.lists
 	s := [...]string{"delta", "full", "cached", "failed"}[l.Kind]
@@ -49,11 +49,11 @@
 	return a
 }
 
-// quick are times at which tests do not wait long, in the proportions of the usual ones.
+// shortTiming is the default timing scaled down, to keep tests fast.
 var shortTiming = membership.Timing{SilenceTimeout: 250 * time.Millisecond, TrialTimeout: 60 * time.Millisecond, MinRetryDelay: 2 * time.Millisecond,
 	MaxRetryDelay: 25 * time.Millisecond, KnownListDelay: 150 * time.Millisecond}
 
-// follow starts a feed with such times, and with a list known from before; empty: none.
+// startFeed starts a feed with the given timing and, if not empty, a known list.
 func startFeed(t *testing.T, addr string, timing membership.Timing, known string) (*Feed, *fakeHost, *standin.Log) {
 	t.Helper()
 	h, log := &fakeHost{make(chan host.List, 100)}, &standin.Log{}
@@ -76,12 +76,12 @@
 func expect(t *testing.T, h *fakeHost, want string) {
 	t.Helper()
 	if got := h.next(); got != want {
-		t.Fatalf("told %q, expected %q", got, want)
+		t.Fatalf("list %q, expected %q", got, want)
 	}
 }
 
-// TestWatch: without a list from before the whole one is asked for, then a watch from there; changes; a cut, after
-// which it goes on from where it was.
+// TestWatch checks that a feed without a known list requests the whole list and then a watch from its revision, that
+// changes are delivered, and that the watch continues from the last revision after the connection is cut.
 func TestWatch(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
 	f, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, "")
@@ -105,16 +105,17 @@
 	w.Conn.Close()
 	w = a.Next()
 	if w.From != 42 {
-		t.Fatalf("taken up from %d", w.From)
+		t.Fatalf("the watch continued from %d, expected 42", w.From)
 	}
-	w.Line(standin.List(50, true, target("s-1", "active"))) // the whole list in the place of changes
+	w.Line(standin.List(50, true, target("s-1", "active"))) // the whole list instead of changes
 	expect(t, h, "full s-1=0")
 	if s := f.State(); s.Nodes != 1 || s.Rev != 50 || !s.Watching {
 		t.Fatalf("%+v", s)
 	}
 }
 
-// TestBack: changes of an older version are not taken; the whole list is asked for, and a watch from its version.
+// TestOlderRevision checks that changes of an older revision are not applied, and that the feed then requests the
+// whole list and a watch from its revision.
 func TestOlderRevision(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
 	_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
@@ -123,7 +124,7 @@
 	w.Line(standin.List(6, false, target("s-1", "left")))
 	again := a.Next()
 	if !again.Whole {
-		t.Fatalf("a watch from %d was asked for, expected the whole list", again.From)
+		t.Fatalf("a watch from %d was requested, expected the whole list", again.From)
 	}
 	again.Line(standin.List(3, true, target("s-9", "active")))
 	expect(t, h, "full s-9=0")
@@ -132,7 +133,8 @@
 	}
 }
 
-// TestForms: lists come indented, several at once, without line ends, and in pieces of any size.
+// TestFraming checks that lists are read whether they arrive indented, several at once, without line ends, or in
+// pieces of any size.
 func TestFraming(t *testing.T) {
 	indented := "{\n  \"rev\": 8,\n  \"all\": false,\n  \"targets\": [\n    " + target("s-1", "leaving") + "\n  ]\n}\n"
 	for name, send := range map[string]func(standin.Watch){
@@ -159,7 +161,8 @@
 	}
 }
 
-// TestBadEntries: one is named in the log; what cannot be read, or is too long, ends the watch, which goes on anew.
+// TestBadEntries checks that an invalid entry is logged and skipped, and that an object which is malformed or too long
+// ends the watch, which is then opened again.
 func TestBadEntries(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
 	_, h, log := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(1, true, target("s-1", "active")))
@@ -184,8 +187,8 @@
 	log.Has("an object of over")
 }
 
-// TestMoves: another address is asked at once; the watch at the former one stays until the one there speaks. Down
-// at the start is no end.
+// TestAddressChange checks that a new address is contacted at once, and that the former watch stays open until the new
+// one has sent an object. The feed also survives an agent that is down at the start.
 func TestAddressChange(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -209,21 +212,22 @@
 	w.Line(standin.List(9, false, target("s-2", "active")))
 	expect(t, h, "delta s-2=0")
 	if _, err := former.Conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && err == nil {
-		t.Fatal("the former watch is still there")
+		t.Fatal("the former watch is still open")
 	}
 }
 
-// TestSilence: a watch falls silent; whatever the next two tries come to, the third brings what was missed.
+// TestSilentWatchReplaced checks that after a watch falls silent and the next two trials fail, in whatever way, the
+// third one delivers the missed change.
 func TestSilentWatchReplaced(t *testing.T) {
 	half := standin.List(8, false, target("s-1", "leaving"))[:30]
 	bad := map[string]func(standin.Watch){
-		"accepts and says nothing": func(standin.Watch) {},
-		"half a head":              func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 200 OK\r\nTrans") },
-		"half an object":           func(w standin.Watch) { w.Head(); w.Chunk(half) },
-		"beats only":               func(w standin.Watch) { w.Head(); w.Line(""); w.Line("") },
-		"refuses":                  func(w standin.Watch) { w.Conn.Close() },
-		"an error":                 func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 503 X\r\n\r\n") },
-		"silent again at once":     standin.Greet,
+		"accepts and sends nothing": func(standin.Watch) {},
+		"half a head":               func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 200 OK\r\nTrans") },
+		"half an object":            func(w standin.Watch) { w.Head(); w.Chunk(half) },
+		"empty lines only":          func(w standin.Watch) { w.Head(); w.Line(""); w.Line("") },
+		"refuses":                   func(w standin.Watch) { w.Conn.Close() },
+		"an error":                  func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 503 X\r\n\r\n") },
+		"silent again at once":      standin.Greet,
 	}
 	for name, first := range bad {
 		t.Run(name, func(t *testing.T) {
@@ -246,7 +250,8 @@
 	}
 }
 
-// TestSpeaksAgain: while another watch is tried the silent one is kept, and what it says then counts.
+// TestSilentWatchRecovers checks that a silent watch stays open while others are on trial, and that objects which it
+// sends then are applied.
 func TestSilentWatchRecovers(t *testing.T) {
 	var n atomic.Int32
 	a := newAgent(t, "", func(w standin.Watch) {
@@ -258,13 +263,13 @@
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	a.Next()
-	a.Next() // the first try has been given up
+	a.Next() // the first trial has timed out
 	w.Line(standin.List(8, false, target("s-1", "leaving")))
 	expect(t, h, "delta s-1=1")
 }
 
-// TestKnown: what was known from before is told with the agent's first word, with what changed since; not at all
-// if that is the whole list; and after a while if the agent says nothing. One that cannot be read is an error.
+// TestKnownList checks when the known list is delivered: before the agent's first changes, or empty object; not at
+// all if it is the whole list, and after KnownListDelay if the agent sends nothing. A malformed list is an error.
 func TestKnownList(t *testing.T) {
 	known := standin.List(5, true, target("s-1", "active"), target("s-2", "active"))
 	for _, c := range []struct {
@@ -283,7 +288,7 @@
 			a := newAgent(t, "", c.greet)
 			timing := shortTiming
 			if c.name != "says nothing" {
-				timing.KnownListDelay = time.Hour // only the agent's word brings it
+				timing.KnownListDelay = time.Hour // only an object of the agent delivers the list
 			}
 			_, h, _ := startFeed(t, a.Addr(), timing, known)
 			if w := a.Next(); w.From != 5 {
@@ -295,11 +300,11 @@
 		})
 	}
 	if err := New("127.0.0.1:1", &fakeHost{}, slog.New(slog.DiscardHandler)).SetKnownList([]byte("[")); err == nil {
-		t.Fatal("taken")
+		t.Fatal("a malformed list was accepted")
 	}
 }
 
-// read is what a feed takes of an answer.
+// readUpdates returns the updates that a feed reads from a response.
 func readUpdates(r io.Reader) (updates []membership.Update) {
 	b := &responseBody{conn: r, onRead: func() error { return nil }}
 	if b.readHead() == nil {
@@ -308,7 +313,7 @@
 	return updates
 }
 
-// FuzzWatch holds of any answer: no panic, and the same is read of it in whatever pieces it comes.
+// FuzzWatch checks that no response causes a panic, and that the updates read do not depend on how it is split.
 func FuzzWatch(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + standin.List(1, true, target("s-1", "active")) + "\n{\n}"))
@@ -316,7 +321,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		whole, pieces := readUpdates(bytes.NewReader(b)), readUpdates(iotest.OneByteReader(bytes.NewReader(b)))
 		if !reflect.DeepEqual(whole, pieces) {
-			t.Fatalf("%+v of the whole, %+v of pieces", whole, pieces)
+			t.Fatalf("%+v read at once, %+v read byte by byte", whole, pieces)
 		}
 	})
 }
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -14,7 +14,7 @@
 
 const ms = time.Millisecond
 
-// fake is a backend that notes what it is told.
+// fakeBackend is a backend that records the calls to it.
 type fakeBackend struct {
 	sent      []Attempt
 	dropped   []uint64
@@ -29,7 +29,7 @@
 func (f *fakeBackend) Probe(node string)  { f.probed = append(f.probed, node) }
 func (f *fakeBackend) Nodes(nodes []Node) { f.nodes = len(nodes) }
 
-// script is a decider that answers as it is told.
+// scriptedController is a controller that returns the actions of next.
 type scriptedController struct {
 	events []control.Event
 	next   func([]control.Event) []control.Action
@@ -43,7 +43,7 @@
 	return s.next(events)
 }
 
-// bench is a host whose turns and clock a test drives.
+// testHost is a host whose turns and clock a test controls.
 type testHost struct {
 	*Host
 	t    *testing.T
@@ -68,15 +68,15 @@
 	return b
 }
 
-// step moves the clock on and takes two turns: what an action brings about comes in
-// the second.
+// step advances the clock and runs two turns: the events that the actions of the first cause are processed in the
+// second.
 func (b *testHost) step(d time.Duration) {
 	b.now += d
 	b.turn()
 	b.turn()
 }
 
-// ask submits a request and returns where its answers go.
+// submit submits a request and returns a pointer to its answers.
 func (b *testHost) submit(expires time.Duration) (*[]Answer, uint64) {
 	b.t.Helper()
 	var got []Answer
@@ -108,8 +108,8 @@
 	}
 }
 
-// TestNoAnswerFromTheNode: the attempt times out before the client's time is up, and
-// the client has its answer within it.
+// TestNoAnswerFromTheNode checks that an attempt times out before the client's time is up, and that the client has
+// its answer within it.
 func TestNoAnswerFromTheNode(t *testing.T) {
 	b := newTestHost(t, nil)
 	got, _ := b.submit(500 * ms)
@@ -127,11 +127,11 @@
 		t.Errorf("cause %q", (*got)[0].Cause)
 	}
 	if b.stats.Defects != 0 {
-		t.Error("the last resort was needed")
+		t.Error("the request was failed on expiry")
 	}
 }
 
-// TestLastResort: a controller that never decides does not keep a client waiting.
+// TestNoDecisionFailsRequestOnExpiry checks that a client is answered on expiry if the controller never decides.
 func TestNoDecisionFailsRequestOnExpiry(t *testing.T) {
 	d := &scriptedController{}
 	b := newTestHost(t, d)
@@ -154,12 +154,12 @@
 	b.List(List{Kind: control.ListFailed})
 	b.step(ms)
 	if len(*got) != 1 || len(b.back.sent) != 0 {
-		t.Error("a second answer, or an attempt, after the last resort")
+		t.Error("a second answer, or an attempt, after the request expired")
 	}
 }
 
-// TestPanicEndsTheHost: open requests are failed, the recorder is flushed, and the
-// loop does not go on.
+// TestControllerPanic checks that a panic of the controller fails open requests, flushes the recorder and ends the
+// loop.
 func TestControllerPanic(t *testing.T) {
 	b := newTestHost(t, nil)
 	rec := &flushRecorder{}
@@ -185,7 +185,7 @@
 func (*flushRecorder) Batch(time.Duration, []control.Event, []control.Action) {}
 func (f *flushRecorder) Flush()                                               { f.n++ }
 
-// TestActionsOfAllKinds carries each kind out.
+// TestActions executes an action of each kind.
 func TestActions(t *testing.T) {
 	d := &scriptedController{}
 	b := newTestHost(t, d)
@@ -220,7 +220,7 @@
 	b.now += 51 * ms
 	b.turn()
 	if o, ok := d.events[0].(control.Outcome); !ok || o.Result != control.TimedOut || o.Attempt != 0 || o.Elapsed < 50*ms || o.Closed {
-		t.Errorf("the attempt's own time-out: %+v", d.events)
+		t.Errorf("timeout of the attempt (Within): %+v", d.events)
 	}
 	b.now += 20 * ms
 	b.turn()
@@ -243,7 +243,7 @@
 func (r *fakeRegister) Subscribe() { r.n++ }
 func (r *fakeRegister) Fetch()     { r.n++ }
 
-// TestCeilingOfOpenRequests: at it a request is refused and nothing is lost.
+// TestMaxOpenRequests checks that Submit refuses requests at the limit and that those accepted are answered.
 func TestMaxOpenRequests(t *testing.T) {
 	b := newTestHost(t, &scriptedController{})
 	var all []*[]Answer
@@ -252,7 +252,7 @@
 		all = append(all, got)
 	}
 	if _, err := b.Submit(&Request{Class: "read", Expires: time.Second}); !errors.Is(err, ErrFull) {
-		t.Fatalf("fourth of three: %v", err)
+		t.Fatalf("fourth request at a limit of three: %v", err)
 	}
 	b.step(0)
 	b.step(100 * ms)
@@ -262,12 +262,12 @@
 		}
 	}
 	if _, err := b.Submit(&Request{Class: "read", Expires: time.Second, Answer: func(Answer) {}}); err != nil {
-		t.Errorf("after they ended: %v", err)
+		t.Errorf("submit after the open requests ended: %v", err)
 	}
 }
 
-// TestClientLeaves: nothing is answered, what has not left is withdrawn, and a late outcome still reaches
-// the controller, closed.
+// TestClientGone checks that a request whose client has gone gets no answer, that its attempts are withdrawn, and
+// that a late outcome still reaches the controller, marked as closed.
 func TestClientGone(t *testing.T) {
 	b := newTestHost(t, nil)
 	got, id := b.submit(time.Second)
@@ -290,7 +290,7 @@
 	}
 }
 
-// TestTimeInTheMailboxIsGone: a loop that stood still hands over what is left.
+// TestMailboxTimeReducesExpires checks that a stalled loop deducts the time that a request spent in the mailbox.
 func TestMailboxTimeReducesExpires(t *testing.T) {
 	d := &scriptedController{}
 	b := newTestHost(t, d)
@@ -308,14 +308,14 @@
 	first := b.StartedAt("n", wall)
 	b.now += time.Second
 	if again := b.StartedAt("n", wall); again != first || first <= 0 {
-		t.Errorf("%v, then %v", first, again)
+		t.Errorf("start %v first, then %v", first, again)
 	}
 	if b.StartedAt("n", time.Now().Add(-2*ClockBase)) != 0 || b.StartedAt("n", time.Time{}) != 0 {
-		t.Error("long ago is not 0")
+		t.Error("a start long ago does not give 0")
 	}
 }
 
-// echo answers every attempt at the next turn.
+// echoBackend answers every attempt in the next turn.
 type echoBackend struct{ sent []Attempt }
 
 func (e *echoBackend) Send(a Attempt)  { e.sent = append(e.sent, a) }
@@ -324,7 +324,7 @@
 func (e *echoBackend) Probe(string)    {}
 func (e *echoBackend) Nodes([]Node)    {}
 
-// answerAll answers what was sent, and what is sent upon it, a millisecond a round.
+// answerAll answers all attempts, and those sent in response to the outcomes, a millisecond a round.
 func (e *echoBackend) answerAll(h *Host, at *time.Duration) {
 	for len(e.sent) > 0 {
 		sent := e.sent
@@ -337,8 +337,8 @@
 	}
 }
 
-// BenchmarkDecide is what one host loop decides: a request in, an attempt out, its
-// outcome in, the answer out, with 64 requests in a batch and so many nodes.
+// BenchmarkDecide measures the requests a second of one host loop: a request in, an attempt out, its outcome in, the
+// answer out, with 64 requests in a batch, at several numbers of nodes.
 func BenchmarkDecide(b *testing.B) {
 	for _, nodes := range []int{8, 42, 300} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
@@ -374,8 +374,7 @@
 	}
 }
 
-// BenchmarkBurst is one turn that takes a thousand requests at once, at 8 nodes that
-// are busy already.
+// BenchmarkBurst measures one turn with a thousand requests at once, at 8 nodes that are busy already.
 func BenchmarkBurst(b *testing.B) {
 	e := &echoBackend{}
 	at := time.Hour
@@ -409,7 +408,7 @@
 	b.ReportMetric(100*float64(refused)/float64(max(1, asked)), "refused-%")
 }
 
-// TestStartsForEver: nodes that start and are replaced for ever are not remembered for ever.
+// TestNodeStartsBounded checks that endless node turnover does not grow the memory of node starts without bound.
 func TestNodeStartsBounded(t *testing.T) {
 	h, err := New(Options{Settings: control.Settings{Classes: []control.Class{{Name: "read"}}}})
 	if err != nil {
@@ -423,7 +422,7 @@
 			t.Fatalf("%s: %v, then %v", name, at, h.StartedAt(name, wall))
 		}
 		if len(h.nodeStarts) > maxNodeStarts {
-			t.Fatalf("%d starts remembered", len(h.nodeStarts))
+			t.Fatalf("%d node starts remembered", len(h.nodeStarts))
 		}
 	}
 }
--- a/internal/live/bench_test.go
+++ b/internal/live/bench_test.go
@@ -12,8 +12,8 @@
 	"eiderhold/internal/standin"
 )
 
-// BenchmarkRequest carries one read after another through a whole host, client and node on loopback. Both
-// are plain sockets that allocate nothing, so that what is counted is the host's.
+// BenchmarkRequest sends reads one after another through a complete host, with client and node on loopback. Both use
+// plain sockets without allocations, so that the allocations reported are the host's.
 func BenchmarkRequest(b *testing.B) {
 	for _, clients := range []int{1, 64} {
 		b.Run(fmt.Sprint("clients=", clients), func(b *testing.B) { benchmark(b, clients) })
@@ -80,7 +80,7 @@
 	}
 }
 
-// askOn asks so many times on one connection.
+// sendRequests sends a number of requests on one connection, one at a time.
 func sendRequests(addr string, client, times int) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -19,7 +19,7 @@
 	"eiderhold/internal/standin"
 )
 
-// config is a whole configuration.
+// config returns a complete configuration.
 func config(discovery, known string) string {
 	return fmt.Sprintf(`{"name":"n3","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
  "limits":{"cores":1.0,"memory_mb":64,"sockets":256},"known":%s,
@@ -32,7 +32,7 @@
 		discovery, known)
 }
 
-// patience bounds a wait for what takes milliseconds on an idle machine; every answer is due in half of it.
+// testTimeout bounds waits that take milliseconds on an idle machine. Every answer is due within half of it.
 const testTimeout = 20 * time.Second
 
 type testServer struct {
@@ -49,8 +49,9 @@
 	reloadText string // the configuration that a reload reads
 }
 
-// newRig starts a host that knows these entries, and serves until a signal ends it. It returns once the host is
-// ready: that the agent has spoken does not yet mean that it was heard, and until then requests are refused.
+// newTestServer starts a host with these entries as its known list, which serves until a signal ends it. It returns
+// once the host is ready: the host may process the agent's first object later than the agent sends it, and refuses
+// requests until then.
 func newTestServer(t *testing.T, targets ...string) *testServer {
 	t.Helper()
 	a := newAgent(t)
@@ -60,7 +61,7 @@
 	return r
 }
 
-// newRigAt starts one whose discovery is there.
+// newTestServerAt starts a host that uses the given agent, without waiting until it is ready.
 func newTestServerAt(t *testing.T, a *standin.Agent, targets ...string) *testServer {
 	t.Helper()
 	cfg, err := Parse([]byte(config(a.Addr(), standin.List(1, true, targets...))), func(string) string { return "" })
@@ -92,7 +93,7 @@
 
 const healthRequest = "GET /_health HTTP/1.1\r\nHost: o\r\n\r\n"
 
-// ready waits until the host says that it is.
+// waitReady waits until the host reports that it is ready.
 func (r *testServer) waitReady() {
 	r.t.Helper()
 	got := ""
@@ -104,8 +105,8 @@
 	r.t.Fatalf("not ready within %v: %q", testTimeout, got)
 }
 
-// reach waits until so many requests have come to the node. It fails with the answer if one of these, which are
-// needed for as many, was answered before: then no more will come.
+// waitReceived waits until the node has received at least the given number of requests. It fails if one of the given
+// answers, which belong to these requests, arrives before: then no more requests will follow.
 func (r *testServer) waitReceived(n *standin.HTTPNode, atLeast int, answers ...chan string) {
 	r.t.Helper()
 	seen, early := make(chan bool), make(chan string, len(answers))
@@ -113,7 +114,7 @@
 	for _, a := range answers {
 		go func() {
 			got := <-a
-			a <- got // for who expects it
+			a <- got // for a later expect
 			early <- got
 		}()
 	}
@@ -121,10 +122,10 @@
 	case <-seen:
 	case got := <-early:
 		if k := len(n.Seen(0)); k < atLeast {
-			r.t.Fatalf("answered %q when %d of %d requests had come to the node", got, k, atLeast)
+			r.t.Fatalf("answered %q when the node had received %d of %d requests", got, k, atLeast)
 		}
 	case <-time.After(testTimeout):
-		r.t.Fatalf("%d of %d requests came to the node within %v, and no answer", len(n.Seen(0)), atLeast, testTimeout)
+		r.t.Fatalf("the node received %d of %d requests within %v, and there was no answer", len(n.Seen(0)), atLeast, testTimeout)
 	}
 }
 
@@ -152,20 +153,20 @@
 
 func id(n int) string { return fmt.Sprintf("%016x", n) }
 
-// ask sends one read on a connection of its own; the answer comes on the channel.
+// startRead starts a read on its own connection and returns a channel for the answer.
 func (r *testServer) startRead(n, shard int) chan string {
 	answer := make(chan string, 1)
 	go func() { answer <- r.read(n, shard, 9*time.Second) }()
 	return answer
 }
 
-// asked is the answer to one read whose client waits so long by its own word.
+// read sends a read with the given timeout on its own connection and returns the answer.
 func (r *testServer) read(n, shard int, within time.Duration) string {
 	return r.roundTrip(fmt.Sprintf("GET /api/%s/%s HTTP/1.1\r\nHost: o\r\nRequest-Id: %s\r\nRequest-Class: read\r\nX-Storage-Class: gold\r\n"+
 		"Request-Timeout-Ms: %d\r\nX-Extent: units=2,shard=%d,hosts=1\r\n\r\n", id(n%7), id(n), id(n), within.Milliseconds(), shard))
 }
 
-// say sends a request on a connection of its own and returns the answer's status and body.
+// roundTrip sends a request on its own connection and returns the status and body of the answer, or an error's text.
 func (r *testServer) roundTrip(request string) string {
 	c, err := net.Dial("tcp", r.Addr())
 	if err != nil {
@@ -195,7 +196,8 @@
 
 func served(n int) string { return "200 of " + id(n) }
 
-// until asks again until an answer is as wanted: what has been told takes effect with the next turn.
+// readUntil repeats a read, under ascending ids, until its answer begins as wanted, and returns the last id. A list
+// that the agent has sent takes effect some turns later.
 func (r *testServer) readUntil(n, shard int, want string) int {
 	for ; ; n++ {
 		if strings.HasPrefix(r.read(n, shard, 9*time.Second), strings.Replace(want, "ID", id(n), 1)) {
@@ -204,7 +206,8 @@
 	}
 }
 
-// TestList: a new uid at an old endpoint, a drain, a node that is gone: what is told binds at once.
+// TestList checks that changes of the node list take effect: a new uid at an old endpoint, a drain, a node that is
+// gone.
 func TestList(t *testing.T) {
 	a, b := newNode(t, echo), newNode(t, echo)
 	r := newTestServer(t, standin.Target("s-1", a.Addr(), 0, "active", 0))
@@ -218,12 +221,12 @@
 	before := len(b.Seen(1))
 	r.expect(r.startRead(n+1, 1), "503")
 	if after := len(b.Seen(1)); after != before {
-		t.Fatalf("a draining node got %d more", after-before)
+		t.Fatalf("a draining node received %d more requests", after-before)
 	}
 }
 
-// TestFirstList: what a host knew from before is not served by until the agent has spoken, and a node that its
-// first list takes away gets nothing.
+// TestNotReadyBeforeFirstList checks that a host does not serve with the known list before the agent's first object,
+// and that a node which is missing from the agent's first list receives nothing.
 func TestNotReadyBeforeFirstList(t *testing.T) {
 	gone, there := newNode(t, echo), newNode(t, echo)
 	speak := make(chan bool)
@@ -238,18 +241,18 @@
 	t.Cleanup(a.Close)
 	r := newTestServerAt(t, a, standin.Target("s-1", gone.Addr(), 0, "active", 0))
 	if got := r.roundTrip(healthRequest); !strings.HasPrefix(got, "503") {
-		t.Fatalf("ready by the list known from before: %q", got)
+		t.Fatalf("ready with the known list only: %q", got)
 	}
 	close(speak)
 	r.waitReady()
 	r.expect(r.startRead(1, 0), served(1))
 	if n := len(gone.Seen(0)); n != 0 || len(there.Seen(1)) != 1 {
-		t.Fatalf("%d requests to the node that is gone", n)
+		t.Fatalf("%d requests to the removed node", n)
 	}
 }
 
-// TestDrainWhileHeld: requests that are held for a node as it is told to drain are answered, and none of
-// them goes there any more.
+// TestDrainWithQueuedRequests checks that requests queued for a node when it starts to drain are answered, and that
+// none of them is sent to the node any more.
 func TestDrainWithQueuedRequests(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
@@ -260,13 +263,13 @@
 	}
 	for settled := false; !settled; {
 		got := make(chan bool)
-		r.CompareNodes(func(b []host.Believed, p map[string]backend.Passed) { // what waits for a connection is not out yet
+		r.CompareNodes(func(b []host.Believed, p map[string]backend.Passed) { // attempts that wait for a connection are not in flight yet
 			got <- len(b) == 1 && b[0].Out > 0 && b[0].Held > 0 && p["s-1"].Waiting == 0 && p["s-1"].Out == b[0].Out
 		})
 		settled = <-got
 	}
 	r.watch.Line(standin.List(2, false, standin.Target("s-1", n.Addr(), 0, "leaving", 0)))
-	before := 0 // sent by the time that nothing is held any more
+	before := 0 // in flight when nothing is queued any more
 	for held := 1; held > 0; {
 		got := make(chan host.Believed)
 		r.CompareNodes(func(b []host.Believed, _ map[string]backend.Passed) { got <- b[0] })
@@ -283,12 +286,12 @@
 		}
 	}
 	if after := len(n.Seen(0)); after != before || ok != after {
-		t.Fatalf("%d were out as the drain was told, %d in the end, %d served", before, after, ok)
+		t.Fatalf("%d requests in flight at the start of the drain, %d received in the end, %d served", before, after, ok)
 	}
 }
 
-// TestBeliefs: what the host believes is out is what is out on the sockets, while nodes hold answers back
-// and after; a node that answers nothing is suspect, with an answer it is so no longer.
+// TestBeliefs checks that the controller's belief about attempts in flight matches the sockets, while a node delays
+// its answers and after. A node that does not answer is suspect until it answers.
 func TestBeliefs(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
@@ -322,9 +325,9 @@
 	}
 }
 
-// TestSilentNode: a node that takes requests and answers nothing costs no client its final answer. A keyed
-// write that may have run is failed, never refused: that would tell the client that trying again is harmless.
-// Reads are refused, those that were sent too.
+// TestSilentNode checks that clients get a final answer if a node receives requests and never answers. A keyed write
+// that may have run fails and is never refused: a refusal tells the client that a retry is harmless. Reads are
+// refused, including those that were sent.
 func TestSilentNode(t *testing.T) {
 	hold := make(chan bool)
 	n := newNode(t, func(standin.Seen) standin.Reply { <-hold; return standin.Reply{} })
@@ -345,12 +348,12 @@
 	}
 	r.expect(write, "504")
 	if seen := n.Seen(1); seen[0].ID != id(99) || len(seen) > cap(reads) {
-		t.Fatalf("%d requests came to the node, the first %s", len(seen), seen[0].ID)
+		t.Fatalf("the node received %d requests, the first %s", len(seen), seen[0].ID)
 	}
 }
 
-// TestHangup: SIGHUP under load follows discovery to its new address; a configuration that cannot be used
-// changes nothing; what is open is answered.
+// TestReload checks that SIGHUP under load switches to a new address of discovery, that an invalid configuration
+// changes nothing, and that open requests are answered.
 func TestReload(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
@@ -375,8 +378,8 @@
 	r.expect(open, served(1))
 }
 
-// TestTerminate: at SIGTERM under load, and again, and with a SIGHUP between, what is open is answered, late comers are served, and
-// the host ends without an error.
+// TestTerminate checks that after SIGTERM under load, a further SIGTERM and a SIGHUP between them, open requests are
+// answered, new ones are served, and the host ends without an error.
 func TestTerminate(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
@@ -387,7 +390,7 @@
 	r.signals <- syscall.SIGHUP
 	r.signals <- syscall.SIGTERM
 	r.log.Has("ending")
-	late := r.startRead(2, 0) // connections go on being served
+	late := r.startRead(2, 0) // the host still serves connections
 	r.waitReceived(n, 2, late)
 	close(release)
 	r.expect(first, served(1))
@@ -398,7 +401,7 @@
 	}
 }
 
-// TestBadConfigurations are refused with the place.
+// TestBadConfigurations checks that errors of invalid configurations name the setting.
 func TestBadConfigurations(t *testing.T) {
 	good := config("127.0.0.1:1", "null")
 	none := func(string) string { return "" }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// peer takes what a test tells it to do with bytes.
+// testPeer is a Peer that passes input to a test's function and reports opening and closing on channels.
 type testPeer struct {
 	opened  chan gnet.Conn
 	traffic func(gnet.Conn, []byte) gnet.Action
@@ -31,7 +31,7 @@
 	return p.traffic(g, b)
 }
 
-// pair starts a loop with one accepted connection on it, and returns the other side.
+// newPair starts a loop with one accepted connection on it, and returns the loop and the other side.
 func newPair(t *testing.T, p *testPeer) (*Loop, net.Conn) {
 	t.Helper()
 	l, err := Start(slog.New(slog.DiscardHandler))
@@ -64,7 +64,7 @@
 	return l, c
 }
 
-// TestNoDelay: small writes are not held back, on accepted and on dialled connections.
+// TestNoDelay checks that TCP_NODELAY is set on accepted and on dialled connections.
 func TestNoDelay(t *testing.T) {
 	p := newPeer(nil)
 	l, c := newPair(t, p)
@@ -97,8 +97,8 @@
 	_ = c
 }
 
-// TestFinish: an answer larger than the kernel takes at once, and then the end, while the other side goes on
-// sending: it reads the answer whole and an end, no reset, and nothing that it sent meanwhile is traffic.
+// TestFinish checks a graceful close after an answer larger than the kernel's buffer, while the other side keeps
+// sending: it reads the whole answer and EOF, no reset, and its input causes no further Traffic calls.
 func TestFinish(t *testing.T) {
 	answer := bytes.Repeat([]byte("answer"), 4<<20/6)
 	var traffics atomic.Int32
@@ -111,7 +111,7 @@
 			t.Error(err)
 		}
 		p.loop.Finish(g)
-		p.loop.Finish(g) // again changes nothing
+		p.loop.Finish(g) // a second call has no effect
 		return gnet.None
 	})
 	_, c := newPair(t, p)
@@ -120,7 +120,7 @@
 	}
 	stop := make(chan bool)
 	sent := make(chan bool)
-	go func() { // until the answer has been read, at most what is read and thrown away
+	go func() { // until the answer has been read, and less than maxLingerBytes
 		defer close(sent)
 		for range maxLingerBytes >> 13 {
 			select {
@@ -145,11 +145,11 @@
 	c.Close()
 	<-p.closed
 	if n := traffics.Load(); n != 1 {
-		t.Fatalf("%d times traffic", n)
+		t.Fatalf("%d Traffic calls, expected 1", n)
 	}
 }
 
-// TestFinishBounds: who neither ends nor stops sending is closed all the same.
+// TestFinishBounds checks that a connection is closed even if the other side neither closes nor stops sending.
 func TestFinishBounds(t *testing.T) {
 	for name, flood := range map[string]bool{"says nothing": false, "goes on sending": true} {
 		t.Run(name, func(t *testing.T) {
@@ -168,7 +168,7 @@
 			got := make(chan int)
 			l.Do(func() { got <- len(l.closing) })
 			if n := <-got; n != 0 {
-				t.Fatalf("%d are still ending", n)
+				t.Fatalf("%d connections are still closing", n)
 			}
 		})
 	}
--- a/membership/keeper_test.go
+++ b/membership/keeper_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// agent plays discovery in explicit time: what a try that begins at a moment comes to, and how long that takes.
-// after 0: it never speaks, and the keeper has to give it up.
+// fakeAgent simulates discovery: it returns whether a trial that starts at now succeeds, and after what time. With
+// after 0 the agent never answers, and the scheduler has to time the trial out.
 type fakeAgent func(now time.Duration, whole bool) (ok bool, after time.Duration)
 
-// play runs a keeper before an agent until the moment until, and returns when each watch that was kept was
-// proved, and how many tries there were.
+// simulate runs a scheduler against an agent between two times, and returns when each trial succeeded, and the number
+// of trials.
 func simulate(k *Scheduler, a fakeAgent, from, until time.Duration) (succeeded []time.Duration, trials int) {
 	now, ends, ok := from, time.Duration(0), false
 	for now < until {
@@ -39,7 +39,7 @@
 				continue
 			}
 			if next <= now {
-				panic(fmt.Sprintf("at %v nothing is to be done, and the next look is due at %v", now, next))
+				panic(fmt.Sprintf("at %v: nothing to do, but Due is %v", now, next))
 			}
 			now = next
 		}
@@ -47,14 +47,14 @@
 	return succeeded, trials
 }
 
-// TestTold adds up what may follow a watch that falls silent, for each thing that two tries in a row may come
-// to: what it missed is there within the time in which it counts as told.
+// TestUpdateDeadline checks that the changes which a silent watch missed arrive within UpdateDeadline, for each
+// combination of ways in which the next two trials may fail.
 func TestUpdateDeadline(t *testing.T) {
 	ms := time.Millisecond
 	bad := []struct {
 		name  string
-		after time.Duration // 0: says nothing, or never an object
-	}{{"says nothing, half a head, half an object, beats only", 0}, {"refuses", ms}, {"ends just before its time", DefaultTiming.TrialTimeout - ms}}
+		after time.Duration // 0: sends nothing, or never an object
+	}{{"sends nothing, half a head, half an object, empty lines only", 0}, {"refuses", ms}, {"ends just before the timeout", DefaultTiming.TrialTimeout - ms}}
 	for _, first := range bad {
 		for _, second := range bad {
 			t.Run(first.name+"; "+second.name, func(t *testing.T) {
@@ -70,17 +70,18 @@
 					return true, DefaultTiming.TrialTimeout - ms
 				}, silent, silent+2*UpdateDeadline)
 				if len(proved) == 0 || proved[0] > silent+UpdateDeadline-250*ms {
-					t.Fatalf("proved at %v, silent since %v", proved, silent)
+					t.Fatalf("succeeded at %v, silent since %v", proved, silent)
 				}
 			})
 		}
 	}
 	if sum := DefaultTiming.SilenceTimeout + 3*(DefaultTiming.TrialTimeout+DefaultTiming.MaxRetryDelay); sum >= UpdateDeadline {
-		t.Errorf("the bounds come to %v, Told is %v", sum, UpdateDeadline)
+		t.Errorf("the bounds add up to %v, UpdateDeadline is %v", sum, UpdateDeadline)
 	}
 }
 
-// TestReturn: discovery is down for long; as it is back a watch stands within a pause and two tries.
+// TestAgentRecovery checks that after a long downtime of the agent a watch is open again within one retry delay and
+// one trial.
 func TestAgentRecovery(t *testing.T) {
 	for _, down := range []time.Duration{0, time.Millisecond} { // silent, or refusing
 		k := NewScheduler(DefaultTiming, false)
@@ -92,15 +93,16 @@
 			return true, time.Millisecond
 		}, 0, back+5*time.Second)
 		if len(proved) < 1 || proved[0]-back > DefaultTiming.TrialTimeout+DefaultTiming.MaxRetryDelay+10*time.Millisecond {
-			t.Errorf("back at %v, proved at %v", back, proved)
+			t.Errorf("back at %v, succeeded at %v", back, proved)
 		}
 		if tries > 40 {
-			t.Errorf("%d tries", tries)
+			t.Errorf("%d trials", tries)
 		}
 	}
 }
 
-// TestKept: a watch that speaks is not given up for one that does not, and one that speaks again ends the trial.
+// TestWatchReplacement checks that a working watch is not dropped for one that does not work, and that a trial is
+// cancelled when the current watch receives bytes again.
 func TestWatchReplacement(t *testing.T) {
 	k := NewScheduler(DefaultTiming, false)
 	if s := k.Next(0); s != OpenWatch {
@@ -115,15 +117,15 @@
 	}
 	k.Received(DefaultTiming.SilenceTimeout + 1)
 	if s := k.Next(DefaultTiming.SilenceTimeout + 2); s != CancelTrial {
-		t.Fatalf("it speaks again: step %d", s)
+		t.Fatalf("received bytes again: step %d", s)
 	}
 	k.AddressChanged(DefaultTiming.SilenceTimeout + 3)
 	if s := k.Next(DefaultTiming.SilenceTimeout + 3); s != OpenWatch {
-		t.Fatalf("moved: step %d", s)
+		t.Fatalf("address changed: step %d", s)
 	}
 	k.Received(DefaultTiming.SilenceTimeout + 4)
 	if s := k.Next(DefaultTiming.SilenceTimeout + 5); s != Wait || !k.watching {
-		t.Fatalf("the former one speaks while the new one is on trial: step %d, kept %v", s, k.watching)
+		t.Fatalf("the former watch receives bytes while the new one is on trial: step %d, watching %v", s, k.watching)
 	}
 	k.TrialSucceeded(DefaultTiming.SilenceTimeout + 6)
 	if s := k.Next(DefaultTiming.SilenceTimeout + 7); s != Wait {
@@ -131,7 +133,7 @@
 	}
 }
 
-// TestAstray: what does not follow on what is held has the whole list asked for, then a watch from there.
+// TestResync checks that Resync causes a request of the whole list, then of a new watch.
 func TestResync(t *testing.T) {
 	k := NewScheduler(DefaultTiming, true)
 	for i, want := range []Step{FetchAll, OpenWatch, Wait, FetchAll, OpenWatch, Wait} {
@@ -148,12 +150,12 @@
 	}
 }
 
-// TestSlowAgent: one that needs longer than a try has is heard in the end; one that ends each watch at once is not
-// asked more than some times a second.
+// TestSlowAgent checks that an agent slower than TrialTimeout gets through in the end, and that an agent which ends
+// each watch at once gets only a few requests a second.
 func TestSlowAgent(t *testing.T) {
 	slow := func(time.Duration, bool) (bool, time.Duration) { return true, 3 * time.Second }
 	if proved, _ := simulate(NewScheduler(DefaultTiming, false), slow, 0, time.Minute); len(proved) == 0 {
-		t.Error("never heard")
+		t.Error("no trial succeeded")
 	}
 	k, now, tries := NewScheduler(DefaultTiming, false), time.Duration(0), 0
 	for now < 10*time.Second {
--- a/membership/membership_test.go
+++ b/membership/membership_test.go
@@ -21,7 +21,7 @@
 	return fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.1:1","pod_group":3,"state":%q,"capacity_hint":1,"boot_ms":7}`, uid, state)
 }
 
-// TestTake: a list, its changes, repeats and older ones, a gap, and a whole list after it.
+// TestApply applies a list, changes, repeated and older changes, a gap in revisions, and a whole list after it.
 func TestApply(t *testing.T) {
 	l := New()
 	for _, c := range []struct {
@@ -36,11 +36,11 @@
 		{update(5, false, target("b", "leaving")), Applied, 1, 2},
 		{update(6, false, target("a", "left")), Applied, 1, 1},
 		{update(9, false, target("c", "active")), Applied, 1, 2},
-		{update(3, true, target("d", "active")), Applied, 1, 1}, // whole: what it does not name is gone
+		{update(3, true, target("d", "active")), Applied, 1, 1}, // the whole list: other nodes are removed
 	} {
 		nodes, skipped, v := l.Apply(c.u)
 		if v != c.result || len(nodes) != c.nodes || l.Len() != c.held || len(skipped) != 0 || v == Applied && l.Rev() != c.u.Rev {
-			t.Errorf("rev %d: %+v, %v, verdict %d, %d held", c.u.Rev, nodes, skipped, v, l.Len())
+			t.Errorf("rev %d: %+v, %v, result %d, %d nodes", c.u.Rev, nodes, skipped, v, l.Len())
 		}
 	}
 	nodes, _, _ := l.Apply(update(10, false, target("e", "leaving")))
@@ -49,13 +49,13 @@
 	}
 }
 
-// TestPassed: what cannot be used is named with its place, and the others count.
+// TestSkippedEntries checks that invalid entries are reported with their index, and that the others apply.
 func TestSkippedEntries(t *testing.T) {
 	l := New()
 	_, skipped, _ := l.Apply(update(1, true, `{"uid":""}`, `{"uid":7}`, `3`, target("odd", "asleep"), target("good", "active"),
 		`{"uid":"neg","endpoint":"x:1","pod_group":-1,"state":"active"}`, `{"uid":"nowhere","endpoint":"x","state":"active"}`,
 		`{"uid":"late","endpoint":"x:1","state":"active","boot_ms":-1}`))
 	if len(skipped) != 7 || l.Len() != 1 || !strings.Contains(skipped[3].Error(), "targets[3]: odd") {
-		t.Errorf("%v, %d held", skipped, l.Len())
+		t.Errorf("%v, %d nodes", skipped, l.Len())
 	}
 }
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -9,7 +9,7 @@
 	"eiderhold/control"
 )
 
-// TestProofs is the platform's table, and that nothing else proves that an attempt never ran.
+// TestOutcomes checks the platform's table of outcomes, and that nothing else proves that an attempt never ran.
 func TestOutcomes(t *testing.T) {
 	for status := 200; status < 600; status++ {
 		for _, notStarted := range []bool{false, true} {
@@ -20,7 +20,7 @@
 		}
 	}
 	if OfSpoilt().NeverRan() || OfSpoilt() == control.Done {
-		t.Error("a spoilt answer proves something")
+		t.Error("a malformed answer proves that the request ran, or that it never ran")
 	}
 	for _, c := range []struct {
 		h     Progress
@@ -32,17 +32,17 @@
 		}
 	}
 	if !Reusable(false, 0, 0) || Reusable(true, 0, 0) || Reusable(false, 1, 0) || Reusable(false, 0, 1) {
-		t.Error("a connection is used again that may not be")
+		t.Error("Reusable does not match the state of the connection")
 	}
 }
 
-// TestEnds: only a read of no bytes ends an answer without a length.
+// TestEnds checks that only a read of zero bytes ends an answer without a length.
 func TestEnds(t *testing.T) {
 	for err, want := range map[error]bool{
 		os.NewSyscallError("read", io.EOF):             true,
 		os.NewSyscallError("read", syscall.ECONNRESET): false,
 		os.NewSyscallError("write", syscall.EPIPE):     false,
-		io.EOF: false, // the poller's word for any end that it did not read
+		io.EOF: false, // the poller's error for any end other than by a read
 		nil:    false,
 	} {
 		if got := Ends(err); got != want {
--- a/shutdown/shutdown_test.go
+++ b/shutdown/shutdown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestPlan: with short, usual and very long deadlines, nothing that a host which ends has taken can be open
-// when it may first be killed, and listening outlasts the last new connections.
+// TestPlan checks, with short, usual and very long deadlines, that no accepted request can be open at the earliest time
+// at which the host may be killed, and that the host accepts connections until the last ones have arrived.
 func TestPlan(t *testing.T) {
 	for _, longest := range []time.Duration{300 * time.Millisecond, 800 * time.Millisecond, 3 * time.Second, time.Minute} {
 		p := New(longest)
@@ -24,10 +24,10 @@
 					end = min(end, phase.AnswerBy)
 				}
 				if end >= killAt {
-					t.Fatalf("deadline %v: taken at %v, answered by %v, killed at %v", longest, at, end, killAt)
+					t.Fatalf("deadline %v: accepted at %v, answered by %v, killed at %v", longest, at, end, killAt)
 				}
 				if end < at+minRequestTime {
-					t.Fatalf("deadline %v: taken at %v with %v left", longest, at, end-at)
+					t.Fatalf("deadline %v: accepted at %v with %v left", longest, at, end-at)
 				}
 			}
 			if phase.Exit && exitAt == 0 {
@@ -35,7 +35,7 @@
 			}
 		}
 		if lastAccepted < connectDuration || lastServed < lastAccepted || exitAt <= lastServed || exitAt >= killAt {
-			t.Errorf("deadline %v: accepts until %v, serves until %v, over at %v, killed at %v", longest, lastAccepted, lastServed, exitAt, killAt)
+			t.Errorf("deadline %v: accepts until %v, serves until %v, exits at %v, killed at %v", longest, lastAccepted, lastServed, exitAt, killAt)
 		}
 	}
 }
