--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -51,7 +51,7 @@
 // The kinds of final answer.
 const (
 	Served  Kind = iota
-	Refused      // not run: a retry after RetryAfter is harmless
+	Refused      // not served: a retry is harmless, after RetryAfter
 	Failed       // the request may or may not have taken effect
 )
 
@@ -196,7 +196,8 @@
 	stopped bool
 	wake    chan struct{}
 
-	// The fields below are used by the loop only, except published, which statsMu guards.
+	// The fields below are used by the loop only, except nextID (guarded by mu), published (guarded by statsMu) and
+	// nodeStarts (used by the caller of StartedAt).
 	now          time.Duration
 	events       []control.Event
 	spareMailbox []any
--- a/internal/live/live.go
+++ b/internal/live/live.go
@@ -70,8 +70,8 @@
 	if s.loop, err = loop.Start(log); err != nil {
 		return nil, err
 	}
-	s.backend = backend.New(backend.Settings{Conns: split.NodeConns, Bytes: split.AnswerBytes, Idle: cfg.conns.Idle, DialTimeout: cfg.conns.DialTimeout,
-		Service: serviceName, LoadFields: cfg.control.LoadFields}, s.loop, log)
+	s.backend = backend.New(backend.Settings{Conns: split.NodeConns, Bytes: split.AnswerBytes, Idle: cfg.conns.Idle,
+		DialTimeout: cfg.conns.DialTimeout, Service: serviceName, LoadFields: cfg.control.LoadFields}, s.loop, log)
 	s.host, err = host.New(host.Options{Settings: cfg.control, Seed: int64(cfg.seed), Backend: s.backend, Log: log,
 		MostOpen: split.MaxRequests})
 	if err != nil {
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// Yields reports whether a connection that holds bytes of an incomplete request is closed in favour of a new request
-// of that size, when there is no room for both. It guards against clients that begin hundreds of large requests.
-func Yields(holds, comes int) bool { return holds > comes }
+// Yields reports whether a connection that holds heldBytes of an incomplete request is closed in favour of a request
+// of newBytes, when there is no room for both. It guards against clients that begin hundreds of large requests.
+func Yields(heldBytes, newBytes int) bool { return heldBytes > newBytes }
 
-// Again is the retry delay told to a client that is refused for lack of room.
+// Again is the retry delay given to a client that is refused for lack of room.
 const Again = 500 * time.Millisecond
 
 // Conn is the state of a client connection.
@@ -75,8 +75,8 @@
 	// shortLingerTimeout is for a connection that is being closed, while there is no room: by then its client has
 	// read its answer.
 	shortLingerTimeout = 100 * time.Millisecond
-	keepAliveOccupancy = 0.6  // part of the places in use from which a connection closes after its answer
-	busyOccupancy      = 0.75 // part of the places in use from which shortIdleTimeout applies
+	keepAliveOccupancy = 0.6  // part of the capacity in use from which a connection closes after its answer
+	busyOccupancy      = 0.75 // part of the capacity in use from which shortIdleTimeout applies
 )
 
 // Verdict is the decision about a connection.
@@ -89,8 +89,8 @@
 	Late                 // answer that the request did not arrive in time, then close it
 )
 
-// Judge decides whether a connection stays open while taken of places are in use.
-func Judge(now time.Duration, c Conn, taken, places int) Verdict {
+// Judge decides whether a connection stays open while used of capacity connections exist.
+func Judge(now time.Duration, c Conn, used, capacity int) Verdict {
 	age := now - c.Since
 	switch {
 	case c.Open || c.Ending:
@@ -105,19 +105,19 @@
 		return Stay
 	case !c.Asked && age >= firstRequestTimeout:
 		return Leave
-	case c.Asked && (age >= idleTimeout || age >= shortIdleTimeout && float64(taken) >= busyOccupancy*float64(places)):
+	case c.Asked && (age >= idleTimeout || age >= shortIdleTimeout && float64(used) >= busyOccupancy*float64(capacity)):
 		return Leave
-	case !c.Asked && taken >= places && age >= silentTimeout:
+	case !c.Asked && used >= capacity && age >= silentTimeout:
 		return Leave
 	}
 	return Stay
 }
 
-// Keep reports whether a connection stays open after an answer while taken of places are in use. It guards against
-// clients that send one request and stay connected: they would hold the places of active clients, and detecting them
-// takes longer than opening a new connection. A client that is told with the answer sends nothing more on a
-// connection that closes. The cost is that clients reconnect for each request while places are short.
-func Keep(taken, places int) bool { return float64(taken) < keepAliveOccupancy*float64(places) }
+// Keep reports whether a connection stays open after an answer while used of capacity connections exist. It guards
+// against clients that send one request and stay connected: they would hold the places of active clients, and
+// detecting them takes longer than opening a new connection. A client that is told with the answer sends nothing more
+// on a connection that closes. The cost is that clients reconnect for each request while places are short.
+func Keep(used, capacity int) bool { return float64(used) < keepAliveOccupancy*float64(capacity) }
 
 // Rank orders connections for eviction when a new client connects and Judge frees no place: the highest rank is closed
 // first. may is false for a connection that must not be closed, such as one with an open request. Connections that are
--- a/membership/keeper.go
+++ b/membership/keeper.go
@@ -65,82 +65,82 @@
 )
 
 // Next returns the step for now. The caller must execute it: the Scheduler takes it as done.
-func (k *Scheduler) Next(now time.Duration) Step {
-	wanted := k.fetchAll || !k.watching || k.replace || now >= k.lastReceived+k.timing.SilenceTimeout
+func (s *Scheduler) Next(now time.Duration) Step {
+	wanted := s.fetchAll || !s.watching || s.replace || now >= s.lastReceived+s.timing.SilenceTimeout
 	switch {
-	case k.trial && !wanted:
-		k.trial = false
+	case s.trial && !wanted:
+		s.trial = false
 		return CancelTrial
-	case k.trial && now >= k.trialDeadline:
-		k.TrialFailed(now)
+	case s.trial && now >= s.trialDeadline:
+		s.TrialFailed(now)
 		return TrialTimedOut
-	case k.trial || !wanted || now < k.notBefore:
+	case s.trial || !wanted || now < s.notBefore:
 		return Wait
 	}
-	k.trial, k.trialDeadline = true, now+k.timing.TrialTimeout<<min(max(0, k.failures-extendAfterFailures), maxTrialDoublings)
-	if k.fetchAll {
+	s.trial, s.trialDeadline = true, now+s.timing.TrialTimeout<<min(max(0, s.failures-extendAfterFailures), maxTrialDoublings)
+	if s.fetchAll {
 		return FetchAll
 	}
 	return OpenWatch
 }
 
 // Due returns the time at which Next must be called again at the latest.
-func (k *Scheduler) Due(now time.Duration) time.Duration {
+func (s *Scheduler) Due(now time.Duration) time.Duration {
 	switch {
-	case k.trial:
-		return k.trialDeadline
-	case !k.watching || k.replace || k.fetchAll || now >= k.lastReceived+k.timing.SilenceTimeout:
-		return max(now, k.notBefore)
+	case s.trial:
+		return s.trialDeadline
+	case !s.watching || s.replace || s.fetchAll || now >= s.lastReceived+s.timing.SilenceTimeout:
+		return max(now, s.notBefore)
 	}
-	return max(k.lastReceived+k.timing.SilenceTimeout, k.notBefore)
+	return max(s.lastReceived+s.timing.SilenceTimeout, s.notBefore)
 }
 
 // Received reports bytes on the current watch.
-func (k *Scheduler) Received(now time.Duration) {
-	k.lastReceived = now
-	if now-k.watchingSince > k.timing.SilenceTimeout {
-		k.failures = 0
+func (s *Scheduler) Received(now time.Duration) {
+	s.lastReceived = now
+	if now-s.watchingSince > s.timing.SilenceTimeout {
+		s.failures = 0
 	}
 }
 
 // TrialSucceeded reports the first object on trial. A watch becomes the current one; a request of the whole list is
 // complete.
-func (k *Scheduler) TrialSucceeded(now time.Duration) {
-	k.trial = false
-	if k.fetchAll {
-		k.fetchAll = false
+func (s *Scheduler) TrialSucceeded(now time.Duration) {
+	s.trial = false
+	if s.fetchAll {
+		s.fetchAll = false
 		return
 	}
-	k.watching, k.replace, k.watchingSince, k.lastReceived = true, false, now, now
+	s.watching, s.replace, s.watchingSince, s.lastReceived = true, false, now, now
 }
 
 // TrialFailed reports that the watch on trial has ended without an object.
-func (k *Scheduler) TrialFailed(now time.Duration) {
-	k.trial = false
-	k.backOff(now)
+func (s *Scheduler) TrialFailed(now time.Duration) {
+	s.trial = false
+	s.backOff(now)
 }
 
 // WatchEnded reports that the current watch has ended.
-func (k *Scheduler) WatchEnded(now time.Duration) {
-	k.watching = false
-	if !k.trial {
-		k.backOff(now)
+func (s *Scheduler) WatchEnded(now time.Duration) {
+	s.watching = false
+	if !s.trial {
+		s.backOff(now)
 	}
 }
 
 // backOff delays the next trial, the longer the more have failed in a row. It limits the rate of requests to an agent
 // that ends each watch at once.
-func (k *Scheduler) backOff(now time.Duration) {
-	k.notBefore = now + min(k.timing.MaxRetryDelay, k.timing.MinRetryDelay<<min(k.failures, 10))
-	k.failures++
+func (s *Scheduler) backOff(now time.Duration) {
+	s.notBefore = now + min(s.timing.MaxRetryDelay, s.timing.MinRetryDelay<<min(s.failures, 10))
+	s.failures++
 }
 
 // AddressChanged reports a new address of discovery. The current watch stays until a watch at the new address has
 // sent an object. The caller closes the watch on trial.
-func (k *Scheduler) AddressChanged(now time.Duration) {
-	k.trial, k.replace, k.failures, k.notBefore = false, k.watching, 0, now
+func (s *Scheduler) AddressChanged(now time.Duration) {
+	s.trial, s.replace, s.failures, s.notBefore = false, s.watching, 0, now
 }
 
 // Resync reports that an update does not follow on the list held: the whole list is requested, then a new watch from
 // its revision.
-func (k *Scheduler) Resync() { k.fetchAll, k.replace = true, k.watching }
+func (s *Scheduler) Resync() { s.fetchAll, s.replace = true, s.watching }
