--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -21,16 +21,16 @@
 	"eiderhold/membership"
 )
 
-// hearer is told lists.
-type hearer struct{ lists chan host.List }
+// fakeHost receives node lists.
+type fakeHost struct{ lists chan host.List }
 
-func (h *hearer) List(l host.List) { h.lists <- l }
-func (h *hearer) StartedAt(_ string, wall time.Time) time.Duration {
+func (h *fakeHost) List(l host.List) { h.lists <- l }
+func (h *fakeHost) StartedAt(_ string, wall time.Time) time.Duration {
 	return time.Duration(wall.UnixMilli()) * time.Millisecond
 }
 
-// next is the next list, as its kind and its nodes.
-func (h *hearer) next() string {
+// next returns the next list as text: its kind and its nodes with their states.
+func (h *fakeHost) next() string {
 	l := <-h.lists
 	s := [...]string{"delta", "full", "cached", "failed"}[l.Kind]
 	for _, n := range l.Nodes {
@@ -49,42 +49,42 @@
 	return a
 }
 
-// quick are times at which tests do not wait long, in the proportions of the usual ones.
-var quick = membership.Times{Silence: 250 * time.Millisecond, Try: 60 * time.Millisecond, PauseLow: 2 * time.Millisecond,
-	PauseTop: 25 * time.Millisecond, Start: 150 * time.Millisecond}
+// shortTiming is the default timing scaled down, to keep tests fast.
+var shortTiming = membership.Timing{SilenceTimeout: 250 * time.Millisecond, TrialTimeout: 60 * time.Millisecond, MinRetryDelay: 2 * time.Millisecond,
+	MaxRetryDelay: 25 * time.Millisecond, KnownListDelay: 150 * time.Millisecond}
 
-// follow starts a feed with such times, and with a list known from before; empty: none.
-func follow(t *testing.T, addr string, times membership.Times, known string) (*Feed, *hearer, *standin.Log) {
+// startFeed starts a feed with the given timing and, if not empty, a known list.
+func startFeed(t *testing.T, addr string, timing membership.Timing, known string) (*Feed, *fakeHost, *standin.Log) {
 	t.Helper()
-	h, log := &hearer{make(chan host.List, 100)}, &standin.Log{}
+	h, log := &fakeHost{make(chan host.List, 100)}, &standin.Log{}
 	f := New(addr, h, slog.New(slog.NewTextHandler(log, nil)))
-	f.times = times
+	f.timing = timing
 	if known != "" {
-		if err := f.Start([]byte(known)); err != nil {
+		if err := f.SetKnownList([]byte(known)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over := make(chan bool)
-	go func() { f.Run(ctx); close(over) }()
-	t.Cleanup(func() { cancel(); <-over })
+	stopped := make(chan bool)
+	go func() { f.Run(ctx); close(stopped) }()
+	t.Cleanup(func() { cancel(); <-stopped })
 	return f, h, log
 }
 
 func target(uid, state string) string { return standin.Target(uid, "127.0.0.1:1", 3, state, 0) }
 
-func expect(t *testing.T, h *hearer, want string) {
+func expect(t *testing.T, h *fakeHost, want string) {
 	t.Helper()
 	if got := h.next(); got != want {
-		t.Fatalf("told %q, expected %q", got, want)
+		t.Fatalf("list %q, expected %q", got, want)
 	}
 }
 
-// TestWatch: without a list from before the whole one is asked for, then a watch from there; changes; a cut, after
-// which it goes on from where it was.
+// TestWatch checks that a feed without a known list requests the whole list and then a watch from its revision, that
+// changes are delivered, and that the watch continues from the last revision after the connection is cut.
 func TestWatch(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
-	f, h, _ := follow(t, a.Addr(), membership.Usual, "")
+	f, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, "")
 	w := a.Next()
 	if !w.Whole {
 		t.Fatalf("a watch from %d", w.From)
@@ -105,25 +105,26 @@
 	w.Conn.Close()
 	w = a.Next()
 	if w.From != 42 {
-		t.Fatalf("taken up from %d", w.From)
+		t.Fatalf("the watch continued from %d, expected 42", w.From)
 	}
-	w.Line(standin.List(50, true, target("s-1", "active"))) // the whole list in the place of changes
+	w.Line(standin.List(50, true, target("s-1", "active"))) // the whole list instead of changes
 	expect(t, h, "full s-1=0")
 	if s := f.State(); s.Nodes != 1 || s.Rev != 50 || !s.Watching {
 		t.Fatalf("%+v", s)
 	}
 }
 
-// TestBack: changes of an older version are not taken; the whole list is asked for, and a watch from its version.
-func TestBack(t *testing.T) {
+// TestOlderRevision checks that changes of an older revision are not applied, and that the feed then requests the
+// whole list and a watch from its revision.
+func TestOlderRevision(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
-	_, h, _ := follow(t, a.Addr(), membership.Usual, standin.List(7, true, target("s-1", "active")))
+	_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	w.Line(standin.List(6, false, target("s-1", "left")))
 	again := a.Next()
 	if !again.Whole {
-		t.Fatalf("a watch from %d was asked for, expected the whole list", again.From)
+		t.Fatalf("a watch from %d was requested, expected the whole list", again.From)
 	}
 	again.Line(standin.List(3, true, target("s-9", "active")))
 	expect(t, h, "full s-9=0")
@@ -132,8 +133,9 @@
 	}
 }
 
-// TestForms: lists come indented, several at once, without line ends, and in pieces of any size.
-func TestForms(t *testing.T) {
+// TestFraming checks that lists are read whether they arrive indented, several at once, without line ends, or in
+// pieces of any size.
+func TestFraming(t *testing.T) {
 	indented := "{\n  \"rev\": 8,\n  \"all\": false,\n  \"targets\": [\n    " + target("s-1", "leaving") + "\n  ]\n}\n"
 	for name, send := range map[string]func(standin.Watch){
 		"indented": func(w standin.Watch) { w.Chunk(indented) },
@@ -148,7 +150,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := newAgent(t, "", standin.Greet)
-			_, h, _ := follow(t, a.Addr(), membership.Usual, standin.List(7, true, target("s-1", "active")))
+			_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 			w := a.Next()
 			expect(t, h, "cached s-1=0")
 			send(w)
@@ -159,10 +161,11 @@
 	}
 }
 
-// TestBadEntries: one is named in the log; what cannot be read, or is too long, ends the watch, which goes on anew.
+// TestBadEntries checks that an invalid entry is logged and skipped, and that an object which is malformed or too long
+// ends the watch, which is then opened again.
 func TestBadEntries(t *testing.T) {
 	a := newAgent(t, "", standin.Greet)
-	_, h, log := follow(t, a.Addr(), membership.Usual, standin.List(1, true, target("s-1", "active")))
+	_, h, log := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(1, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	w.Line(standin.List(2, false, target("odd", "asleep"), target("s-2", "active")))
@@ -174,7 +177,7 @@
 	}
 	go func() {
 		w.Chunk(`{"rev":3,"targets":["`)
-		for range objectMost >> 16 {
+		for range maxObjectBytes >> 16 {
 			w.Chunk(strings.Repeat("x", 1<<16))
 		}
 	}()
@@ -184,22 +187,22 @@
 	log.Has("an object of over")
 }
 
-// TestMoves: another address is asked at once; the watch at the former one stays until the one there speaks. Down
-// at the start is no end.
-func TestMoves(t *testing.T) {
+// TestAddressChange checks that a new address is contacted at once, and that the former watch stays open until the new
+// one has sent an object. The feed also survives an agent that is down at the start.
+func TestAddressChange(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
 	ln.Close()
-	f, h, log := follow(t, addr, membership.Usual, standin.List(7, true, target("s-1", "active")))
+	f, h, log := startFeed(t, addr, membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 	log.Has("a connection ended")
 	a := newAgent(t, addr, standin.Greet) // it comes up later
 	former := a.Next()
 	expect(t, h, "cached s-1=0")
 	b := newAgent(t, "", func(w standin.Watch) { w.Head() }) // no object yet
-	f.Follow(b.Addr())
+	f.SetAddress(b.Addr())
 	w := b.Next()
 	if w.From != 7 {
 		t.Fatalf("from %d", w.From)
@@ -209,21 +212,22 @@
 	w.Line(standin.List(9, false, target("s-2", "active")))
 	expect(t, h, "delta s-2=0")
 	if _, err := former.Conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && err == nil {
-		t.Fatal("the former watch is still there")
+		t.Fatal("the former watch is still open")
 	}
 }
 
-// TestSilence: a watch falls silent; whatever the next two tries come to, the third brings what was missed.
-func TestSilence(t *testing.T) {
+// TestSilentWatchReplaced checks that after a watch falls silent and the next two trials fail, in whatever way, the
+// third one delivers the missed change.
+func TestSilentWatchReplaced(t *testing.T) {
 	half := standin.List(8, false, target("s-1", "leaving"))[:30]
 	bad := map[string]func(standin.Watch){
-		"accepts and says nothing": func(standin.Watch) {},
-		"half a head":              func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 200 OK\r\nTrans") },
-		"half an object":           func(w standin.Watch) { w.Head(); w.Chunk(half) },
-		"beats only":               func(w standin.Watch) { w.Head(); w.Line(""); w.Line("") },
-		"refuses":                  func(w standin.Watch) { w.Conn.Close() },
-		"an error":                 func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 503 X\r\n\r\n") },
-		"silent again at once":     standin.Greet,
+		"accepts and sends nothing": func(standin.Watch) {},
+		"half a head":               func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 200 OK\r\nTrans") },
+		"half an object":            func(w standin.Watch) { w.Head(); w.Chunk(half) },
+		"empty lines only":          func(w standin.Watch) { w.Head(); w.Line(""); w.Line("") },
+		"refuses":                   func(w standin.Watch) { w.Conn.Close() },
+		"an error":                  func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 503 X\r\n\r\n") },
+		"silent again at once":      standin.Greet,
 	}
 	for name, first := range bad {
 		t.Run(name, func(t *testing.T) {
@@ -239,33 +243,34 @@
 					w.Line(standin.List(8, false, target("s-1", "leaving")))
 				}
 			})
-			_, h, _ := follow(t, a.Addr(), quick, standin.List(7, true, target("s-1", "active")))
+			_, h, _ := startFeed(t, a.Addr(), shortTiming, standin.List(7, true, target("s-1", "active")))
 			expect(t, h, "cached s-1=0")
 			expect(t, h, "delta s-1=1")
 		})
 	}
 }
 
-// TestSpeaksAgain: while another watch is tried the silent one is kept, and what it says then counts.
-func TestSpeaksAgain(t *testing.T) {
+// TestSilentWatchRecovers checks that a silent watch stays open while others are on trial, and that objects which it
+// sends then are applied.
+func TestSilentWatchRecovers(t *testing.T) {
 	var n atomic.Int32
 	a := newAgent(t, "", func(w standin.Watch) {
 		if n.Add(1) == 1 {
 			standin.Greet(w)
 		}
 	})
-	_, h, _ := follow(t, a.Addr(), quick, standin.List(7, true, target("s-1", "active")))
+	_, h, _ := startFeed(t, a.Addr(), shortTiming, standin.List(7, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	a.Next()
-	a.Next() // the first try has been given up
+	a.Next() // the first trial has timed out
 	w.Line(standin.List(8, false, target("s-1", "leaving")))
 	expect(t, h, "delta s-1=1")
 }
 
-// TestKnown: what was known from before is told with the agent's first word, with what changed since; not at all
-// if that is the whole list; and after a while if the agent says nothing. One that cannot be read is an error.
-func TestKnown(t *testing.T) {
+// TestKnownList checks when the known list is delivered: before the agent's first changes, or empty object; not at
+// all if it is the whole list, and after KnownListDelay if the agent sends nothing. A malformed list is an error.
+func TestKnownList(t *testing.T) {
 	known := standin.List(5, true, target("s-1", "active"), target("s-2", "active"))
 	for _, c := range []struct {
 		name  string
@@ -281,11 +286,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			a := newAgent(t, "", c.greet)
-			times := quick
+			timing := shortTiming
 			if c.name != "says nothing" {
-				times.Start = time.Hour // only the agent's word brings it
+				timing.KnownListDelay = time.Hour // only an object of the agent delivers the list
 			}
-			_, h, _ := follow(t, a.Addr(), times, known)
+			_, h, _ := startFeed(t, a.Addr(), timing, known)
 			if w := a.Next(); w.From != 5 {
 				t.Fatalf("from %d", w.From)
 			}
@@ -294,29 +299,29 @@
 			}
 		})
 	}
-	if err := New("127.0.0.1:1", &hearer{}, slog.New(slog.DiscardHandler)).Start([]byte("[")); err == nil {
-		t.Fatal("taken")
+	if err := New("127.0.0.1:1", &fakeHost{}, slog.New(slog.DiscardHandler)).SetKnownList([]byte("[")); err == nil {
+		t.Fatal("a malformed list was accepted")
 	}
 }
 
-// read is what a feed takes of an answer.
-func read(r io.Reader) (updates []membership.Update) {
-	b := &body{conn: r, heard: func() error { return nil }}
-	if b.head() == nil {
-		_ = objects(b, func(u membership.Update) error { updates = append(updates, u); return nil })
+// readUpdates returns the updates that a feed reads from a response.
+func readUpdates(r io.Reader) (updates []membership.Update) {
+	b := &responseBody{conn: r, onRead: func() error { return nil }}
+	if b.readHead() == nil {
+		_ = readObjects(b, func(u membership.Update) error { updates = append(updates, u); return nil })
 	}
 	return updates
 }
 
-// FuzzWatch holds of any answer: no panic, and the same is read of it in whatever pieces it comes.
+// FuzzWatch checks that no response causes a panic, and that the updates read do not depend on how it is split.
 func FuzzWatch(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\n\r\n" + standin.List(1, true, target("s-1", "active")) + "\n{\n}"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n{}{}"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		whole, pieces := read(bytes.NewReader(b)), read(iotest.OneByteReader(bytes.NewReader(b)))
+		whole, pieces := readUpdates(bytes.NewReader(b)), readUpdates(iotest.OneByteReader(bytes.NewReader(b)))
 		if !reflect.DeepEqual(whole, pieces) {
-			t.Fatalf("%+v of the whole, %+v of pieces", whole, pieces)
+			t.Fatalf("%+v read at once, %+v read byte by byte", whole, pieces)
 		}
 	})
 }
