--- a/cmd/eiderhold/moves.go
+++ b/cmd/eiderhold/moves.go
@@ -63,7 +63,7 @@
 					Undone int `json:"undone"`
 				}{s, undone})
 			} else if s.Moves == 0 {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", s.Plan.Why)
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", s.Plan.Reason)
 			} else {
 				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", s.Moves, len(s.Plan.Moves))
 			}
--- a/cmd/eiderhold/serve.go
+++ b/cmd/eiderhold/serve.go
@@ -116,8 +116,8 @@
 // logStats writes the counts since the start as one line; microseconds.
 func logStats(log *slog.Logger, g *gateway.Gateway) {
 	h, f, b, c := g.Host().Stats(), g.Front().Stats(), g.Backend().Stats(), g.Catalogue().Stats()
-	times := func(name string, t host.Times) slog.Attr {
-		return slog.Group(name, "p50", t.At(50).Microseconds(), "p99", t.At(99).Microseconds(), "p999", t.At(99.9).Microseconds())
+	times := func(name string, t host.Histogram) slog.Attr {
+		return slog.Group(name, "p50", t.Percentile(50).Microseconds(), "p99", t.Percentile(99).Microseconds(), "p999", t.Percentile(99.9).Microseconds())
 	}
 	results := make([]any, 0, 16)
 	for r, n := range h.Results {
@@ -129,14 +129,14 @@
 	log.Info("stats",
 		slog.Group("memory", "heap", mem.HeapAlloc, "allocated", mem.TotalAlloc, "from_system", mem.Sys),
 		slog.Group("host", "requests", h.Requests, "served", h.Answers[host.Served], "refused", h.Answers[host.Refused],
-			"failed", h.Answers[host.Failed], "attempts", h.Attempts, "open", h.Open, "out", h.Out, "turns", h.Turns,
-			"full", h.Full, "placed", h.Placed, "late", h.Late, "left", h.Left, "defects", h.Defects, slog.Group("results", results...),
+			"failed", h.Answers[host.Failed], "attempts", h.Attempts, "open", h.Open, "out", h.InFlight, "turns", h.Turns,
+			"full", h.RefusedAtLimit, "placed", h.Placed, "late", h.LateOutcomes, "left", h.ClientsGone, "defects", h.Defects, slog.Group("results", results...),
 			times("mailbox", h.Mailbox), times("decide", h.Decide), times("outcome", h.Outcome)),
 		slog.Group("rsync", "conns", f.Conns, "active", f.Active, "accepted", f.Accepted, "turned_away", f.TurnedAway,
 			"transfers", f.Transfers, "served", f.Served, "refused", f.Refused, "failed", f.Failed, "files_left_out", f.FilesLeftOut,
 			"shed", f.Shed, "paused", f.Paused, "corrupt", f.Corrupt, "buffered", f.Budget, times("deliver", f.Deliver)),
 		slog.Group("nodes", "conns", b.Conns, "dials", b.Dials, "dials_failed", b.DialsFailed, "frames", b.Frames,
-			"unwanted", b.Unwanted, "broken", b.Broken),
+			"unwanted", b.Unmatched, "broken", b.ProtocolErrors),
 		slog.Group("shares", "version", k.Version, "trusted_until", k.Until, "taken", k.Taken, "refused", k.Refused, "err", k.Err),
 		slog.Group("catalogue", "commits", c.Commits, "changes", c.Changes, "errors", c.Errors))
 }
--- a/cmd/eiderhold/shares.go
+++ b/cmd/eiderhold/shares.go
@@ -131,18 +131,18 @@
 		ctx, cancel = context.WithTimeout(ctx, f.within)
 		defer cancel()
 	}
-	var found *shares.Found
+	var found *shares.SearchResult
 	var left []string
 	var gap trail
 	switch {
 	case f.plain != "":
-		way, werr := shares.Plain(f.plain)
+		way, werr := shares.Baseline(f.plain)
 		if werr != nil {
 			return fmt.Errorf("--plain %w", werr)
 		}
 		var a *shares.Answer
 		if a, err = way(p); a != nil {
-			found = &shares.Found{Answer: a, Bound: shares.Bound(p)}
+			found = &shares.SearchResult{Answer: a, Bound: shares.Bound(p)}
 		}
 	case f.relax:
 		steps := f.steps
@@ -156,7 +156,7 @@
 		found, gap, err = f.search(ctx, p)
 	}
 	if found == nil {
-		if errors.Is(err, shares.ErrNone) || errors.Is(err, shares.ErrNotFound) {
+		if errors.Is(err, shares.ErrInfeasible) || errors.Is(err, shares.ErrNotFound) {
 			err = errors.Join(showConflict(cmd.OutOrStdout(), file, p, f.exact, f.steps, f.output), err)
 		}
 		return short{err}
@@ -172,7 +172,7 @@
 	return f.save.write(cmd, p, found)
 }
 
-func (f *solveFlags) solveExactly(ctx context.Context, cmd *cobra.Command, p *shares.Problem) (*shares.Found, error) {
+func (f *solveFlags) solveExactly(ctx context.Context, cmd *cobra.Command, p *shares.Problem) (*shares.SearchResult, error) {
 	if !cmd.Flags().Changed("steps") {
 		f.steps = 0
 	}
@@ -180,7 +180,7 @@
 	if a == nil {
 		return nil, err
 	}
-	found := &shares.Found{Answer: a, Bound: a.Value}
+	found := &shares.SearchResult{Answer: a, Bound: a.Value}
 	if err != nil { // out of steps: nothing is proven
 		found.Bound = shares.Bound(p)
 	}
@@ -196,7 +196,7 @@
 const portion = 500 // steps between two looks at the clock
 
 // search runs a search until its steps are used up or ctx ends, telling how it goes.
-func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.Found, trail, error) {
+func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.SearchResult, trail, error) {
 	began := time.Now()
 	var t trail
 	s, err := shares.NewSolver(p, f.seed)
@@ -238,13 +238,13 @@
 				return err
 			}
 			a, err := shares.Evaluate(p, placement)
-			if errors.As(err, new(*shares.Infeasible)) {
+			if errors.As(err, new(*shares.InfeasibleError)) {
 				return short{err}
 			}
 			if err != nil {
 				return err
 			}
-			return showAnswer(cmd.OutOrStdout(), p, &shares.Found{Answer: a, Bound: shares.Bound(p)}, nil, output)
+			return showAnswer(cmd.OutOrStdout(), p, &shares.SearchResult{Answer: a, Bound: shares.Bound(p)}, nil, output)
 		},
 	}
 	c.Flags().StringVar(&output, "output", "text", "text or json")
@@ -312,7 +312,7 @@
 }
 
 // showAnswer prints an answer with its bound, and what was left out.
-func showAnswer(w io.Writer, p *shares.Problem, a *shares.Found, left []string, output string) error {
+func showAnswer(w io.Writer, p *shares.Problem, a *shares.SearchResult, left []string, output string) error {
 	if output == "json" {
 		byVolume := map[string]map[string]int64{}
 		for _, x := range a.Parts {
--- a/cmd/eiderhold/shares_gather.go
+++ b/cmd/eiderhold/shares_gather.go
@@ -50,7 +50,7 @@
 				}
 				all = r
 			}
-			demands, err := forecast.Demands(all, quantile, halfLife)
+			demands, err := forecast.EstimateDemands(all, quantile, halfLife)
 			if err != nil {
 				return err
 			}
@@ -76,7 +76,7 @@
 			fmt.Fprintln(t, "volume\tdemand\tmean\tpeak\tgateways\tdays")
 			for _, v := range slices.Sorted(maps.Keys(demands)) {
 				d := demands[v]
-				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.2f\n", v, d.Milli, d.Mean, d.Peak, d.Gateways, d.Days)
+				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.2f\n", v, d.AtQuantile, d.Mean, d.Peak, d.Gateways, d.Days)
 			}
 			return t.Flush()
 		},
@@ -97,7 +97,7 @@
 	}
 	for i := range p.Volumes {
 		if d, ok := demands[p.Volumes[i].ID]; ok {
-			p.Volumes[i].Demand = min(d.Milli, shares.MostFlow)
+			p.Volumes[i].Demand = min(d.AtQuantile, shares.MaxFlow)
 		}
 	}
 	b, err := problemText(p)
@@ -121,7 +121,7 @@
 }
 
 func sharesGenerate() *cobra.Command {
-	d := shares.Draw{}
+	d := shares.GenerateOptions{}
 	c := &cobra.Command{
 		Use:     "generate",
 		Short:   "Draw a problem, to try the solver on",
@@ -146,7 +146,7 @@
 	c.Flags().Uint64Var(&d.Seed, "seed", 1, "of what is drawn")
 	c.Flags().Float64Var(&d.Skew, "skew", 0.7, "exponent of demands by rank (Zipf); 0: all alike")
 	c.Flags().Float64Var(&d.Load, "load", 0.8, "demand over all that is usable")
-	c.Flags().Int64Var(&d.Unequal, "unequal", 4, "capacity of the largest node over that of the least")
+	c.Flags().Int64Var(&d.MaxCapacityRatio, "unequal", 4, "capacity of the largest node over that of the least")
 	c.Flags().IntVar(&d.Spread, "spread", 2, "nodes that a volume lies on, at most")
 	c.Flags().BoolVar(&d.Costs, "costs", false, "nodes of one zone cost something")
 	c.Flags().BoolVar(&d.Placed, "placed", false, "volumes lie somewhere now, at random")
--- a/cmd/eiderhold/shares_solution.go
+++ b/cmd/eiderhold/shares_solution.go
@@ -35,7 +35,7 @@
 }
 
 // write saves an answer as a solution, whole or not at all.
-func (f *saveFlags) write(cmd *cobra.Command, p *shares.Problem, found *shares.Found) error {
+func (f *saveFlags) write(cmd *cobra.Command, p *shares.Problem, found *shares.SearchResult) error {
 	if f.file == "" {
 		return nil
 	}
@@ -125,7 +125,7 @@
 				if err != nil {
 					return err
 				}
-				p = shares.Now(p, placement)
+				p = shares.WithPlacement(p, placement)
 			}
 			for state, ids := range map[string][]string{"gone": lost, "draining": drain} {
 				for _, id := range ids {
@@ -134,7 +134,7 @@
 					}
 				}
 			}
-			found, plan, err := shares.Migrate(p, shares.Again{Seed: seed, Steps: steps, MostMoves: moves}, perNode)
+			found, plan, err := shares.Migrate(p, shares.ResolveOptions{Seed: seed, Steps: steps, MaxMoves: moves}, perNode)
 			if err != nil {
 				return short{err}
 			}
@@ -180,7 +180,7 @@
 
 const wavesShown = 20 // moves of a wave
 
-func showSchedule(cmd *cobra.Command, p *shares.Problem, found *shares.Found, plan *shares.Schedule, output string) error {
+func showSchedule(cmd *cobra.Command, p *shares.Problem, found *shares.SearchResult, plan *shares.Schedule, output string) error {
 	w := cmd.OutOrStdout()
 	if output == "json" {
 		return printJSON(w, map[string]any{"value": found.Value, "bound": found.Bound, "placement": found.Placement,
@@ -252,10 +252,10 @@
 				switch {
 				case x.Why != "":
 					fmt.Fprintf(t, "%s\t-\tcannot: %s\n", x.Node, x.Why)
-				case x.Instead == "":
+				case x.Replaces == "":
 					fmt.Fprintf(t, "%s\tit is there\t0\n", x.Node)
 				default:
-					fmt.Fprintf(t, "%s\t%s\t%v\n", x.Node, x.Instead, x.Change)
+					fmt.Fprintf(t, "%s\t%s\t%v\n", x.Node, x.Replaces, x.Change)
 				}
 			}
 			return t.Flush()
@@ -315,7 +315,7 @@
 				if x.Weights[0] != x.Weights[1] {
 					weight = fmt.Sprintf("%d -> %d", x.Weights[0], x.Weights[1])
 				}
-				fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", x.Volume, strings.Join(x.Came, " "), strings.Join(x.Went, " "), x.Before, x.After, weight)
+				fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%s\n", x.Volume, strings.Join(x.NodesAdded, " "), strings.Join(x.NodesRemoved, " "), x.Before, x.After, weight)
 			}
 			t.Flush()
 			_, err = fmt.Fprintf(w, "%d volumes differ, %d moves\n", len(d.Changed), d.Moves)
@@ -328,7 +328,7 @@
 
 // drawCharts writes load by node before and after, worth by plan and, of a search, the gap
 // over time.
-func drawCharts(dir string, p *shares.Problem, found *shares.Found, t trail) error {
+func drawCharts(dir string, p *shares.Problem, found *shares.SearchResult, t trail) error {
 	nodes := append([]shares.Node(nil), p.Nodes...)
 	sort.Slice(nodes, func(i, j int) bool { return nodes[i].ID < nodes[j].ID })
 	at := map[string]int{}
--- a/cmd/eiderhold/shares_test.go
+++ b/cmd/eiderhold/shares_test.go
@@ -159,7 +159,7 @@
 	dir := t.TempDir()
 	var files []string
 	for _, g := range []string{"g", "h", "g"} { // one comes twice
-		b, err := forecast.NewBook(forecast.Settings{Gateway: g, Slot: time.Minute, Days: 2, Most: 10}, nil)
+		b, err := forecast.NewRecorder(forecast.Settings{Gateway: g, Slot: time.Minute, Days: 2, MaxVolumes: 10}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -193,7 +193,7 @@
 		t.Fatal(err)
 	}
 	for _, v := range p.Volumes {
-		if v.ID == "v1" && (v.Demand < 19_000 || v.Demand > 21_000 || v.Demand != demands["v1"].Milli) || v.ID == "v2" && v.Demand != 5800 {
+		if v.ID == "v1" && (v.Demand < 19_000 || v.Demand > 21_000 || v.Demand != demands["v1"].AtQuantile) || v.ID == "v2" && v.Demand != 5800 {
 			t.Errorf("planned for: %+v", v)
 		}
 	}
--- a/cmd/eiderhold/space.go
+++ b/cmd/eiderhold/space.go
@@ -93,10 +93,10 @@
 
 func (f *planFlags) add(c *cobra.Command) {
 	f.set = rebalance.Default
-	c.Flags().Float64Var(&f.set.Least, "least", f.set.Least, "difference in the part used for which a byte is worth moving")
-	c.Flags().IntVar(&f.set.Moves, "moves", f.set.Moves, "most moves of the plan")
-	c.Flags().IntVar(&f.set.PerNode, "at-once", f.set.PerNode, "moves that one shard takes part in at a time")
-	c.Flags().StringVar(&f.rate, "rate", humanize.IBytes(uint64(f.set.Rate)), "bytes a second that one shard gives or takes, for the time that is told")
+	c.Flags().Float64Var(&f.set.MinDifference, "least", f.set.MinDifference, "difference in the part used for which a byte is worth moving")
+	c.Flags().IntVar(&f.set.MaxMoves, "moves", f.set.MaxMoves, "most moves of the plan")
+	c.Flags().IntVar(&f.set.MaxMovesPerShard, "at-once", f.set.MaxMovesPerShard, "moves that one shard takes part in at a time")
+	c.Flags().StringVar(&f.rate, "rate", humanize.IBytes(uint64(f.set.BytesPerSecond)), "bytes a second that one shard gives or takes, for the time that is told")
 }
 
 func (f *planFlags) check() error {
@@ -104,7 +104,7 @@
 	if err != nil || bytes > math.MaxInt64 {
 		return fmt.Errorf("--rate %q: bytes a second, as 16MiB", f.rate)
 	}
-	f.set.Rate = int64(bytes)
+	f.set.BytesPerSecond = int64(bytes)
 	return f.set.Check()
 }
 
@@ -155,9 +155,9 @@
 func planChart(file string, p *rebalance.Plan) error {
 	var names []string
 	before, after := chart.Series{Name: "before"}, chart.Series{Name: "after"}
-	for _, s := range slices.Sorted(maps.Keys(p.Parts)) {
+	for _, s := range slices.Sorted(maps.Keys(p.Usage)) {
 		names = append(names, fmt.Sprint(s))
-		before.Y, after.Y = append(before.Y, 100*p.Parts[s].Before), append(after.Y, 100*p.Parts[s].After)
+		before.Y, after.Y = append(before.Y, 100*p.Usage[s].Before), append(after.Y, 100*p.Usage[s].After)
 	}
 	return chart.Bars(file, "Shards before and after", "percent used", names, before, after)
 }
@@ -168,8 +168,8 @@
 func printPlan(w io.Writer, p *rebalance.Plan) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "shard\tbefore\tafter")
-	for _, s := range slices.Sorted(maps.Keys(p.Parts)) {
-		fmt.Fprintf(t, "%d\t%.1f%%\t%.1f%%\n", s, 100*p.Parts[s].Before, 100*p.Parts[s].After)
+	for _, s := range slices.Sorted(maps.Keys(p.Usage)) {
+		fmt.Fprintf(t, "%d\t%.1f%%\t%.1f%%\n", s, 100*p.Usage[s].Before, 100*p.Usage[s].After)
 	}
 	if len(p.Moves) > 0 {
 		fmt.Fprintln(t, "\nwave\tmodule\tfile version\textents\tbytes\tfrom\tto")
@@ -179,7 +179,7 @@
 		for _, m := range wave {
 			if shown++; shown <= movesShown {
 				x := &p.Moves[m]
-				fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\t%d\t%d\n", i+1, x.Volume, x.Base, x.Parts, humanize.IBytes(uint64(x.Bytes)), x.Shard, x.To)
+				fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\t%d\t%d\n", i+1, x.Volume, x.Base, x.Extents, humanize.IBytes(uint64(x.Bytes)), x.Shard, x.To)
 			}
 		}
 	}
@@ -190,9 +190,9 @@
 		fmt.Fprintf(w, "... and %d more (--output json has all)\n", shown-movesShown)
 	}
 	fmt.Fprintf(w, "\n%d moves in %d waves, %s, about %v at the rate; it ends there since %s\n", len(p.Moves), len(p.Waves),
-		humanize.IBytes(uint64(p.Bytes)), p.Takes.Round(time.Second), p.Why)
-	fmt.Fprintf(w, "fullest %.1f%% to %.1f%%, emptiest %.1f%% to %.1f%%, coefficient of variation %.3f to %.3f\n", 100*p.Before.Most,
-		100*p.After.Most, 100*p.Before.Least, 100*p.After.Least, p.Before.Varies, p.After.Varies)
+		humanize.IBytes(uint64(p.Bytes)), p.EstimatedDuration.Round(time.Second), p.Reason)
+	fmt.Fprintf(w, "fullest %.1f%% to %.1f%%, emptiest %.1f%% to %.1f%%, coefficient of variation %.3f to %.3f\n", 100*p.Before.Max,
+		100*p.After.Max, 100*p.Before.Min, 100*p.After.Min, p.Before.Variation, p.After.Variation)
 	return nil
 }
 
--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -77,7 +77,7 @@
 // start creates an instance with a new controller. It replaces a running instance of the same name.
 func (h *host) start(m wire.Message) {
 	h.stop(m.Instance)
-	settings, err := wire.Settings(m.Settings)
+	settings, err := wire.ParseSettings(m.Settings)
 	var c *control.Controller
 	if err == nil {
 		c, err = control.New(settings, m.Seed)
--- a/connpool/connpool.go
+++ b/connpool/connpool.go
@@ -27,20 +27,20 @@
 
 // Settings bound the pool.
 type Settings struct {
-	Total int           // maximum number of connections, including those being opened
-	Idle  time.Duration // after which nodes close an idle connection; 0: never
+	MaxConnections int           // maximum number of connections, including those being opened
+	IdleTimeout    time.Duration // after which nodes close an idle connection; 0: never
 }
 
 // Verdict is the decision for an attempt.
-type Verdict int
+type Decision int
 
 // The verdicts.
 const (
-	Use    Verdict = iota // the returned connection carries the attempt
-	Open                  // open a connection; the attempt waits
-	Evict                 // close the returned idle connection and open one in its place; the attempt waits
-	Resume                // a connection that rests or is being opened will carry it, see Due; the attempt waits
-	Wait                  // the maximum is reached and no connection can be evicted: the attempt waits for a connection
+	Use         Decision = iota // the returned connection carries the attempt
+	Open                        // open a connection; the attempt waits
+	Evict                       // close the returned idle connection and open one in its place; the attempt waits
+	WaitForIdle                 // a connection that rests or is being opened will carry it, see Due; the attempt waits
+	Wait                        // the maximum is reached and no connection can be evicted: the attempt waits for a connection
 )
 
 // Pool tracks the connections of all nodes. C identifies a connection.
@@ -64,7 +64,7 @@
 }
 
 // Excess reports that bytes arrived on a connection without a request in flight.
-func (p *Pool[C]) Excess(now time.Duration) { p.longDelayUntil = now + longDelayDuration }
+func (p *Pool[C]) UnexpectedBytes(now time.Duration) { p.longDelayUntil = now + longDelayDuration }
 
 // readyAt returns the time from which an idle connection may carry a request.
 func (p *Pool[C]) readyAt(i idleConn[C]) time.Duration {
@@ -79,7 +79,7 @@
 
 // New returns an empty pool.
 func New[C comparable](settings Settings) *Pool[C] {
-	settings.Total = max(1, settings.Total)
+	settings.MaxConnections = max(1, settings.MaxConnections)
 	return &Pool[C]{settings: settings, nodes: map[string]*nodeConns[C]{}}
 }
 
@@ -106,7 +106,7 @@
 // Take decides on a connection for an attempt at a node; waiting is the number of attempts already waiting there. The
 // connection that has idled least is used first, so that surplus connections reach the idle timeout. After Open and
 // Evict the pool counts the connection that the caller opens.
-func (p *Pool[C]) Take(now time.Duration, id string, waiting int) (c C, v Verdict) {
+func (p *Pool[C]) Take(now time.Duration, id string, waiting int) (c C, v Decision) {
 	n := p.node(id)
 	for i := len(n.idle) - 1; i >= 0; i-- {
 		if now >= p.readyAt(n.idle[i]) {
@@ -118,8 +118,8 @@
 	}
 	switch {
 	case len(n.idle)+n.opening > waiting: // there will be a connection for each waiting attempt and this one
-		return c, Resume
-	case p.total < p.settings.Total:
+		return c, WaitForIdle
+	case p.total < p.settings.MaxConnections:
 		n.opening++
 		p.total++
 		return c, Open
@@ -169,21 +169,21 @@
 }
 
 // Done reports that a connection's request has ended and that the connection may be reused.
-func (p *Pool[C]) Done(now time.Duration, id string, c C) {
+func (p *Pool[C]) Released(now time.Duration, id string, c C) {
 	n := p.node(id)
 	n.busy--
 	n.idle = append(n.idle, idleConn[C]{c, now, false})
 }
 
 // Ended reports that a connection with a request in flight has been closed.
-func (p *Pool[C]) Ended(id string) {
+func (p *Pool[C]) BusyClosed(id string) {
 	p.node(id).busy--
 	p.total--
 	p.removeEmpty(id)
 }
 
 // Lost reports that an idle connection has been closed. It returns false if the connection is not idle in the pool.
-func (p *Pool[C]) Lost(id string, c C) bool {
+func (p *Pool[C]) IdleClosed(id string, c C) bool {
 	n := p.node(id)
 	i := slices.IndexFunc(n.idle, func(x idleConn[C]) bool { return x.conn == c })
 	if i < 0 {
@@ -208,8 +208,8 @@
 
 // Old removes and returns the connections that have idled too long, and all idle ones of nodes that are no longer
 // wanted.
-func (p *Pool[C]) Old(now time.Duration, wanted func(id string) bool) (old []C) {
-	limit := time.Duration(idleFraction * float64(p.settings.Idle))
+func (p *Pool[C]) RemoveExpired(now time.Duration, wanted func(id string) bool) (old []C) {
+	limit := time.Duration(idleFraction * float64(p.settings.IdleTimeout))
 	for id, n := range p.nodes {
 		keep := wanted(id)
 		n.idle = slices.DeleteFunc(n.idle, func(i idleConn[C]) bool {
--- a/connpool/connpool_test.go
+++ b/connpool/connpool_test.go
@@ -13,8 +13,8 @@
 // TestReuseDelay checks that a connection is not reused right after an answer, that a second attempt meanwhile opens
 // another, that a third waits while connections for both are on their way, and that Excess extends the delay.
 func TestReuseDelay(t *testing.T) {
-	p := New[int](Settings{Total: 10, Idle: time.Second})
-	expect := func(now time.Duration, waiting int, conn int, want Verdict) {
+	p := New[int](Settings{MaxConnections: 10, IdleTimeout: time.Second})
+	expect := func(now time.Duration, waiting int, conn int, want Decision) {
 		t.Helper()
 		if c, v := p.Take(now, "n", waiting); v != want || c != conn {
 			t.Fatalf("at %v: connection %d, verdict %d; expected %d, %d", now, c, v, conn, want)
@@ -23,26 +23,26 @@
 	expect(0, 0, 0, Open)
 	p.Opened(1*ms, "n", 1)
 	expect(1*ms, 0, 1, Use) // a new connection need not rest
-	p.Done(2*ms, "n", 1)
-	expect(2*ms, 0, 0, Resume)
+	p.Released(2*ms, "n", 1)
+	expect(2*ms, 0, 0, WaitForIdle)
 	expect(2*ms, 1, 0, Open)
-	expect(2*ms, 1, 0, Resume)
+	expect(2*ms, 1, 0, WaitForIdle)
 	if at, ok := p.Due("n"); !ok || at != 2*ms+reuseDelay {
 		t.Fatalf("due at %v, %v", at, ok)
 	}
 	expect(2*ms+reuseDelay, 0, 1, Use)
-	p.Excess(3 * ms) // excess bytes arrived
-	p.Done(4*ms, "n", 1)
-	expect(4*ms+reuseDelay, 0, 0, Resume)
+	p.UnexpectedBytes(3 * ms) // excess bytes arrived
+	p.Released(4*ms, "n", 1)
+	expect(4*ms+reuseDelay, 0, 0, WaitForIdle)
 	expect(4*ms+longReuseDelay, 0, 1, Use)
-	p.Done(3*ms+longDelayDuration, "n", 1)
+	p.Released(3*ms+longDelayDuration, "n", 1)
 	expect(3*ms+longDelayDuration+reuseDelay, 0, 1, Use)
 }
 
 // TestMostRecentlyUsedFirst checks that the connection that has idled least is used, and that the others are closed
 // before the node's idle timeout.
 func TestMostRecentlyUsedFirst(t *testing.T) {
-	p := New[int](Settings{Total: 10, Idle: time.Second})
+	p := New[int](Settings{MaxConnections: 10, IdleTimeout: time.Second})
 	for i := 1; i <= 3; i++ {
 		p.Take(0, "n", i-1)
 	}
@@ -52,15 +52,15 @@
 	if c, v := p.Take(10*ms, "n", 0); c != 3 || v != Use {
 		t.Fatalf("connection %d, verdict %d", c, v)
 	}
-	p.Done(900*ms, "n", 3)
+	p.Released(900*ms, "n", 3)
 	wanted := func(string) bool { return true }
-	if old := p.Old(699*ms, wanted); len(old) != 0 {
+	if old := p.RemoveExpired(699*ms, wanted); len(old) != 0 {
 		t.Fatalf("%v were removed before the idle timeout", old)
 	}
-	if old := p.Old(702*ms, wanted); len(old) != 2 || old[0] != 1 || old[1] != 2 {
+	if old := p.RemoveExpired(702*ms, wanted); len(old) != 2 || old[0] != 1 || old[1] != 2 {
 		t.Fatalf("old: %v, expected 1 and 2", old)
 	}
-	if old := p.Old(902*ms, func(string) bool { return false }); len(old) != 1 || p.Total() != 0 {
+	if old := p.RemoveExpired(902*ms, func(string) bool { return false }); len(old) != 1 || p.Total() != 0 {
 		t.Fatalf("removed of an unwanted node: %v, %d connections left", old, p.Total())
 	}
 }
@@ -68,7 +68,7 @@
 // TestMaxConnections checks that at the maximum the connection that has idled longest at another node is evicted, and
 // that the attempt waits if there is none.
 func TestMaxConnections(t *testing.T) {
-	p := New[int](Settings{Total: 2})
+	p := New[int](Settings{MaxConnections: 2})
 	p.Take(0, "a", 0)
 	p.Opened(1*ms, "a", 1)
 	p.Take(0, "b", 0)
@@ -93,7 +93,7 @@
 func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 6).Draw(t, "total")
-		p := New[int](Settings{Total: total, Idle: 100 * ms})
+		p := New[int](Settings{MaxConnections: total, IdleTimeout: 100 * ms})
 		type connState struct {
 			node string
 			busy bool
@@ -135,17 +135,17 @@
 				for c := 1; c <= next; c++ {
 					if w, ok := conns[c]; ok && w.busy {
 						if rapid.Bool().Draw(t, "again") {
-							p.Done(now, w.node, c)
+							p.Released(now, w.node, c)
 							conns[c] = connState{w.node, false}
 						} else {
-							p.Ended(w.node)
+							p.BusyClosed(w.node)
 							delete(conns, c)
 						}
 						break
 					}
 				}
 			case 4:
-				for _, c := range p.Old(now, func(n string) bool { return n != id }) {
+				for _, c := range p.RemoveExpired(now, func(n string) bool { return n != id }) {
 					if conns[c].busy {
 						t.Fatalf("connection %d was removed as idle while in use", c)
 					}
@@ -158,8 +158,8 @@
 		}
 		for c, w := range conns {
 			if w.busy {
-				p.Ended(w.node)
-			} else if !p.Lost(w.node, c) {
+				p.BusyClosed(w.node)
+			} else if !p.IdleClosed(w.node, c) {
 				t.Fatalf("connection %d of %+v is not idle", c, w)
 			}
 		}
@@ -175,7 +175,7 @@
 // TestNodeTurnover checks that 100,000 nodes which appear and disappear, each with its own connections, leave no state
 // behind.
 func TestNodeTurnover(t *testing.T) {
-	p := New[int](Settings{Total: 50, Idle: time.Second})
+	p := New[int](Settings{MaxConnections: 50, IdleTimeout: time.Second})
 	now, next := time.Duration(0), 0
 	for i := range 100_000 {
 		now += 10 * ms
@@ -188,8 +188,8 @@
 		if c, v := p.Take(now, id, 0); v != Use || c != next {
 			t.Fatalf("node %d: connection %d, verdict %d", i, c, v)
 		}
-		p.Done(now, id, next)
-		p.Old(now, func(other string) bool { return other != fmt.Sprint("n", i-20) }) // replaced
+		p.Released(now, id, next)
+		p.RemoveExpired(now, func(other string) bool { return other != fmt.Sprint("n", i-20) }) // replaced
 		if len(p.nodes) > 25 || p.Total() > 25 {
 			t.Fatalf("node %d: %d nodes, %d connections", i, len(p.nodes), p.Total())
 		}
--- a/control/api.go
+++ b/control/api.go
@@ -69,7 +69,7 @@
 	Plans   []Plan
 
 	MeanUnits  float64 // mean units of a request
-	MostUnits  float64 // most units of a request
+	MaxUnits   float64 // most units of a request
 	ShareWorth float64 // part of the worth that units beyond the reserve, within the share, earn
 	SpareWorth float64 // part of the worth that units beyond both earn
 	MeterSpan  time.Duration
@@ -84,20 +84,20 @@
 
 	DrainGrace time.Duration
 
-	ColdFor      time.Duration // time after its start at which a node is warm
-	ColdCapacity float64       // part of its capacity with which a node starts
-	FallMultiple float64       // a cold node fails under more than this multiple of its current capacity ...
-	FallSpan     time.Duration // ... during this time
-	ColdBears    float64       // units within FallSpan that a cold node withstands in any case
+	WarmupDuration       time.Duration // time after its start at which a node is warm
+	ColdCapacityFraction float64       // part of its capacity with which a node starts
+	OverloadMultiple     float64       // a cold node fails under more than this multiple of its current capacity ...
+	OverloadSpan         time.Duration // ... during this time
+	ColdMinUnits         float64       // units within FallSpan that a cold node withstands in any case
 
-	ExtraFree  float64       // retries allowed within ExtraSpan regardless of the requests
-	ExtraShare float64       // retries allowed for each request accepted within ExtraSpan
-	ExtraSpan  time.Duration // span of the retry budget; 0: no budget
+	RetryBudgetBase  float64       // retries allowed within ExtraSpan regardless of the requests
+	RetryBudgetRatio float64       // retries allowed for each request accepted within ExtraSpan
+	RetryBudgetSpan  time.Duration // span of the retry budget; 0: no budget
 
-	OrderRest time.Duration // pause of an item after an attempt that may still be running
+	OrderPause time.Duration // pause of an item after an attempt that may still be running
 
-	ListOnRequest bool          // the node list is sent only on request
-	AskWithin     time.Duration // longest time without a request to the list service
+	ListOnRequest          bool          // the node list is sent only on request
+	MaxListRequestInterval time.Duration // longest time without a request to the list service
 
 	LoadFields []string // names of the values in a load report
 }
@@ -125,13 +125,13 @@
 	for _, f := range []struct {
 		name string
 		x    float64
-	}{{"cold time", float64(s.ColdFor)}, {"fall span", float64(s.FallSpan)}, {"extra span", float64(s.ExtraSpan)},
-		{"order rest", float64(s.OrderRest)}, {"ask within", float64(s.AskWithin)},
+	}{{"cold time", float64(s.WarmupDuration)}, {"fall span", float64(s.OverloadSpan)}, {"extra span", float64(s.RetryBudgetSpan)},
+		{"order rest", float64(s.OrderPause)}, {"ask within", float64(s.MaxListRequestInterval)},
 		{"drain grace", float64(s.DrainGrace)}, {"meter span", float64(s.MeterSpan)},
-		{"max retry-after", float64(s.MaxRetryAfter)}, {"mean units", s.MeanUnits}, {"most units", s.MostUnits},
-		{"share worth", s.ShareWorth}, {"spare worth", s.SpareWorth}, {"cold capacity", s.ColdCapacity},
-		{"fall multiple", s.FallMultiple}, {"cold bears", s.ColdBears}, {"extra free", s.ExtraFree},
-		{"extra share", s.ExtraShare}} {
+		{"max retry-after", float64(s.MaxRetryAfter)}, {"mean units", s.MeanUnits}, {"most units", s.MaxUnits},
+		{"share worth", s.ShareWorth}, {"spare worth", s.SpareWorth}, {"cold capacity", s.ColdCapacityFraction},
+		{"fall multiple", s.OverloadMultiple}, {"cold bears", s.ColdMinUnits}, {"extra free", s.RetryBudgetBase},
+		{"extra share", s.RetryBudgetRatio}} {
 		if invalid(f.x) {
 			return fmt.Errorf("settings: %s: %v is negative or no number", f.name, f.x)
 		}
@@ -172,7 +172,7 @@
 }
 
 // Doubtful reports whether the attempt may still be running.
-func (r Result) Doubtful() bool { return r == TimedOut || r == Reset || r == Cancelled }
+func (r Result) MayStillRun() bool { return r == TimedOut || r == Reset || r == Cancelled }
 
 // NodeState is a node's state in the node list.
 type NodeState int
@@ -293,18 +293,18 @@
 func (ProbeResult) event()   {}
 
 // Belief is a controller's estimate of the state of a node.
-type Belief struct {
-	Node      string
-	State     NodeState
-	Listed    bool
-	Out, Held int // attempts in flight there, requests held for it
-	Window    float64
-	RoundTrip time.Duration // mean
-	Backlog   time.Duration // wait that a new attempt meets
-	UnitTime  time.Duration // time per unit without a queue
-	Errors    float64       // moving average of the share of error answers
-	Suspect   bool
-	Cold      bool
+type NodeEstimate struct {
+	Node           string
+	State          NodeState
+	Listed         bool
+	InFlight, Held int // attempts in flight there, requests held for it
+	Window         float64
+	RoundTrip      time.Duration // mean
+	Backlog        time.Duration // wait that a new attempt meets
+	UnitTime       time.Duration // time per unit without a queue
+	ErrorRate      float64       // moving average of the share of error answers
+	Suspect        bool
+	Cold           bool
 }
 
 // Action is something that the host has to do.
--- a/control/control.go
+++ b/control/control.go
@@ -165,7 +165,7 @@
 	}
 	r.aimAt = min(r.aimAt, r.deadline)
 	c.requests[e.ID] = r
-	if c.settings.ExtraSpan > 0 {
+	if c.settings.RetryBudgetSpan > 0 {
 		c.recentRequests = append(c.recentRequests, timedAmount{c.now, 1})
 	}
 	r.volume = c.volumeFor(e)
@@ -213,7 +213,7 @@
 // newShareBucket returns a full bucket that refills at the rate. It holds the units of one usageSpan and,
 // beyond them, one request of the largest size.
 func (c *Controller) newShareBucket(rate float64) bucket {
-	full := rate*usageSpan.Seconds() + min(c.settings.MostUnits, 1e6*rate)
+	full := rate*usageSpan.Seconds() + min(c.settings.MaxUnits, 1e6*rate)
 	return bucket{full, rate, full, c.now}
 }
 
@@ -649,7 +649,7 @@
 // send starts an attempt. No other function does.
 func (c *Controller) send(r *request, n *node) {
 	a := &attempt{req: r, node: n, sentAt: c.now, heldTimeAtSend: n.meter.heldTime(c.now), open: true}
-	if len(r.attempts) > 0 && c.settings.ExtraSpan > 0 {
+	if len(r.attempts) > 0 && c.settings.RetryBudgetSpan > 0 {
 		c.recentRetries = append(c.recentRetries, timedAmount{c.now, 1})
 	}
 	if len(r.attempts) == 0 && r.volume.plan.LimitRate > 0 {
@@ -684,8 +684,8 @@
 	if !e.Result.NeverRan() && e.Result != Done && r.uncertain == nil {
 		r.uncertain = a
 	}
-	if e.Result.Doubtful() && r.queue != nil {
-		r.queue.pausedUntil = max(r.queue.pausedUntil, c.now+c.settings.OrderRest)
+	if e.Result.MayStillRun() && r.queue != nil {
+		r.queue.pausedUntil = max(r.queue.pausedUntil, c.now+c.settings.OrderPause)
 	}
 	c.updateNode(n, a, e)
 	if e.Result == Done && e.VolumeUse > 0 {
@@ -782,17 +782,17 @@
 
 // withinRetryBudget reports whether one more retry stays within the budget of the settings.
 func (c *Controller) withinRetryBudget() bool {
-	if c.settings.ExtraSpan == 0 {
+	if c.settings.RetryBudgetSpan == 0 {
 		return true
 	}
 	c.recentRequests = slices.DeleteFunc(c.recentRequests, func(s timedAmount) bool {
-		return c.now-s.at >= c.settings.ExtraSpan
+		return c.now-s.at >= c.settings.RetryBudgetSpan
 	})
 	c.recentRetries = slices.DeleteFunc(c.recentRetries, func(s timedAmount) bool {
-		return c.now-s.at > c.settings.ExtraSpan
+		return c.now-s.at > c.settings.RetryBudgetSpan
 	})
 	return float64(len(c.recentRetries)+1) <=
-		c.settings.ExtraFree+c.settings.ExtraShare*float64(len(c.recentRequests))
+		c.settings.RetryBudgetBase+c.settings.RetryBudgetRatio*float64(len(c.recentRequests))
 }
 
 // isNextInOrder reports whether the request is the next one of its item, if its class keeps order. Its first
@@ -810,13 +810,13 @@
 
 // cold reports whether the node started less than Settings.ColdFor ago.
 func (c *Controller) cold(n *node) bool {
-	return c.settings.ColdFor > 0 && n.StartedAt != 0 && c.now < n.StartedAt+c.settings.ColdFor
+	return c.settings.WarmupDuration > 0 && n.StartedAt != 0 && c.now < n.StartedAt+c.settings.WarmupDuration
 }
 
 // warmFraction returns the part of its full capacity that a cold node has at least.
 func (c *Controller) warmFraction(n *node) float64 {
-	warm := max(0, float64(c.now-n.StartedAt)) / float64(c.settings.ColdFor)
-	return c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*min(1, warm)
+	warm := max(0, float64(c.now-n.StartedAt)) / float64(c.settings.WarmupDuration)
+	return c.settings.ColdCapacityFraction + (1-c.settings.ColdCapacityFraction)*min(1, warm)
 }
 
 // coldRate returns the units a second that this host may send to a cold node, scaled by its warm fraction.
@@ -827,11 +827,11 @@
 // all hosts add up to no more than the whole, whatever their number. Drawback: if the node was fully loaded
 // before, the parts add up to more than the whole when all hosts use theirs.
 func (c *Controller) coldRate(n *node) float64 {
-	base := c.settings.ColdBears / float64(c.settings.Hosts) / c.settings.FallSpan.Seconds() /
-		max(c.settings.ColdCapacity, 0.01)
+	base := c.settings.ColdMinUnits / float64(c.settings.Hosts) / c.settings.OverloadSpan.Seconds() /
+		max(c.settings.ColdCapacityFraction, 0.01)
 	own := max(0, c.servedByShard[n.Shard].sum-c.settings.MeanUnits/2) // read just after a request arrived
 	previous := (own + c.servedTotal.sum/float64(len(c.nodesByID))) / 2 / rateSpan.Seconds()
-	return coldBudgetFraction * c.warmFraction(n) * max(base, c.settings.FallMultiple*previous/maxMeanLoad)
+	return coldBudgetFraction * c.warmFraction(n) * max(base, c.settings.OverloadMultiple*previous/maxMeanLoad)
 }
 
 // coldWait returns how long nothing may be sent to a cold node: until its credit, which fills at this host's
@@ -839,17 +839,17 @@
 // leaves, so that rate and credit together stay within the budget of any span. Each request takes its units.
 // A host's part may be far less than one request, so the credit starts below 0 by a random part of one.
 func (c *Controller) coldWait(n *node) time.Duration {
-	if !c.cold(n) || c.settings.FallSpan == 0 {
+	if !c.cold(n) || c.settings.OverloadSpan == 0 {
 		return 0
 	}
 	rate := c.coldRate(n)
 	n.credit = min(n.credit+rate*(c.now-n.creditAt).Seconds(),
-		rate*c.settings.FallSpan.Seconds()*(1/coldBudgetFraction-1))
+		rate*c.settings.OverloadSpan.Seconds()*(1/coldBudgetFraction-1))
 	n.creditAt = c.now
 	if n.credit >= 0 {
 		return 0
 	}
-	return time.Duration(min(-n.credit/max(rate, 1e-9), c.settings.ColdFor.Seconds()) * float64(time.Second))
+	return time.Duration(min(-n.credit/max(rate, 1e-9), c.settings.WarmupDuration.Seconds()) * float64(time.Second))
 }
 
 // serviceRate returns the node's service rate in units a nanosecond: the measured rate, but no less than
@@ -1039,7 +1039,7 @@
 	if !c.settings.ListOnRequest || c.subscribed {
 		return
 	}
-	interval := time.Duration(resubscribeFraction * float64(c.settings.AskWithin))
+	interval := time.Duration(resubscribeFraction * float64(c.settings.MaxListRequestInterval))
 	if c.now >= c.listAskedAt+interval {
 		c.subscribe()
 	}
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -23,7 +23,7 @@
 // settings returns settings with one class of each effect and group.
 func settings() Settings {
 	return Settings{
-		Hosts: 2, MeanUnits: 2, MostUnits: 8, MaxAttempts: 4, MaxRetryAfter: time.Second,
+		Hosts: 2, MeanUnits: 2, MaxUnits: 8, MaxAttempts: 4, MaxRetryAfter: time.Second,
 		Classes: []Class{
 			{Name: "read", Effect: Safe, Aim: 100 * ms, Deadline: time.Second, Worth: 2, LateWorth: 0.1},
 			{Name: "write", Effect: Keyed, Group: GroupCell, Window: 500 * ms, Aim: 200 * ms,
@@ -128,10 +128,10 @@
 		{"unknown effect", func(s *Settings) { s.Classes[0].Effect = 9 }, "classes[read].effect"},
 		{"unknown group", func(s *Settings) { s.Classes[1].Group = 9 }, "classes[write].group"},
 		{"negative aim", func(s *Settings) { s.Classes[0].Aim = -1 }, "classes[read]"},
-		{"negative cold time", func(s *Settings) { s.ColdFor = -1 }, "cold time"},
+		{"negative cold time", func(s *Settings) { s.WarmupDuration = -1 }, "cold time"},
 		{"worth no number", func(s *Settings) { s.Classes[0].Worth = math.NaN() }, "classes[read].worth"},
 		{"mean units infinite", func(s *Settings) { s.MeanUnits = math.Inf(1) }, "mean units"},
-		{"negative cold budget", func(s *Settings) { s.ColdBears = -1 }, "cold bears"},
+		{"negative cold budget", func(s *Settings) { s.ColdMinUnits = -1 }, "cold bears"},
 		{"weight no number", func(s *Settings) { s.Plans = []Plan{{Name: "p", Weight: math.NaN()}} }, "plans[p]"},
 		{"negative limit", func(s *Settings) { s.Plans = []Plan{{Name: "p", LimitRate: -1}} }, "plans[p]"},
 	} {
@@ -297,7 +297,7 @@
 
 func TestListOnRequest(t *testing.T) {
 	set := settings()
-	set.ListOnRequest, set.AskWithin = true, 10*time.Second
+	set.ListOnRequest, set.MaxListRequestInterval = true, 10*time.Second
 	c, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -398,8 +398,8 @@
 	}{{1, 0}, {3, 0}, {3, 90}, {40, 90}, {270, 0}, {270, 90}} {
 		set := settings()
 		set.Hosts = tt.hosts
-		set.ColdFor, set.ColdCapacity, set.FallMultiple = 10*time.Second, 0.2, 3
-		set.FallSpan, set.ColdBears = time.Second, 20
+		set.WarmupDuration, set.ColdCapacityFraction, set.OverloadMultiple = 10*time.Second, 0.2, 3
+		set.OverloadSpan, set.ColdMinUnits = time.Second, 20
 		const seconds = 6
 		var sent [seconds * 50]float64 // units of all hosts, by 20 ms
 		for host := range tt.hosts {
@@ -464,7 +464,7 @@
 // running.
 func TestKeyOrder(t *testing.T) {
 	set := settings()
-	set.OrderRest = 100 * ms
+	set.OrderPause = 100 * ms
 	h := newHarness(t, set, nodeEntry("n", 0))
 	turn := func(id string) Request { r := requestOf("turns", id); r.Item = "k"; return r }
 	h.expect("first", sentAttempts(h.step(0, turn("a"), turn("b"), turn("c"))), "a>n")
@@ -479,7 +479,7 @@
 // TestAttemptBudget checks rule 7: retries stay within the budget of the settings.
 func TestAttemptBudget(t *testing.T) {
 	set := settings()
-	set.ExtraFree, set.ExtraShare, set.ExtraSpan = 2, 0.1, 5*time.Second
+	set.RetryBudgetBase, set.RetryBudgetRatio, set.RetryBudgetSpan = 2, 0.1, 5*time.Second
 	h := newHarness(t, set, nodeEntry("n", 0))
 	taken, extra := 0, 0
 	for i := range 60 {
@@ -719,8 +719,8 @@
 	rng := rand.New(rand.NewSource(seed))
 	set := settings()
 	set.ShareWorth, set.SpareWorth, set.Plans = 0.8, 0.1, []Plan{{Name: "", Nominal: 20, Weight: 1}}
-	set.ExtraSpan, set.ExtraFree, set.ExtraShare = time.Second, 3, 0.2
-	set.ColdFor, set.ColdCapacity, set.FallMultiple, set.FallSpan, set.ColdBears =
+	set.RetryBudgetSpan, set.RetryBudgetBase, set.RetryBudgetRatio = time.Second, 3, 0.2
+	set.WarmupDuration, set.ColdCapacityFraction, set.OverloadMultiple, set.OverloadSpan, set.ColdMinUnits =
 		5*time.Second, 0.2, 3, time.Second, 20
 	nodes := []Node{nodeEntry("n", 0), nodeEntry("o", 1), nodeEntry("p", 2)}
 	h := newHarness(t, set, nodes...)
@@ -974,7 +974,7 @@
 // through many nodes, volumes and items, stays bounded.
 func TestStateIsBounded(t *testing.T) {
 	set := settings()
-	set.ExtraSpan, set.ExtraFree, set.ExtraShare, set.OrderRest = time.Second, 3, 0.2, 100*ms
+	set.RetryBudgetSpan, set.RetryBudgetBase, set.RetryBudgetRatio, set.OrderPause = time.Second, 3, 0.2, 100*ms
 	h := newHarness(t, set)
 	for i := range 1000 {
 		id := fmt.Sprint("n", i)
@@ -1027,10 +1027,10 @@
 	for name, odd := range map[string]func(*Settings){
 		"no hosts":          func(s *Settings) { s.Hosts = 0 },
 		"1000 hosts":        func(s *Settings) { s.Hosts = 1000 },
-		"no units":          func(s *Settings) { s.MeanUnits, s.MostUnits = 0, 0 },
-		"no cold budget":    func(s *Settings) { s.ColdFor, s.FallSpan, s.ColdBears = time.Second, time.Second, 0 },
-		"cold for ever":     func(s *Settings) { s.ColdFor, s.FallSpan = 1<<62, time.Second },
-		"no fall span":      func(s *Settings) { s.ColdFor, s.ColdBears = time.Second, 10 },
+		"no units":          func(s *Settings) { s.MeanUnits, s.MaxUnits = 0, 0 },
+		"no cold budget":    func(s *Settings) { s.WarmupDuration, s.OverloadSpan, s.ColdMinUnits = time.Second, time.Second, 0 },
+		"cold for ever":     func(s *Settings) { s.WarmupDuration, s.OverloadSpan = 1<<62, time.Second },
+		"no fall span":      func(s *Settings) { s.WarmupDuration, s.ColdMinUnits = time.Second, 10 },
 		"aims past deadlin": func(s *Settings) { s.Classes[0].Aim = time.Hour },
 		"no aims":           func(s *Settings) { s.Classes[0].Aim, s.Classes[0].Deadline = 0, 0 },
 		"plans weigh 0":     func(s *Settings) { s.Plans = []Plan{{Name: "p", Nominal: 3}}; s.ShareWorth = 1 },
@@ -1100,7 +1100,7 @@
 func benchmarkStep(b *testing.B, events ...Event) {
 	set := settings()
 	set.ShareWorth, set.SpareWorth = 0.8, 0.1
-	set.Hosts, set.ColdFor, set.FallSpan = 270, 10*time.Second, time.Second
+	set.Hosts, set.WarmupDuration, set.OverloadSpan = 270, 10*time.Second, time.Second
 	c, err := New(set, 1)
 	if err != nil {
 		b.Fatal(err)
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -129,7 +129,7 @@
 // worstSpan returns the largest ratio, over all spans of FallSpan, of what a node was sent to what the settings
 // allow plus a margin for chance, both in mean requests; and the units that it was sent in total.
 func (f *fleet) worstSpan(node Node, capacity float64) (over, total float64) {
-	steps := int(f.set.FallSpan / fleetStep)
+	steps := int(f.set.OverloadSpan / fleetStep)
 	sent := f.sent[node.ID]
 	for from := range sent {
 		units := 0.0
@@ -138,8 +138,8 @@
 		}
 		total += sent[from]
 		at := time.Hour + time.Duration(from)*fleetStep - node.StartedAt
-		warmth := f.set.ColdCapacity + (1-f.set.ColdCapacity)*min(1, max(0, at.Seconds())/f.set.ColdFor.Seconds())
-		n := max(f.set.ColdBears*warmth/f.set.ColdCapacity, f.set.FallMultiple*warmth*capacity*f.set.FallSpan.Seconds()) / f.set.MeanUnits
+		warmth := f.set.ColdCapacityFraction + (1-f.set.ColdCapacityFraction)*min(1, max(0, at.Seconds())/f.set.WarmupDuration.Seconds())
+		n := max(f.set.ColdMinUnits*warmth/f.set.ColdCapacityFraction, f.set.OverloadMultiple*warmth*capacity*f.set.OverloadSpan.Seconds()) / f.set.MeanUnits
 		over = max(over, units/f.set.MeanUnits/(n+2*math.Sqrt(n)+2))
 	}
 	return over, total
@@ -169,7 +169,7 @@
 	for _, hosts := range []int{3, 30, 300} {
 		set := settings()
 		set.Plans = []Plan{{Name: "p", Nominal: 1000, Weight: 1}}
-		set.ColdFor, set.ColdCapacity, set.FallMultiple, set.FallSpan, set.ColdBears = 18*time.Second, 0.17, 4, 2*time.Second, 37
+		set.WarmupDuration, set.ColdCapacityFraction, set.OverloadMultiple, set.OverloadSpan, set.ColdMinUnits = 18*time.Second, 0.17, 4, 2*time.Second, 37
 		for _, c := range []struct {
 			name  string
 			least float64 // lower bound of the units in total
--- a/control/state.go
+++ b/control/state.go
@@ -315,13 +315,13 @@
 
 // Beliefs returns the controller's estimates of each known node, sorted by id. It changes nothing. Callers
 // compare it with what they observe on the sockets.
-func (c *Controller) Beliefs() []Belief {
-	list := make([]Belief, 0, len(c.nodesByID))
+func (c *Controller) NodeEstimates() []NodeEstimate {
+	list := make([]NodeEstimate, 0, len(c.nodesByID))
 	for _, n := range c.nodesByID {
-		list = append(list, Belief{Node: n.ID, State: n.State, Listed: n.listed,
-			Out: len(n.inFlight), Held: len(n.held), Window: n.window,
+		list = append(list, NodeEstimate{Node: n.ID, State: n.State, Listed: n.listed,
+			InFlight: len(n.inFlight), Held: len(n.held), Window: n.window,
 			RoundTrip: time.Duration(n.rtt), Backlog: time.Duration(n.wait.value(c.now, backlogDecay)),
-			UnitTime: time.Duration(n.unitTime.value), Errors: n.errorRate, Suspect: n.suspect(), Cold: c.cold(n)})
+			UnitTime: time.Duration(n.unitTime.value), ErrorRate: n.errorRate, Suspect: n.suspect(), Cold: c.cold(n)})
 	}
 	return list
 }
--- a/forecast/file.go
+++ b/forecast/file.go
@@ -86,7 +86,7 @@
 		return nil, fmt.Errorf("forecast: record: %w", err)
 	}
 	r := &Record{Slot: time.Duration(encoded.Slot), Gateways: map[string]map[int64]*Day{}}
-	if set := (Settings{Slot: r.Slot, Days: 1, Most: 1}); set.Check() != nil {
+	if set := (Settings{Slot: r.Slot, Days: 1, MaxVolumes: 1}); set.Check() != nil {
 		return nil, fmt.Errorf("forecast: record: %w", set.Check())
 	}
 	for _, g := range encoded.Gateways {
--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -19,14 +19,14 @@
 
 // Settings configure a Book.
 type Settings struct {
-	Gateway string
-	Slot    time.Duration // interval over which demand is averaged
-	Days    int           // number of days kept, including the current one
-	Most    int           // maximum number of volumes; beyond it those with the least demand are dropped
+	Gateway    string
+	Slot       time.Duration // interval over which demand is averaged
+	Days       int           // number of days kept, including the current one
+	MaxVolumes int           // maximum number of volumes; beyond it those with the least demand are dropped
 }
 
 // Default holds the default settings.
-var Default = Settings{Slot: time.Minute, Days: 8, Most: 10_000}
+var Default = Settings{Slot: time.Minute, Days: 8, MaxVolumes: 10_000}
 
 // Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
@@ -35,14 +35,14 @@
 		return fmt.Errorf("slot = %v: expected 1s to 1h, and a divisor of a day", s.Slot)
 	case s.Days < 1 || s.Days > 366:
 		return fmt.Errorf("days = %d: expected 1 to 366", s.Days)
-	case s.Most < 1 || s.Most > 1_000_000:
-		return fmt.Errorf("volumes = %d: expected 1 to 1,000,000", s.Most)
+	case s.MaxVolumes < 1 || s.MaxVolumes > 1_000_000:
+		return fmt.Errorf("volumes = %d: expected 1 to 1,000,000", s.MaxVolumes)
 	}
 	return nil
 }
 
 // Book records the demand that one gateway sees. It is not safe for concurrent use.
-type Book struct {
+type Recorder struct {
 	settings       Settings
 	currentSlot    int64 // number of the current slot, counted from 1970
 	started        bool
@@ -66,11 +66,11 @@
 
 // NewBook returns a Book that continues an earlier record of the gateway, or an empty one if previous is nil or was
 // recorded with another slot.
-func NewBook(settings Settings, previous *Record) (*Book, error) {
+func NewRecorder(settings Settings, previous *Record) (*Recorder, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("forecast: %w", err)
 	}
-	b := &Book{settings: settings, slotUnits: map[string]float64{}, days: map[int64]*Day{}, volumeNames: map[string]bool{}}
+	b := &Recorder{settings: settings, slotUnits: map[string]float64{}, days: map[int64]*Day{}, volumeNames: map[string]bool{}}
 	if previous != nil && previous.Slot == settings.Slot {
 		for day, d := range previous.Gateways[settings.Gateway] {
 			b.days[day] = d.clone()
@@ -91,21 +91,21 @@
 
 // Add records units that volumes requested up to now. A time before that of an earlier call counts as that earlier
 // time.
-func (b *Book) Add(now time.Time, units map[string]float64) {
-	b.Tick(now)
+func (b *Recorder) Add(now time.Time, units map[string]float64) {
+	b.Advance(now)
 	for v, u := range units {
 		if u > 0 && !math.IsInf(u, 1) {
 			b.slotUnits[v] += u
 		}
 	}
-	if len(b.slotUnits) > 2*b.settings.Most { // bounds the memory of the current slot
+	if len(b.slotUnits) > 2*b.settings.MaxVolumes { // bounds the memory of the current slot
 		b.limitSlotVolumes()
 	}
 }
 
 // limitSlotVolumes keeps only the volumes with the highest demand in the current slot.
-func (b *Book) limitSlotVolumes() {
-	for _, v := range byDescendingSum(b.slotUnits)[b.settings.Most:] {
+func (b *Recorder) limitSlotVolumes() {
+	for _, v := range byDescendingSum(b.slotUnits)[b.settings.MaxVolumes:] {
 		delete(b.slotUnits, v)
 		b.DroppedVolumes++
 	}
@@ -113,7 +113,7 @@
 
 // Tick closes the slots that have ended. A gap of more than an hour without a call counts as time in which the gateway
 // did not run; shorter gaps count as time without demand.
-func (b *Book) Tick(now time.Time) {
+func (b *Recorder) Advance(now time.Time) {
 	slot := now.UnixNano() / int64(b.settings.Slot)
 	if !b.started {
 		b.currentSlot, b.started = slot, true
@@ -140,7 +140,7 @@
 }
 
 // dayOf returns the day of a slot and creates it if needed.
-func (b *Book) dayOf(slot int64) *Day {
+func (b *Recorder) dayOf(slot int64) *Day {
 	number := slot * int64(b.settings.Slot/time.Second) / 86_400
 	d := b.days[number]
 	if d == nil {
@@ -151,7 +151,7 @@
 }
 
 // rebuildVolumeNames sets volumeNames to the volumes of the days kept.
-func (b *Book) rebuildVolumeNames() {
+func (b *Recorder) rebuildVolumeNames() {
 	clear(b.volumeNames)
 	for _, d := range b.days {
 		for v := range d.Volumes {
@@ -162,14 +162,14 @@
 
 // enforceLimits removes days that are too old, and volumes beyond the limit: those with the least demand, by the sum of
 // their rates over all days kept.
-func (b *Book) enforceLimits() {
+func (b *Recorder) enforceLimits() {
 	today := b.currentSlot * int64(b.settings.Slot/time.Second) / 86_400
 	daysBefore := len(b.days)
 	maps.DeleteFunc(b.days, func(k int64, _ *Day) bool { return k <= today-int64(b.settings.Days) })
 	if len(b.days) < daysBefore {
 		b.rebuildVolumeNames()
 	}
-	if len(b.volumeNames) <= b.settings.Most {
+	if len(b.volumeNames) <= b.settings.MaxVolumes {
 		return
 	}
 	sums := map[string]float64{}
@@ -181,7 +181,7 @@
 		}
 	}
 	// Drops 5% more than needed, so that not every slot has to sort.
-	for _, v := range byDescendingSum(sums)[b.settings.Most-b.settings.Most/20:] {
+	for _, v := range byDescendingSum(sums)[b.settings.MaxVolumes-b.settings.MaxVolumes/20:] {
 		for _, d := range b.days {
 			delete(d.Volumes, v)
 		}
@@ -198,7 +198,7 @@
 }
 
 // Record returns a copy of what the book holds, without the current slot.
-func (b *Book) Record() *Record {
+func (b *Recorder) Record() *Record {
 	r := &Record{Slot: b.settings.Slot, Gateways: map[string]map[int64]*Day{b.settings.Gateway: {}}}
 	for k, d := range b.days {
 		r.Gateways[b.settings.Gateway][k] = d.clone()
@@ -258,11 +258,11 @@
 
 // Demand is the expected demand of a volume, in milli-units per second.
 type Demand struct {
-	Milli    int64   `json:"demand"` // at the requested quantile
-	Mean     int64   `json:"mean"`
-	Peak     int64   `json:"peak"` // highest rate of a slot kept
-	Gateways int     `json:"gateways"`
-	Days     float64 `json:"days"` // length of the record in days; the longest of all gateways
+	AtQuantile int64   `json:"demand"` // at the requested quantile
+	Mean       int64   `json:"mean"`
+	Peak       int64   `json:"peak"` // highest rate of a slot kept
+	Gateways   int     `json:"gateways"`
+	Days       float64 `json:"days"` // length of the record in days; the longest of all gateways
 }
 
 // unitWeight is the weight of a slot of the latest day. Slots of older days have smaller integer weights; integers make
@@ -273,7 +273,7 @@
 // that is halfLife days old counts half. The demand of a volume at several gateways is the sum of their quantiles. The
 // sum is exact if surges occur at all gateways together, as they do when clients spread over gateways, and otherwise
 // an overestimate.
-func Demands(r *Record, quantile, halfLife float64) (map[string]Demand, error) {
+func EstimateDemands(r *Record, quantile, halfLife float64) (map[string]Demand, error) {
 	if !(quantile > 0 && quantile <= 1) || !(halfLife > 0) {
 		return nil, fmt.Errorf("forecast: quantile %v, half-life %v days: expected both above 0, and the quantile at most 1",
 			quantile, halfLife)
@@ -307,7 +307,7 @@
 			}
 			x := demands[v]
 			q, mean, peak := weightedStats(counts, slots, quantile)
-			x.Milli, x.Mean, x.Peak = x.Milli+q, x.Mean+mean, x.Peak+peak
+			x.AtQuantile, x.Mean, x.Peak = x.AtQuantile+q, x.Mean+mean, x.Peak+peak
 			x.Gateways++
 			x.Days = max(x.Days, float64(known)*r.Slot.Hours()/24)
 			demands[v] = x
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -18,9 +18,9 @@
 var start = time.Date(2026, 8, 13, 0, 0, 0, 0, time.UTC)
 
 // newBook returns an empty Book.
-func newBook(t testing.TB, set Settings) *Book {
+func newBook(t testing.TB, set Settings) *Recorder {
 	t.Helper()
-	b, err := NewBook(set, nil)
+	b, err := NewRecorder(set, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 // TestQuantileDeterminesWhetherSurgeCounts checks a volume that requests 10 units per second, and 100 during one hour
 // of each of the last two days. The surge must count at the quantile 0.99 but not at 0.95, and no longer at 0.99 a week later.
 func TestQuantileDeterminesWhetherSurgeCounts(t *testing.T) {
-	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, Most: 10})
+	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, MaxVolumes: 10})
 	for m := range 5 * 24 * 60 {
 		rate := 10.0
 		if day := m / 1440; day >= 3 && m/60%24 == 9 {
@@ -39,23 +39,23 @@
 		b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": rate * 60, "w": 1})
 	}
 	at := func(q, half float64) Demand {
-		d, err := Demands(b.Record(), q, half)
+		d, err := EstimateDemands(b.Record(), q, half)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d["v"]
 	}
 	near := func(got, want int64) bool { return math.Abs(float64(got-want)) <= 0.05*float64(want) }
-	if d := at(0.95, 2); !near(d.Milli, 10_000) || !near(d.Peak, 100_000) || d.Gateways != 1 {
+	if d := at(0.95, 2); !near(d.AtQuantile, 10_000) || !near(d.Peak, 100_000) || d.Gateways != 1 {
 		t.Errorf("at 0.95: %+v, want 10 units a second", d)
 	}
-	if d := at(0.99, 2); !near(d.Milli, 100_000) {
+	if d := at(0.99, 2); !near(d.AtQuantile, 100_000) {
 		t.Errorf("at 0.99: %+v, want the surge", d)
 	}
 	for m := range 7 * 24 * 60 { // a week without a surge
 		b.Add(start.Add(time.Duration(5*1440+m)*time.Minute), map[string]float64{"v": 600})
 	}
-	if d := at(0.99, 2); !near(d.Milli, 10_000) || !near(d.Peak, 100_000) {
+	if d := at(0.99, 2); !near(d.AtQuantile, 10_000) || !near(d.Peak, 100_000) {
 		t.Errorf("a week later: %+v, want 10 units a second; the peak is kept 8 days", d)
 	}
 }
@@ -63,33 +63,33 @@
 // TestSketchErrorBound checks that quantiles of random demand are within 5%.
 func TestSketchErrorBound(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, Most: 10})
+	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, MaxVolumes: 10})
 	var all []float64
 	for m := range 1400 {
 		rate := math.Exp(rng.NormFloat64()) * 20
 		all = append(all, rate*1000)
 		b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": rate * 60})
 	}
-	b.Tick(start.Add(1400 * time.Minute))
+	b.Advance(start.Add(1400 * time.Minute))
 	for _, q := range []float64{0.5, 0.9, 0.99, 1} {
-		d, err := Demands(b.Record(), q, 1)
+		d, err := EstimateDemands(b.Record(), q, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		below := 0
 		for _, x := range all {
-			if x <= float64(d["v"].Milli)*1.05 {
+			if x <= float64(d["v"].AtQuantile)*1.05 {
 				below++
 			}
 		}
 		above := 0
 		for _, x := range all {
-			if x < float64(d["v"].Milli)*0.95 {
+			if x < float64(d["v"].AtQuantile)*0.95 {
 				above++
 			}
 		}
 		if float64(below) < q*1400-1 || float64(above) > q*1400 {
-			t.Errorf("quantile %v is %d: %d of 1,400 rates at or below it, %d clearly below", q, d["v"].Milli, below, above)
+			t.Errorf("quantile %v is %d: %d of 1,400 rates at or below it, %d clearly below", q, d["v"].AtQuantile, below, above)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 func TestDemandSumsGateways(t *testing.T) {
 	var all *Record
 	for _, g := range []string{"g", "h"} {
-		b := newBook(t, Settings{Gateway: g, Slot: time.Minute, Days: 2, Most: 10})
+		b := newBook(t, Settings{Gateway: g, Slot: time.Minute, Days: 2, MaxVolumes: 10})
 		for m := range 100 {
 			b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": 600})
 		}
@@ -175,8 +175,8 @@
 			t.Fatal(err)
 		}
 	}
-	d, err := Demands(all, 0.9, 1)
-	if err != nil || d["v"].Gateways != 2 || math.Abs(float64(d["v"].Milli)-20_000) > 1000 {
+	d, err := EstimateDemands(all, 0.9, 1)
+	if err != nil || d["v"].Gateways != 2 || math.Abs(float64(d["v"].AtQuantile)-20_000) > 1000 {
 		t.Errorf("%+v, %v", d, err)
 	}
 }
@@ -184,14 +184,14 @@
 // TestRestart checks that a book continues an earlier record, that a clock that moves backwards adds no slots, and that
 // a long gap is not counted as time without demand.
 func TestRestart(t *testing.T) {
-	set := Settings{Gateway: "g", Slot: time.Minute, Days: 3, Most: 10}
+	set := Settings{Gateway: "g", Slot: time.Minute, Days: 3, MaxVolumes: 10}
 	b := newBook(t, set)
 	for m := range 30 {
 		b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": 60})
 	}
 	b.Add(start.Add(-time.Hour), map[string]float64{"v": 60})
 	first := b.Record()
-	b, err := NewBook(set, first)
+	b, err := NewRecorder(set, first)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,7 +213,7 @@
 // TestVolumesAndBucketsAreLimited checks that at the limit of volumes those with the highest demand are kept, and that
 // the number of buckets per day is limited.
 func TestVolumesAndBucketsAreLimited(t *testing.T) {
-	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, Most: 100})
+	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, MaxVolumes: 100})
 	for m := range 50 {
 		units := map[string]float64{}
 		for i := range 50 {
@@ -268,7 +268,7 @@
 			t.Errorf("%s: %v", want, err)
 		}
 	}
-	if _, err := Demands(good, 1.5, 1); err == nil {
+	if _, err := EstimateDemands(good, 1.5, 1); err == nil {
 		t.Error("a quantile of 1.5 is accepted")
 	}
 }
@@ -300,7 +300,7 @@
 	b.Run("sketches", func(b *testing.B) {
 		for range b.N {
 			before := heap()
-			bk := newBook(b, Settings{Gateway: "g", Slot: time.Minute, Days: days, Most: volumes})
+			bk := newBook(b, Settings{Gateway: "g", Slot: time.Minute, Days: days, MaxVolumes: volumes})
 			rng := rand.New(rand.NewSource(1))
 			names := make([]string, volumes)
 			for i := range names {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -28,22 +28,22 @@
 
 // Settings configure a Backend and bound its connections.
 type Settings struct {
-	Name        string        // of the gateway, for the hello
-	Conns       int           // most connections per node
-	Streams     int           // attempts in flight on a connection before another one is opened
-	Waiting     int           // most attempts that wait for a connection, per node
-	DialTimeout time.Duration // for connecting and the node's hello
-	IdleClose   time.Duration // idle time after which a connection is closed; 0: never
-	Cancelling  bool          // send the node a cancel for each dropped attempt
-	Loops       int           // gnet event loops
+	Name            string        // of the gateway, for the hello
+	MaxConns        int           // most connections per node
+	AttemptsPerConn int           // attempts in flight on a connection before another one is opened
+	MaxWaiting      int           // most attempts that wait for a connection, per node
+	DialTimeout     time.Duration // for connecting and the node's hello
+	IdleClose       time.Duration // idle time after which a connection is closed; 0: never
+	SendCancel      bool          // send the node a cancel for each dropped attempt
+	Loops           int           // gnet event loops
 	// Filled is called with the bytes that a shard holds, and whether it had no room for an item. It is called with
 	// a lock held, so it must neither block nor call the Backend. It may be nil.
-	Filled func(shard int, used, capacity uint64, noRoom bool)
+	OnFill func(shard int, used, capacity uint64, noRoom bool)
 }
 
 // Owner receives the results of attempts and probes; the host implements it.
 type Owner interface {
-	Ended(host.Outcome)
+	AttemptEnded(host.Outcome)
 	Probed(node string, result control.Result, took time.Duration, load []float64)
 }
 
@@ -66,8 +66,8 @@
 
 // Stats are counters since the start; Conns is the current number of connections.
 type Stats struct {
-	Dials, DialsFailed, Closed, Frames, Unwanted, Broken uint64
-	Conns                                                int
+	Dials, DialsFailed, Closed, Frames, Unmatched, ProtocolErrors uint64
+	Conns                                                         int
 }
 
 // node is the state of the connections to one node.
@@ -108,8 +108,8 @@
 
 // New starts the event loops and returns a backend without nodes.
 func New(settings Settings, owner Owner, log *slog.Logger) (*Backend, error) {
-	settings.Conns, settings.Streams = max(1, settings.Conns), max(1, settings.Streams)
-	settings.Waiting, settings.Loops = max(1, settings.Waiting), max(1, settings.Loops)
+	settings.MaxConns, settings.AttemptsPerConn = max(1, settings.MaxConns), max(1, settings.AttemptsPerConn)
+	settings.MaxWaiting, settings.Loops = max(1, settings.MaxWaiting), max(1, settings.Loops)
 	b := &Backend{settings: settings, owner: owner, log: log, nodes: map[string]*node{}, attempts: map[uint64]*attempt{}}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	client, err := gnet.NewClient(&handler{b: b}, gnet.WithNumEventLoop(settings.Loops), gnet.WithTicker(true),
@@ -126,7 +126,7 @@
 }
 
 // Own sets the owner. It must be called before the first Send.
-func (b *Backend) Own(o Owner) { b.owner = o }
+func (b *Backend) SetOwner(o Owner) { b.owner = o }
 
 // Close closes all connections. Outcomes of attempts in flight are not reported.
 func (b *Backend) Close() error {
@@ -190,13 +190,13 @@
 	if !a.probe {
 		b.attempts[a.Ref] = a
 	}
-	if c := n.leastLoaded(b.settings.Streams, b.settings.Conns); c != nil {
+	if c := n.leastLoaded(b.settings.AttemptsPerConn, b.settings.MaxConns); c != nil {
 		b.write(c, a)
 		return
 	}
-	if len(n.waiting) >= b.settings.Waiting {
+	if len(n.waiting) >= b.settings.MaxWaiting {
 		delete(b.attempts, a.Ref)
-		b.report(a, control.NotSent, fmt.Sprintf("%d attempts wait for a connection already", b.settings.Waiting))
+		b.report(a, control.NotSent, fmt.Sprintf("%d attempts wait for a connection already", b.settings.MaxWaiting))
 		return
 	}
 	n.waiting = append(n.waiting, a)
@@ -222,7 +222,7 @@
 // write writes the attempt's frame to a connection; from then on the attempt may run. An attempt that has waited
 // longer than Begin is not sent: the node may no longer recognize it as a repeat and would apply its effect again.
 func (b *Backend) write(c *conn, a *attempt) {
-	if a.Begin > 0 && time.Since(a.sentAt) >= a.Begin {
+	if a.BeginWithin > 0 && time.Since(a.sentAt) >= a.BeginWithin {
 		delete(b.attempts, a.Ref)
 		b.report(a, control.NotSent, "the window for repeats is over")
 		return
@@ -239,7 +239,7 @@
 		a.frame.B = nodewire.Append(a.frame.B[:0], &nodewire.Probe{ID: a.id})
 	} else {
 		r := a.Request
-		left := max(0, a.Left-time.Since(a.sentAt))
+		left := max(0, a.Remaining-time.Since(a.sentAt))
 		a.frame = buffer.Get(len(r.Payload) + 512 + len(r.Item) + len(r.Key) + len(r.Volume))
 		a.frame.B = nodewire.Append(a.frame.B[:0], &nodewire.Request{ID: a.id, Ref: a.ID, Attempt: uint8(a.Number),
 			Op: r.Op, Class: r.Class, Volume: r.Volume, Item: r.Item, Key: r.Key,
@@ -269,7 +269,7 @@
 	c := a.conn
 	delete(c.attempts, a.id)
 	c.markIdle()
-	if b.settings.Cancelling && !c.closed {
+	if b.settings.SendCancel && !c.closed {
 		_ = c.AsyncWrite(nodewire.Append(nil, &nodewire.Cancel{ID: a.id}), nil)
 	}
 }
@@ -308,12 +308,12 @@
 		b.owner.Probed(a.Node, result, time.Since(a.sentAt), nil)
 		return
 	}
-	b.owner.Ended(host.Outcome{Ref: a.Ref, Result: result, Text: text, Shard: control.AnyShard})
+	b.owner.AttemptEnded(host.Outcome{Ref: a.Ref, Result: result, Text: text, Shard: control.AnyShard})
 }
 
 // dial opens one more connection to a node in its own goroutine, unless one is being opened or the limit is reached.
 func (b *Backend) dial(n *node) {
-	if n.dialing > 0 || len(n.conns) >= b.settings.Conns || b.closed {
+	if n.dialing > 0 || len(n.conns) >= b.settings.MaxConns || b.closed {
 		return
 	}
 	n.dialing++
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -28,7 +28,7 @@
 	return &owner{outcomes: map[uint64]host.Outcome{}, notify: make(chan struct{}, 1)}
 }
 
-func (o *owner) Ended(x host.Outcome) {
+func (o *owner) AttemptEnded(x host.Outcome) {
 	o.mu.Lock()
 	if _, again := o.outcomes[x.Ref]; again {
 		o.duplicates++
@@ -97,12 +97,12 @@
 }
 
 func write(ref uint64, node, item string, p []byte) host.Attempt {
-	return host.Attempt{Ref: ref, ID: ref, Node: node, Left: time.Second,
+	return host.Attempt{Ref: ref, ID: ref, Node: node, Remaining: time.Second,
 		Request: &host.Request{Class: "w", Volume: "v", Item: item, Op: nodewire.Write, Units: 1, Key: item, Payload: p}}
 }
 
 func read(ref uint64, node, item string, n int) host.Attempt {
-	return host.Attempt{Ref: ref, ID: ref, Node: node, Left: time.Second,
+	return host.Attempt{Ref: ref, ID: ref, Node: node, Remaining: time.Second,
 		Request: &host.Request{Class: "r", Volume: "v", Item: item, Op: nodewire.Read, Units: 1, Length: n}}
 }
 
@@ -112,7 +112,7 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	b, o := newBackend(t, Settings{Conns: 3, Streams: 8, Waiting: 1000})
+	b, o := newBackend(t, Settings{MaxConns: 3, AttemptsPerConn: 8, MaxWaiting: 1000})
 	b.Nodes([]host.Node{listed("n", n.Addr())})
 	payload := []byte(strings.Repeat("x", 100_000))
 	for i := range uint64(200) {
@@ -145,7 +145,7 @@
 	closed.Close()
 	mute, _ := net.Listen("tcp", "127.0.0.1:0") // accepts connections and sends nothing
 	defer mute.Close()
-	b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 2, DialTimeout: 300 * time.Millisecond})
+	b, o := newBackend(t, Settings{MaxConns: 1, AttemptsPerConn: 8, MaxWaiting: 2, DialTimeout: 300 * time.Millisecond})
 	b.Nodes([]host.Node{listed("n", n.Addr()), listed("closed", closed.Addr().String()),
 		listed("mute", mute.Addr().String()), listed("other", n.Addr())})
 
@@ -220,7 +220,7 @@
 		c.Close()
 		ln.Close()
 	}()
-	b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 8})
+	b, o := newBackend(t, Settings{MaxConns: 1, AttemptsPerConn: 8, MaxWaiting: 8})
 	b.Nodes([]host.Node{listed("n", ln.Addr().String())})
 	b.Send(write(1, "n", "big", make([]byte, nodewire.MaxPayload)))
 	o.wait(t, 1)
@@ -262,7 +262,7 @@
 				go io.Copy(io.Discard, c)
 			}
 		}()
-		b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 8})
+		b, o := newBackend(t, Settings{MaxConns: 1, AttemptsPerConn: 8, MaxWaiting: 8})
 		b.Nodes([]host.Node{listed("n", ln.Addr().String())})
 		b.Send(read(1, "n", "i", 1))
 		o.wait(t, 1)
@@ -282,13 +282,13 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	b, o := newBackend(t, Settings{Conns: 1, Streams: 8, Waiting: 8, Cancelling: true, IdleClose: 100 * time.Millisecond})
+	b, o := newBackend(t, Settings{MaxConns: 1, AttemptsPerConn: 8, MaxWaiting: 8, SendCancel: true, IdleClose: 100 * time.Millisecond})
 	b.Nodes([]host.Node{listed("n", n.Addr())})
 	b.Send(write(1, "n", "i", []byte("x")))
 	waitUntil(t, func() bool { return n.Counts().Arrived == 1 })
 	b.Drop(1)
 	b.Drop(1)
-	waitUntil(t, func() bool { return b.Stats().Unwanted == 1 })
+	waitUntil(t, func() bool { return b.Stats().Unmatched == 1 })
 	b.Probe("n")
 	waitUntil(t, func() bool { o.mu.Lock(); defer o.mu.Unlock(); return len(o.probes) == 1 })
 	waitUntil(t, func() bool { return b.Stats().Conns == 0 })
--- a/internal/backend/handler.go
+++ b/internal/backend/handler.go
@@ -80,7 +80,7 @@
 func (b *Backend) protocolError(c *conn, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.stats.Broken++
+	b.stats.ProtocolErrors++
 	c.closeReason = err.Error()
 	b.log.Warn("backend: invalid frame from node, closing the connection", "node", c.node.id, "err", err)
 }
@@ -99,19 +99,19 @@
 	case *nodewire.Answer:
 		a := c.attempts[f.ID]
 		if a == nil || a.probe {
-			b.stats.Unwanted++ // the attempt was dropped
+			b.stats.Unmatched++ // the attempt was dropped
 			return nil
 		}
 		delete(c.attempts, a.id)
 		delete(b.attempts, a.Ref)
 		c.markIdle()
 		b.reportFill(c, f.Used, f.Capacity, f.Result == nodewire.NoRoom)
-		b.owner.Ended(toOutcome(a, f))
+		b.owner.AttemptEnded(toOutcome(a, f))
 	case *nodewire.Probed:
 		b.reportFill(c, f.Used, f.Capacity, false)
 		a := c.attempts[f.ID]
 		if a == nil || !a.probe { // answer to an earlier probe: it still shows that the node responds
-			b.stats.Unwanted++
+			b.stats.Unmatched++
 			b.owner.Probed(c.node.id, control.Done, 0, loadValues(f.Queue, f.LatencyUs))
 			return nil
 		}
@@ -127,8 +127,8 @@
 
 // reportFill passes the fill of a connection's shard to Settings.Filled.
 func (b *Backend) reportFill(c *conn, used, capacity uint64, noRoom bool) {
-	if b.settings.Filled != nil && (capacity > 0 || noRoom) {
-		b.settings.Filled(c.shard, used, capacity, noRoom)
+	if b.settings.OnFill != nil && (capacity > 0 || noRoom) {
+		b.settings.OnFill(c.shard, used, capacity, noRoom)
 	}
 }
 
@@ -183,7 +183,7 @@
 	waiting := n.waiting
 	n.waiting = nil
 	for i, a := range waiting {
-		if len(c.attempts) >= b.settings.Streams && len(n.conns) < b.settings.Conns {
+		if len(c.attempts) >= b.settings.AttemptsPerConn && len(n.conns) < b.settings.MaxConns {
 			n.waiting = waiting[i:]
 			b.dial(n)
 			break
--- a/internal/backend/http/answer.go
+++ b/internal/backend/http/answer.go
@@ -30,7 +30,7 @@
 	notStarted   bool
 	volumeUse    string
 	loadReport   string
-	chunks       *http1.Chunks
+	chunks       *http1.ChunkDecoder
 	untilClose   bool // the body ends with the connection
 	body         []byte
 	trailing     int // bytes received after the end of the response
@@ -105,7 +105,7 @@
 	r.head.Header = nil
 	switch {
 	case h.Body.Chunked:
-		r.chunks = &http1.Chunks{Max: http1.MaxBody}
+		r.chunks = &http1.ChunkDecoder{Max: http1.MaxBody}
 	case h.Body.Length < 0:
 		r.untilClose = true
 	case h.Body.Length > http1.MaxBody:
--- a/internal/backend/http/backend.go
+++ b/internal/backend/http/backend.go
@@ -37,12 +37,12 @@
 
 // Settings configure a Backend and bound its connections and memory.
 type Settings struct {
-	Conns       int           // most connections at a time, all nodes together
-	Bytes       int64         // most bytes of incomplete responses in memory, all nodes together
-	Idle        time.Duration // idle time after which nodes close a connection
-	DialTimeout time.Duration // 0: defaultDialTimeout
-	Service     string        // the Host field of requests
-	LoadFields  []string      // names of the values of a load report, in the order the host expects
+	MaxConns         int           // most connections at a time, all nodes together
+	MaxResponseBytes int64         // most bytes of incomplete responses in memory, all nodes together
+	NodeIdleTimeout  time.Duration // idle time after which nodes close a connection
+	DialTimeout      time.Duration // 0: defaultDialTimeout
+	HostHeader       string        // the Host field of requests
+	LoadFields       []string      // names of the values of a load report, in the order the host expects
 }
 
 // Backend is the set of connections to all nodes.
@@ -81,7 +81,7 @@
 	draining    bool
 	waiting     []*attempt
 	wakePending bool // a timer for connections in their rest period is set
-	traffic     Passed
+	traffic     NodeTraffic
 }
 
 type attempt struct {
@@ -96,24 +96,24 @@
 		settings.DialTimeout = defaultDialTimeout
 	}
 	b := &Backend{settings: settings, loop: l, log: log, startTime: time.Now(), nodes: map[string]*node{}, attempts: map[uint64]*attempt{},
-		pool: connpool.New[*conn](connpool.Settings{Total: settings.Conns, Idle: settings.Idle})}
+		pool: connpool.New[*conn](connpool.Settings{MaxConnections: settings.MaxConns, IdleTimeout: settings.NodeIdleTimeout})}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	go l.Every(b.ctx, sweepInterval, b.sweep)
 	return b
 }
 
 // Own sets the owner, which receives outcomes. It must be called before the first Send.
-func (b *Backend) Own(o backend.Owner) { b.owner = o }
+func (b *Backend) SetOwner(o backend.Owner) { b.owner = o }
 
 // Close stops opening connections; those that are open end with the loop.
 func (b *Backend) Close() {
 	b.cancel()
-	b.loop.Do(func() { b.closed = true })
+	b.loop.Post(func() { b.closed = true })
 }
 
 // Stats calls f, on the loop, with the counters.
 func (b *Backend) Stats(f func(Stats)) {
-	b.loop.Do(func() {
+	b.loop.Post(func() {
 		s := b.stats
 		s.Conns, s.Out = b.pool.Total(), len(b.attempts)
 		for _, n := range b.nodes {
@@ -124,21 +124,21 @@
 }
 
 // Passed is the traffic on the connections of one node.
-type Passed struct {
-	Out, Waiting, Idle, Opening int
-	Written, Answered, Spoilt   uint64
-	Answer                      time.Duration // moving average of the time from a request's last byte to its response's
-	Load                        []float64     // the last load report
+type NodeTraffic struct {
+	InFlight, Waiting, Idle, Opening int
+	Written, Responses, Invalid      uint64
+	ResponseTime                     time.Duration // moving average of the time from a request's last byte to its response's
+	Load                             []float64     // the last load report
 }
 
 // Passed calls f, on the loop, with the traffic by node.
-func (b *Backend) Passed(f func(map[string]Passed)) {
-	b.loop.Do(func() {
-		m := make(map[string]Passed, len(b.nodes))
+func (b *Backend) Traffic(f func(map[string]NodeTraffic)) {
+	b.loop.Post(func() {
+		m := make(map[string]NodeTraffic, len(b.nodes))
 		for id, n := range b.nodes {
 			p := n.traffic
 			p.Waiting = len(n.waiting)
-			p.Out, p.Idle, p.Opening = b.pool.Count(id)
+			p.InFlight, p.Idle, p.Opening = b.pool.Count(id)
 			m[id] = p
 		}
 		f(m)
@@ -151,7 +151,7 @@
 // attempts on them have ended.
 func (b *Backend) Nodes(list []host.Node) {
 	list = slices.Clone(list)
-	b.loop.Do(func() {
+	b.loop.Post(func() {
 		for _, n := range b.nodes {
 			n.listed = false
 		}
@@ -174,10 +174,10 @@
 
 // sweep closes connections that have idled too long and removes nodes that are neither listed nor in use.
 func (b *Backend) sweep() {
-	old := b.pool.Old(b.now(), func(id string) bool { n := b.nodes[id]; return n != nil && n.listed })
+	old := b.pool.RemoveExpired(b.now(), func(id string) bool { n := b.nodes[id]; return n != nil && n.listed })
 	for _, c := range old {
 		c.pooled = false
-		b.loop.Finish(c.g)
+		b.loop.CloseGracefully(c.g)
 	}
 	for id, n := range b.nodes {
 		if busy, idle, opening := b.pool.Count(id); !n.listed && len(n.waiting)+busy+idle+opening == 0 {
@@ -192,7 +192,7 @@
 // Send writes an attempt to a connection, or queues it until one is available.
 func (b *Backend) Send(a host.Attempt) {
 	att := &attempt{Attempt: a, queuedAt: time.Now()}
-	b.loop.Do(func() { b.send(att) })
+	b.loop.Post(func() { b.send(att) })
 }
 
 func (b *Backend) send(a *attempt) {
@@ -239,7 +239,7 @@
 			n.waiting = slices.Delete(n.waiting, 0, 1)
 			c.writeRequest(a)
 			continue
-		case connpool.Resume:
+		case connpool.WaitForIdle:
 			if mayDial {
 				b.stats.Rested++
 			}
@@ -268,14 +268,14 @@
 		return "the node drains"
 	case a.remaining() < time.Millisecond:
 		return "the client's time is over"
-	case a.Begin > 0 && time.Since(a.queuedAt) >= a.Begin:
+	case a.BeginWithin > 0 && time.Since(a.queuedAt) >= a.BeginWithin:
 		return "its effect would be repeated: the window for that is over"
 	}
 	return ""
 }
 
 // remaining returns the time left until the client's deadline.
-func (a *attempt) remaining() time.Duration { return a.Left - time.Since(a.queuedAt) }
+func (a *attempt) remaining() time.Duration { return a.Remaining - time.Since(a.queuedAt) }
 
 // scheduleDispatch calls dispatch when the rest period of a connection to the node ends.
 func (b *Backend) scheduleDispatch(n *node) {
@@ -285,7 +285,7 @@
 	}
 	n.wakePending = true
 	time.AfterFunc(max(0, at-b.now()), func() {
-		b.loop.Do(func() {
+		b.loop.Post(func() {
 			n.wakePending = false
 			b.dispatch(n, false)
 		})
@@ -303,7 +303,7 @@
 			err = b.loop.Add(raw, c)
 		}
 		if err != nil {
-			b.loop.Do(func() { b.dialFailed(n, err) })
+			b.loop.Post(func() { b.dialFailed(n, err) })
 		}
 	}()
 }
@@ -326,7 +326,7 @@
 
 // Drop abandons an attempt whose response is no longer needed and closes its connection.
 func (b *Backend) Drop(ref uint64) {
-	b.loop.Do(func() {
+	b.loop.Post(func() {
 		a := b.attempts[ref]
 		if a == nil {
 			return
@@ -345,7 +345,7 @@
 
 // Withdraw ends an attempt that waits for a connection; its result is NotSent.
 func (b *Backend) Withdraw(ref uint64) {
-	b.loop.Do(func() {
+	b.loop.Post(func() {
 		if a := b.attempts[ref]; a != nil && a.conn == nil {
 			b.dequeue(a)
 			b.stats.Barred++
@@ -365,7 +365,7 @@
 func (b *Backend) report(a *attempt, o host.Outcome) {
 	delete(b.attempts, a.Ref)
 	o.Ref, o.Shard = a.Ref, control.AnyShard
-	b.owner.Ended(o)
+	b.owner.AttemptEnded(o)
 }
 
 // conn is one connection to a node.
@@ -408,7 +408,7 @@
 	remaining := max(1, a.remaining().Milliseconds())
 	buf := make([]byte, 0, 256+len(m.Target)+len(m.Body))
 	buf = http1.AppendRequestLine(buf, m.Method, m.Target)
-	buf = http1.AppendField(buf, "Host", c.b.settings.Service)
+	buf = http1.AppendField(buf, "Host", c.b.settings.HostHeader)
 	buf = http1.AppendField(buf, "Request-Id", m.ID)
 	if m.Key != "" {
 		buf = http1.AppendField(buf, "Idempotency-Key", m.Key)
@@ -442,7 +442,7 @@
 	}
 	if c.attempt == nil { // bytes beyond the last response, or garbage
 		c.b.stats.Excess++
-		c.b.pool.Excess(c.b.now())
+		c.b.pool.UnexpectedBytes(c.b.now())
 		return gnet.Close
 	}
 	done, err := c.response.feed(p)
@@ -473,14 +473,14 @@
 // rejectResponse ends the attempt in flight because its response is invalid or too large.
 func (c *conn) rejectResponse(err error) {
 	c.b.stats.Spoilt++
-	c.node.traffic.Spoilt++
-	c.endAttempt(host.Outcome{Result: outcome.OfSpoilt(), Text: "spoilt answer: " + err.Error()})
+	c.node.traffic.Invalid++
+	c.endAttempt(host.Outcome{Result: outcome.OfMalformed(), Text: "spoilt answer: " + err.Error()})
 }
 
 // enforceByteLimit rejects the largest incomplete responses until the total is within the limit. It bounds memory
 // when endless responses arrive on many connections at once.
 func (b *Backend) enforceByteLimit() {
-	for b.heldBytes > b.settings.Bytes {
+	for b.heldBytes > b.settings.MaxResponseBytes {
 		var largest *conn
 		for _, a := range b.attempts {
 			if a.conn != nil && (largest == nil || a.conn.heldBytes > largest.heldBytes) {
@@ -490,7 +490,7 @@
 		if largest == nil {
 			return
 		}
-		largest.rejectResponse(fmt.Errorf("over %d bytes of answers that are not whole", b.settings.Bytes))
+		largest.rejectResponse(fmt.Errorf("over %d bytes of answers that are not whole", b.settings.MaxResponseBytes))
 		largest.discardUnsent()
 		b.loop.Close(largest.g)
 	}
@@ -505,12 +505,12 @@
 }
 
 // addResponse records a complete response and its load report.
-func (p *Passed) addResponse(took time.Duration, load []float64) {
-	p.Answered++
-	if p.Answer == 0 {
-		p.Answer = took
+func (p *NodeTraffic) addResponse(took time.Duration, load []float64) {
+	p.Responses++
+	if p.ResponseTime == 0 {
+		p.ResponseTime = took
 	}
-	p.Answer += (took - p.Answer) / 8
+	p.ResponseTime += (took - p.ResponseTime) / 8
 	if load != nil {
 		p.Load = load
 	}
@@ -527,9 +527,9 @@
 // release returns the connection to the pool.
 func (c *conn) release() {
 	c.inUse = false
-	c.b.pool.Done(c.b.now(), c.node.id, c)
+	c.b.pool.Released(c.b.now(), c.node.id, c)
 	c.b.scheduleDispatch(c.node)
-	if c.b.pool.Total() >= c.b.settings.Conns {
+	if c.b.pool.Total() >= c.b.settings.MaxConns {
 		c.b.dispatchWaiting() // this idle connection may be evicted for another node's
 	}
 }
@@ -548,12 +548,12 @@
 	b := c.b
 	if c.pooled {
 		if c.inUse {
-			b.pool.Ended(c.node.id)
+			b.pool.BusyClosed(c.node.id)
 		} else {
-			b.pool.Lost(c.node.id, c)
+			b.pool.IdleClosed(c.node.id, c)
 		}
 	}
-	if a := c.attempt; a != nil && !b.closed && c.response.untilClose && outcome.Ends(err) {
+	if a := c.attempt; a != nil && !b.closed && c.response.untilClose && outcome.EndsAnswer(err) {
 		c.endAttempt(c.finishResponse())
 	}
 	if a := c.attempt; a != nil && !b.closed {
@@ -575,7 +575,7 @@
 func (b *Backend) dispatchWaiting() {
 	for _, n := range b.nodes {
 		if _, idle, opening := b.pool.Count(n.id); len(n.waiting) > idle+opening {
-			b.loop.Do(func() { b.dispatch(n, true) })
+			b.loop.Post(func() { b.dispatch(n, true) })
 		}
 	}
 }
--- a/internal/backend/http/backend_test.go
+++ b/internal/backend/http/backend_test.go
@@ -24,7 +24,7 @@
 // owner collects outcomes in place of the host.
 type owner chan host.Outcome
 
-func (o owner) Ended(out host.Outcome)                                  { o <- out }
+func (o owner) AttemptEnded(out host.Outcome)                           { o <- out }
 func (o owner) Probed(string, control.Result, time.Duration, []float64) {}
 
 // harness is a backend on its own loop, with the outcomes that it reports.
@@ -41,9 +41,9 @@
 		t.Fatal(err)
 	}
 	r := &harness{outcomes: make(owner, 100_000)}
-	r.Backend = New(Settings{Conns: conns, Bytes: 4 << 20, Idle: time.Minute, DialTimeout: 2 * time.Second, Service: "s",
+	r.Backend = New(Settings{MaxConns: conns, MaxResponseBytes: 4 << 20, NodeIdleTimeout: time.Minute, DialTimeout: 2 * time.Second, HostHeader: "s",
 		LoadFields: []string{"queue", "latency_ms"}}, l, slog.New(slog.DiscardHandler))
-	r.Own(r.outcomes)
+	r.SetOwner(r.outcomes)
 	var list []host.Node
 	for i, a := range addrs {
 		list = append(list, host.Node{Addr: a, Node: control.Node{ID: string(rune('a' + i))}})
@@ -62,7 +62,7 @@
 func (r *harness) send(node, body string) uint64 {
 	r.next++
 	m := &http1.Message{Method: "PUT", Target: "/api/v/i", ID: "0123456789abcdef", Key: "k", Body: []byte(body)}
-	r.Send(host.Attempt{Ref: r.next, Node: node, Left: 5 * time.Second, Request: &host.Request{Message: m}})
+	r.Send(host.Attempt{Ref: r.next, Node: node, Remaining: 5 * time.Second, Request: &host.Request{Message: m}})
 	return r.next
 }
 
@@ -399,8 +399,8 @@
 			req := &host.Request{Message: &http1.Message{Method: "GET", Target: "/api/v/i", ID: "00000000000000ff"}}
 			r.next++
 			ref := r.next
-			r.Send(host.Attempt{Ref: ref, Node: "b", Left: c.left, Begin: c.begin, Request: req}) // the connection limit is reached
-			r.readStats()                                                                         // the attempt is queued once this returns
+			r.Send(host.Attempt{Ref: ref, Node: "b", Remaining: c.left, BeginWithin: c.begin, Request: req}) // the connection limit is reached
+			r.readStats()                                                                                    // the attempt is queued once this returns
 			c.change(r, ref, req, [2]string{slow.Addr(), other.Addr()})
 			if c.atOnce {
 				if o := <-r.outcomes; o.Ref != ref || o.Result != control.NotSent {
@@ -555,8 +555,8 @@
 		}
 	}
 	held := make(chan int64)
-	r.loop.Do(func() { held <- r.heldBytes })
-	if b := <-held; b > r.settings.Bytes {
+	r.loop.Post(func() { held <- r.heldBytes })
+	if b := <-held; b > r.settings.MaxResponseBytes {
 		t.Fatalf("%d bytes held", b)
 	}
 }
@@ -576,7 +576,7 @@
 	r.Nodes(nil)
 	n.Alone(0)
 	done := make(chan [2]int)
-	r.loop.Do(func() { done <- [2]int{len(r.nodes), len(r.attempts)} })
+	r.loop.Post(func() { done <- [2]int{len(r.nodes), len(r.attempts)} })
 	if left := <-done; left[0] > 1 || left[1] != 0 {
 		t.Fatalf("%d nodes and %d attempts remain", left[0], left[1])
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -264,13 +264,13 @@
 			BulkAbove: 8 << 20, Write: "record-write", Collect: "collect"},
 		Rsync: Rsync{Listen: "127.0.0.1:8730", Loops: 2, MOTD: "", Extent: 256 << 10, Conns: 4000, Files: 1_000_000,
 			Budget: 512 << 20, Handshake: Duration(20 * time.Second), Stall: Duration(5 * time.Minute)},
-		Pacing: Pacing{Tries: p.Tries, Patience: Duration(p.Patience), TimeoutPart: p.TimeoutPart, Least: Duration(p.Least),
-			WindowStart: p.WindowStart, WindowTop: p.WindowTop, ShardPause: Duration(p.ShardPause), LeaveOut: p.LeaveOut},
-		Place: Place{Choice: placement.Default.Choice, Width: placement.Default.Width, Whole: placement.Default.WholeUpTo,
+		Pacing: Pacing{Tries: p.MaxTries, Patience: Duration(p.ExtentTimeout), TimeoutPart: p.TimeoutFraction, Least: Duration(p.MinTryTime),
+			WindowStart: p.InitialWindow, WindowTop: p.MaxWindow, ShardPause: Duration(p.ShardPause), LeaveOut: p.MaxFilesLeftOut},
+		Place: Place{Choice: placement.Default.Choice, Width: placement.Default.Width, Whole: placement.Default.MaxWholeFileBytes,
 			High: placement.DefaultMarks.High, Low: placement.DefaultMarks.Low, Hold: Duration(placement.DefaultMarks.Hold)},
 		Moves:  Moves{AtOnce: mover.Default.PerShard, Copies: mover.Default.Copies, Rate: mover.Default.Rate, Tries: mover.Default.Tries},
 		Shares: Shares{Poll: Duration(2 * time.Second), Keep: 5},
-		Forecast: Forecast{Slot: Duration(forecast.Default.Slot), Days: forecast.Default.Days, Volumes: forecast.Default.Most,
+		Forecast: Forecast{Slot: Duration(forecast.Default.Slot), Days: forecast.Default.Days, Volumes: forecast.Default.MaxVolumes,
 			Write: Duration(5 * time.Minute)},
 		Recorder: Recorder{FileSize: 64 << 20, Files: 4},
 		Classes: []Class{
@@ -480,12 +480,12 @@
 // Settings are the controller's.
 func (c *Config) Settings() (control.Settings, error) {
 	s, w := &c.Safety, &c.Worth
-	set := control.Settings{Hosts: c.Gateway.Hosts, MeanUnits: w.MeanUnits, MostUnits: w.MostUnits,
+	set := control.Settings{Hosts: c.Gateway.Hosts, MeanUnits: w.MeanUnits, MaxUnits: w.MostUnits,
 		ShareWorth: w.ShareWorth, SpareWorth: w.SpareWorth, MeterSpan: w.MeterSpan.D(), Shards: w.Shards,
 		MaxAttempts: s.MaxAttempts, MaxRetryAfter: s.MaxRetryAfter.D(), SecondCopies: s.SecondCopies,
-		Cancelling: c.Nodes.Cancel, DrainGrace: s.DrainGrace.D(), ColdFor: s.ColdFor.D(), ColdCapacity: s.ColdCapacity,
-		FallMultiple: s.FallMultiple, FallSpan: s.FallSpan.D(), ColdBears: s.ColdBears,
-		ExtraFree: s.ExtraFree, ExtraShare: s.ExtraShare, ExtraSpan: s.ExtraSpan.D(), OrderRest: s.OrderRest.D(),
+		Cancelling: c.Nodes.Cancel, DrainGrace: s.DrainGrace.D(), WarmupDuration: s.ColdFor.D(), ColdCapacityFraction: s.ColdCapacity,
+		OverloadMultiple: s.FallMultiple, OverloadSpan: s.FallSpan.D(), ColdMinUnits: s.ColdBears,
+		RetryBudgetBase: s.ExtraFree, RetryBudgetRatio: s.ExtraShare, RetryBudgetSpan: s.ExtraSpan.D(), OrderPause: s.OrderRest.D(),
 		LoadFields: backend.LoadFields}
 	for i, cl := range c.Classes {
 		effect, ok := effects[cl.Effect]
@@ -516,12 +516,12 @@
 // ForecastSettings are those of package forecast.
 func (c *Config) ForecastSettings() forecast.Settings {
 	f := &c.Forecast
-	return forecast.Settings{Gateway: c.Gateway.Name, Slot: f.Slot.D(), Days: f.Days, Most: f.Volumes}
+	return forecast.Settings{Gateway: c.Gateway.Name, Slot: f.Slot.D(), Days: f.Days, MaxVolumes: f.Volumes}
 }
 
 // PlacementSettings are those of package placement.
 func (c *Config) PlacementSettings() placement.Settings {
-	return placement.Settings{Choice: c.Place.Choice, Width: c.Place.Width, WholeUpTo: c.Place.Whole}
+	return placement.Settings{Choice: c.Place.Choice, Width: c.Place.Width, MaxWholeFileBytes: c.Place.Whole}
 }
 
 // Marks are those of the placement.
@@ -532,8 +532,8 @@
 // PacingSettings are those of package pacing.
 func (c *Config) PacingSettings() pacing.Settings {
 	p := &c.Pacing
-	return pacing.Settings{Tries: p.Tries, Patience: p.Patience.D(), TimeoutPart: p.TimeoutPart, Least: p.Least.D(),
-		WindowStart: p.WindowStart, WindowTop: p.WindowTop, ShardPause: p.ShardPause.D(), LeaveOut: p.LeaveOut}
+	return pacing.Settings{MaxTries: p.Tries, ExtentTimeout: p.Patience.D(), TimeoutFraction: p.TimeoutPart, MinTryTime: p.Least.D(),
+		InitialWindow: p.WindowStart, MaxWindow: p.WindowTop, ShardPause: p.ShardPause.D(), MaxFilesLeftOut: p.LeaveOut}
 }
 
 // ReadSecrets reads a secrets file, lines of user:password, # for comments. It is
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -107,7 +107,7 @@
 	consumed   func() int64 // returns the number of bytes that the JSON decoder has consumed
 	readBuffer [16 << 10]byte
 	unread     []byte // decoded and not yet returned by Read
-	chunks     *http1.Chunks
+	chunks     *http1.ChunkDecoder
 	remaining  int64 // bytes left of a body with a Content-Length; negative: until the connection ends
 	received   int64
 	done       bool
@@ -139,7 +139,7 @@
 		}
 		b.remaining = h.Body.Length
 		if h.Body.Chunked {
-			b.chunks = &http1.Chunks{}
+			b.chunks = &http1.ChunkDecoder{}
 		}
 		return b.decode(in[size:])
 	}
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -36,20 +36,20 @@
 // Host serves requests; internal/host implements it.
 type Host interface {
 	Submit(*host.Request) (uint64, error)
-	Leave(id uint64)
+	ClientGone(id uint64)
 	Now() time.Duration
 }
 
 // Options configure a Front.
 type Options struct {
-	Listen   string
-	Settings control.Settings
-	Conns    int   // most connections at a time
-	Bytes    int64 // most bytes of requests in memory
-	Host     Host
-	Ready    func() bool // reports whether the host can serve requests
-	Loop     *loop.Loop
-	Log      *slog.Logger
+	Listen          string
+	Settings        control.Settings
+	MaxConns        int   // most connections at a time
+	MaxRequestBytes int64 // most bytes of requests in memory
+	Host            Host
+	Ready           func() bool // reports whether the host can serve requests
+	Loop            *loop.Loop
+	Log             *slog.Logger
 }
 
 // Front is a running front.
@@ -110,7 +110,7 @@
 
 // Stats calls fn, on the loop, with the counters.
 func (f *Front) Stats(fn func(Stats)) {
-	f.opt.Loop.Do(func() {
+	f.opt.Loop.Post(func() {
 		s := f.stats
 		s.Conns, s.Open, s.Held = len(f.conns), len(f.openRequests), f.heldBytes
 		fn(s)
@@ -124,11 +124,11 @@
 	pause := time.Millisecond
 	for {
 		f.mu.Lock()
-		for f.accepted >= f.opt.Conns && !f.closing {
-			f.opt.Loop.Do(f.evictIfFull)
+		for f.accepted >= f.opt.MaxConns && !f.closing {
+			f.opt.Loop.Post(f.evictIfFull)
 			f.changed.Wait()
 		}
-		if f.accepted >= f.opt.Conns { // no place for the connections in the kernel's queue
+		if f.accepted >= f.opt.MaxConns { // no place for the connections in the kernel's queue
 			f.mu.Unlock()
 			return
 		}
@@ -166,7 +166,7 @@
 func (f *Front) usage() (used, limit int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.accepted, f.opt.Conns
+	return f.accepted, f.opt.MaxConns
 }
 
 // sweep closes connections whose time is over.
@@ -185,8 +185,8 @@
 				continue
 			}
 		}
-		switch limits.Judge(now, c.state(), used, limit) {
-		case limits.Leave:
+		switch limits.Decide(now, c.state(), used, limit) {
+		case limits.Close:
 			c.evict()
 		case limits.Late:
 			f.stats.Late++
@@ -210,7 +210,7 @@
 	var worst *conn
 	worstRank := 0.0
 	for c := range f.conns {
-		if rank, evictable := limits.Rank(now, c.state()); evictable && (worst == nil || rank > worstRank) {
+		if rank, evictable := limits.EvictionRank(now, c.state()); evictable && (worst == nil || rank > worstRank) {
 			worst, worstRank = c, rank
 		}
 	}
@@ -224,9 +224,9 @@
 // meanwhile, it stays open and they are read.
 func (c *conn) evict() {
 	switch {
-	case c.flushing || !c.hadRequest && !c.state().Begun && !loop.Unread(c.g): // no answer can be lost
+	case c.flushing || !c.hadRequest && !c.state().PartialRequest && !loop.HasUnread(c.g): // no answer can be lost
 		c.f.opt.Loop.Close(c.g)
-	case loop.Unread(c.g):
+	case loop.HasUnread(c.g):
 		return
 	default:
 		c.finish()
@@ -238,20 +238,20 @@
 func (c *conn) finish() {
 	c.closing, c.stateSince = true, c.f.opt.Host.Now()
 	c.f.discardBuffered(c)
-	c.f.opt.Loop.Finish(c.g)
+	c.f.opt.Loop.CloseGracefully(c.g)
 }
 
 // EndBy limits the deadline of further requests to a time of the host's clock, even if their clients would wait
 // longer.
-func (f *Front) EndBy(until time.Duration) { f.opt.Loop.Do(func() { f.endBy = until }) }
+func (f *Front) LimitDeadlines(until time.Duration) { f.opt.Loop.Post(func() { f.endBy = until }) }
 
 // KeepAlive keeps connections open after their answers however few places are left. It is used during shutdown,
 // when clients can open no other connections.
-func (f *Front) KeepAlive() { f.opt.Loop.Do(func() { f.keepAlive = true }) }
+func (f *Front) KeepAlive() { f.opt.Loop.Post(func() { f.keepAlive = true }) }
 
 // Drain closes idle connections, and each other connection after its next answer.
 func (f *Front) Drain() {
-	f.opt.Loop.Do(func() {
+	f.opt.Loop.Post(func() {
 		f.draining = true
 		f.closeIdle()
 	})
@@ -261,7 +261,7 @@
 // or unread, stays open until that request is answered.
 func (f *Front) closeIdle() {
 	for c := range f.conns {
-		if c.req == nil && !c.state().Begun && !c.flushing && !c.closing && !loop.Unread(c.g) {
+		if c.req == nil && !c.state().PartialRequest && !c.flushing && !c.closing && !loop.HasUnread(c.g) {
 			c.finish()
 		}
 	}
@@ -269,7 +269,7 @@
 
 // CloseIdle closes idle connections again and calls fn, on the loop, with the number of connections left.
 func (f *Front) CloseIdle(fn func(conns int)) {
-	f.opt.Loop.Do(func() {
+	f.opt.Loop.Post(func() {
 		f.closeIdle()
 		fn(len(f.conns))
 	})
@@ -277,12 +277,12 @@
 
 // Shut closes all connections without an open request. A partly read request is refused; unread bytes are
 // discarded.
-func (f *Front) Shut() {
-	f.opt.Loop.Do(func() {
+func (f *Front) CloseWithoutRequest() {
+	f.opt.Loop.Post(func() {
 		for c := range f.conns {
 			switch {
 			case c.closing || c.req != nil:
-			case c.state().Begun && !c.flushing:
+			case c.state().PartialRequest && !c.flushing:
 				c.reject(503, "the host ends")
 			default:
 				c.finish()
@@ -318,17 +318,17 @@
 	headParsed bool          // the head of the present request is complete, its body may not be
 	pending    *host.Request // the request of that head; nil: a health check
 	headLen    int
-	messageLen int           // bytes of head and body together
-	chunks     *http1.Chunks // decodes the body, where it is chunked; nil: it has a length
-	chunkData  []byte        // the body as decoded so far
-	req        *host.Request // open at the host; nil: none
-	hostID     uint64        // of req, as returned by Submit
-	bodyBytes  int           // bytes of req's body, counted as held until its answer
-	closeAfter bool          // the connection closes after the next answer
-	discarding bool          // input is discarded, and the connection closes after the next answer
-	hadRequest bool          // at least one complete request has been read
-	flushing   bool          // the last answer is not written completely
-	closing    bool          // being closed: no requests are read from it
+	messageLen int                 // bytes of head and body together
+	chunks     *http1.ChunkDecoder // decodes the body, where it is chunked; nil: it has a length
+	chunkData  []byte              // the body as decoded so far
+	req        *host.Request       // open at the host; nil: none
+	hostID     uint64              // of req, as returned by Submit
+	bodyBytes  int                 // bytes of req's body, counted as held until its answer
+	closeAfter bool                // the connection closes after the next answer
+	discarding bool                // input is discarded, and the connection closes after the next answer
+	hadRequest bool                // at least one complete request has been read
+	flushing   bool                // the last answer is not written completely
+	closing    bool                // being closed: no requests are read from it
 	closed     bool
 	openedAt   time.Duration
 	stateSince time.Duration // when the connection began to receive, to write or to wait
@@ -336,7 +336,7 @@
 
 // state returns the connection's state, from which package limits decides whether to evict it.
 func (c *conn) state() limits.Conn {
-	return limits.Conn{Open: c.req != nil, Taking: c.flushing, Ending: c.closing, Asked: c.hadRequest, Begun: len(c.buf) > 0 || c.chunks != nil,
+	return limits.Conn{Open: c.req != nil, WritingAnswer: c.flushing, Closing: c.closing, HasRequested: c.hadRequest, PartialRequest: len(c.buf) > 0 || c.chunks != nil,
 		Opened: c.openedAt, Since: c.stateSince}
 }
 
@@ -358,7 +358,7 @@
 	if c.req != nil {
 		f.stats.Left++
 		c.req.Abandon()
-		f.opt.Host.Leave(c.hostID)
+		f.opt.Host.ClientGone(c.hostID)
 		c.requestDone()
 	}
 	f.releasePlace()
@@ -367,14 +367,14 @@
 // reclaimBytes reports whether n more bytes may be held for a connection. If necessary it refuses the connections
 // that hold the most bytes of an incomplete request.
 func (f *Front) reclaimBytes(c *conn, n int) bool {
-	for f.heldBytes+int64(n) > f.opt.Bytes {
+	for f.heldBytes+int64(n) > f.opt.MaxRequestBytes {
 		var largest *conn
 		for o := range f.conns {
 			if o != c && o.req == nil && !o.flushing && !o.closing && (largest == nil || o.bufferedBytes() > largest.bufferedBytes()) {
 				largest = o
 			}
 		}
-		if largest == nil || !limits.Yields(largest.bufferedBytes(), c.bufferedBytes()+n) {
+		if largest == nil || !limits.EvictForRequest(largest.bufferedBytes(), c.bufferedBytes()+n) {
 			return false
 		}
 		largest.reject(503, "more bytes of requests held than allowed")
@@ -497,7 +497,7 @@
 	}
 	expects := h.Minor > 0 && http1.ExpectsContinue(h.Header) && len(c.buf) == n
 	if h.Body.Chunked {
-		c.chunks = &http1.Chunks{Max: http1.MaxBody}
+		c.chunks = &http1.ChunkDecoder{Max: http1.MaxBody}
 		c.f.heldBytes -= int64(n)
 		c.buf = c.buf[:copy(c.buf, c.buf[n:])]
 	} else {
@@ -543,11 +543,11 @@
 		r.Expires = min(r.Expires, max(time.Millisecond, f.endBy-f.opt.Host.Now()))
 	}
 	f.stats.Requests++
-	r.Answer = func(a host.Answer) { f.opt.Loop.Do(func() { c.deliver(r, a) }) }
+	r.Answer = func(a host.Answer) { f.opt.Loop.Post(func() { c.deliver(r, a) }) }
 	id, err := f.opt.Host.Submit(r)
 	if err != nil { // nothing has run, so the client may retry
 		f.stats.Refused++
-		c.respond(503, formatRetryAfter(limits.Again), []byte(err.Error()+"\n"))
+		c.respond(503, formatRetryAfter(limits.RetryDelay), []byte(err.Error()+"\n"))
 		return
 	}
 	c.req, c.hostID, c.bodyBytes = r, id, len(r.Message.Body)
@@ -587,14 +587,14 @@
 	c.f.discardBuffered(c)
 	retryIn := ""
 	if status == 503 {
-		retryIn = formatRetryAfter(limits.Again)
+		retryIn = formatRetryAfter(limits.RetryDelay)
 	}
 	c.respond(status, retryIn, []byte(text+"\n"))
 }
 
 // respond writes one answer and closes the connection if no further request is served on it.
 func (c *conn) respond(status int, retryAfter string, body []byte) {
-	closeConn := c.closeAfter || c.discarding || c.f.draining || !c.f.keepAlive && !limits.Keep(c.f.usage())
+	closeConn := c.closeAfter || c.discarding || c.f.draining || !c.f.keepAlive && !limits.KeepAlive(c.f.usage())
 	b := make([]byte, 0, 192+len(body))
 	b = http1.AppendStatus(b, status)
 	b = http1.AppendIntField(b, "Content-Length", int64(len(body)))
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -42,7 +42,7 @@
 	return h.next, nil
 }
 
-func (h *fakeHost) Leave(id uint64) { h.left <- id }
+func (h *fakeHost) ClientGone(id uint64) { h.left <- id }
 
 func (h *fakeHost) Now() time.Duration {
 	h.mu.Lock()
@@ -70,8 +70,8 @@
 		t.Fatal(err)
 	}
 	h := &fakeHost{submitted: make(chan *host.Request, 10_000), left: make(chan uint64, 10_000)}
-	f, err := Start(Options{Listen: "127.0.0.1:0", Conns: conns, Bytes: 4 << 20, Host: h, Ready: func() bool { return true }, Loop: l,
-		Settings: control.Settings{Shards: 8, MostUnits: 6, Plans: []control.Plan{{Name: "gold"}}, Classes: []control.Class{
+	f, err := Start(Options{Listen: "127.0.0.1:0", MaxConns: conns, MaxRequestBytes: 4 << 20, Host: h, Ready: func() bool { return true }, Loop: l,
+		Settings: control.Settings{Shards: 8, MaxUnits: 6, Plans: []control.Plan{{Name: "gold"}}, Classes: []control.Class{
 			{Name: "read"}, {Name: "write", Effect: control.Keyed, Group: control.GroupCell, Writes: true}}},
 		Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
@@ -383,8 +383,8 @@
 		got := make(chan Stats)
 		r.Stats(func(s Stats) { got <- s })
 		s := <-got
-		if s.Held > r.opt.Bytes+large {
-			t.Fatalf("%d bytes held, %d allowed", s.Held, r.opt.Bytes)
+		if s.Held > r.opt.MaxRequestBytes+large {
+			t.Fatalf("%d bytes held, %d allowed", s.Held, r.opt.MaxRequestBytes)
 		}
 		taken, rejected = int(s.Requests), int(s.Wrong)
 	}
@@ -411,7 +411,7 @@
 	go c.send(strings.Repeat("x", 4<<20))
 	for doomed := false; !doomed; {
 		got := make(chan bool)
-		r.opt.Loop.Do(func() {
+		r.opt.Loop.Post(func() {
 			one := false
 			for c := range r.conns {
 				one = c.discarding
@@ -496,7 +496,7 @@
 func (r *harness) on(f func(*conn)) {
 	r.t.Helper()
 	done := make(chan bool)
-	r.opt.Loop.Do(func() {
+	r.opt.Loop.Post(func() {
 		defer close(done)
 		if len(r.conns) != 1 {
 			r.t.Errorf("%d connections", len(r.conns))
@@ -535,7 +535,7 @@
 	c.answer()
 	r.on(func(k *conn) {
 		go c.send(get(id(1)))
-		for !loop.Unread(k.g) { // blocks the loop until the request has arrived
+		for !loop.HasUnread(k.g) { // blocks the loop until the request has arrived
 		}
 		r.draining = true
 		r.closeIdle()
@@ -558,7 +558,7 @@
 	idle.answer()
 	r.waitBegun(1, 3)
 	r.Drain()
-	r.Shut()
+	r.CloseWithoutRequest()
 	if s, _, h := half.answer(); s != 503 || h.Get("Connection") != "close" {
 		t.Fatalf("%d %v", s, h)
 	}
@@ -589,7 +589,7 @@
 				c.send(get(id(2 + i)))
 			}
 		}()
-		for !loop.Unread(k.g) { // blocks the loop until some have arrived
+		for !loop.HasUnread(k.g) { // blocks the loop until some have arrived
 		}
 		k.deliver(q, served(body))
 	})
@@ -656,7 +656,7 @@
 func (r *harness) waitBegun(begun, all int) {
 	for {
 		got := make(chan [2]int)
-		r.opt.Loop.Do(func() {
+		r.opt.Loop.Post(func() {
 			n := 0
 			for c := range r.conns {
 				if len(c.buf) > 0 {
@@ -791,7 +791,7 @@
 		r.Stats(func(s Stats) { got <- s })
 		s := <-got
 		rejected = s.Wrong
-		if s.Held > r.opt.Bytes {
+		if s.Held > r.opt.MaxRequestBytes {
 			t.Fatalf("%d bytes held", s.Held)
 		}
 	}
@@ -868,7 +868,7 @@
 		t.Errorf("%d bytes more in the second half", grown)
 	}
 	got := make(chan int)
-	r.opt.Loop.Do(func() { got <- len(r.conns) + len(r.openRequests) })
+	r.opt.Loop.Post(func() { got <- len(r.conns) + len(r.openRequests) })
 	if n := <-got; n != 0 {
 		t.Fatalf("%d entries remain", n)
 	}
@@ -878,7 +878,7 @@
 func FuzzParseRequest(f *testing.F) {
 	f.Add([]byte(get(id(1))))
 	f.Add([]byte(strings.Replace(get(id(1)), "units=2", "units=1e309", 1)))
-	rs := newRules(control.Settings{Shards: 8, MostUnits: 6, Plans: []control.Plan{{Name: "gold"}}, Classes: []control.Class{{Name: "read"}}})
+	rs := newRules(control.Settings{Shards: 8, MaxUnits: 6, Plans: []control.Plan{{Name: "gold"}}, Classes: []control.Class{{Name: "read"}}})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		h, _, err := http1.ParseRequest(b, 0)
 		if err != nil {
--- a/internal/front/http/request.go
+++ b/internal/front/http/request.go
@@ -41,7 +41,7 @@
 }
 
 func newRules(settings control.Settings) rules {
-	r := rules{classes: map[string]control.Class{}, plans: map[string]bool{}, shards: settings.Shards, maxUnits: settings.MostUnits}
+	r := rules{classes: map[string]control.Class{}, plans: map[string]bool{}, shards: settings.Shards, maxUnits: settings.MaxUnits}
 	for _, c := range settings.Classes {
 		r.classes[c.Name] = c
 	}
--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -118,7 +118,7 @@
 	Shed, Paused, Corrupt           uint64
 	Conns, Active                   int
 	Budget                          int64
-	Deliver                         host.Times // from an outcome's coming in to its bytes' turn at the client's loop
+	Deliver                         host.Histogram // from an outcome's coming in to its bytes' turn at the client's loop
 }
 
 const (
--- a/internal/front/rsync/reader.go
+++ b/internal/front/rsync/reader.go
@@ -56,7 +56,7 @@
 	x := around[0]
 	i := len(r.extents) - cap(around) // extents is never resliced from behind
 	for j, h := range r.held {        // what lies elsewhere is not needed again
-		if j < i || j > i+r.t.f.opt.Pacing.WindowTop {
+		if j < i || j > i+r.t.f.opt.Pacing.MaxWindow {
 			r.drop(j, h)
 		}
 	}
@@ -107,7 +107,7 @@
 				Hosts: t.m.Hosts, Units: t.f.opt.Work.Units(x.Length), Share: t.m.Share,
 				Expires: try.Expires, Retry: try.Retry, Op: nodewire.Read, Length: x.Length}, nil
 		},
-		ended: func(a host.Answer) (pacing.Kind, string) {
+		ended: func(a host.Answer) (pacing.TryResult, string) {
 			if a.Kind == host.Served {
 				if a.Data != nil && len(a.Data.B) == x.Length && xxhash.Sum64(a.Data.B) == x.Sum {
 					h.data = a.Data
@@ -129,7 +129,7 @@
 	return h
 }
 
-func kindOf(a host.Answer) pacing.Kind {
+func kindOf(a host.Answer) pacing.TryResult {
 	switch a.Kind {
 	case host.Served:
 		return pacing.Served
--- a/internal/front/rsync/transfer.go
+++ b/internal/front/rsync/transfer.go
@@ -142,13 +142,13 @@
 func (t *transfer) file(err error) error {
 	if err == nil {
 		t.files++
-		t.pace.File(true)
+		t.pace.FileEnded(true)
 		return nil
 	}
 	t.leftOut++
 	t.lastWhy = err.Error()
-	if t.pace.File(false) {
-		err = fmt.Errorf("%w after %d files left out in a row: %w", proto.ErrEnd, t.f.opt.Pacing.LeaveOut, err)
+	if t.pace.FileEnded(false) {
+		err = fmt.Errorf("%w after %d files left out in a row: %w", proto.ErrEnd, t.f.opt.Pacing.MaxFilesLeftOut, err)
 	}
 	return counted{err}
 }
@@ -168,9 +168,9 @@
 	id      uint64
 	asked   bool // a request is with the host
 	gone    bool
-	request func(pacing.Try) (*host.Request, error) // the error says that nothing can take it now
-	ended   func(host.Answer) (pacing.Kind, string) // takes an answer, says how the try went
-	done    func(error)                             // nil: served
+	request func(pacing.Try) (*host.Request, error)      // the error says that nothing can take it now
+	ended   func(host.Answer) (pacing.TryResult, string) // takes an answer, says how the try went
+	done    func(error)                                  // nil: served
 	shard   int
 	owner   *writer // nil: a read
 	before  string  // what came of the last try that reached a node
@@ -213,7 +213,7 @@
 			continue
 		}
 		now := t.f.opt.Host.Now()
-		ok, at := t.pace.Room(now)
+		ok, at := t.pace.MayRequest(now)
 		if !ok {
 			if at > 0 && !t.again {
 				t.again = true
@@ -226,7 +226,7 @@
 			return
 		}
 		t.wanted = t.wanted[1:]
-		p.x = t.pace.Begin(now, p.shard, int(p.bytes), t.f.classes[p.class].Deadline)
+		p.x = t.pace.StartExtent(now, p.shard, int(p.bytes), t.f.classes[p.class].Deadline)
 		t.out[p] = true
 		p.ask()
 	}
@@ -239,7 +239,7 @@
 		return
 	}
 	p.bounded = true
-	t.f.after(t.f.opt.Host.Now()+t.pace.Patience(), t.c, func() {
+	t.f.after(t.f.opt.Host.Now()+t.pace.ExtentTimeout(), t.c, func() {
 		if p.x == nil && !p.gone && !t.ended {
 			t.refused++
 			p.end(&GivenUp{Refused: true, Why: "no room for it in rsync.buffer_bytes", Back: time.Second})
@@ -280,7 +280,7 @@
 
 func (f *Front) give(bytes int64) {
 	f.mu.Lock()
-	f.budget.Give(bytes)
+	f.budget.Release(bytes)
 	var wake []*conn
 	for c := range f.hungry {
 		if len(wake) == wakeMost {
@@ -306,14 +306,14 @@
 func (p *piece) ask() {
 	t := p.t
 	now := t.f.opt.Host.Now()
-	try, ok := t.pace.Ask(p.x, now)
+	try, ok := t.pace.StartTry(p.x, now)
 	if !ok {
 		p.end(errors.New("no time left for another try"))
 		return
 	}
 	r, err := p.request(try)
 	if err != nil { // no node was asked: trying again at once would help nobody
-		t.pace.Dropped(p.x)
+		t.pace.TryAbandoned(p.x)
 		t.refused++
 		g := &GivenUp{Refused: true, Why: err.Error()}
 		errors.As(err, &g)
@@ -351,11 +351,11 @@
 	if a.Attempts > 0 && kind != pacing.Served {
 		p.before = why
 	}
-	next := t.pace.Ended(p.x, now, kind, a.RetryAfter)
-	switch next.What {
+	next := t.pace.TryEnded(p.x, now, kind, a.RetryAfter)
+	switch next.Step {
 	case pacing.Done:
 		p.end(nil)
-	case pacing.Again:
+	case pacing.Retry:
 		t.f.after(next.At, t.c, func() {
 			if !p.gone && !t.ended {
 				p.ask()
@@ -370,7 +370,7 @@
 		if p.before != "" && p.before != why {
 			why += "; before: " + p.before
 		}
-		p.end(&GivenUp{Refused: kind == pacing.Refused, Why: why, Tries: p.x.Tries(), Back: next.Back})
+		p.end(&GivenUp{Refused: kind == pacing.Refused, Why: why, Tries: p.x.Tries(), Back: next.RetryAfter})
 	}
 	t.pump()
 }
@@ -410,8 +410,8 @@
 	p.gone = true
 	delete(p.t.out, p)
 	if p.asked {
-		p.t.pace.Dropped(p.x)
-		p.t.f.opt.Host.Leave(p.id)
+		p.t.pace.TryAbandoned(p.x)
+		p.t.f.opt.Host.ClientGone(p.id)
 	}
 	if p.onDrop != nil {
 		p.onDrop()
--- a/internal/front/rsync/writer.go
+++ b/internal/front/rsync/writer.go
@@ -98,8 +98,8 @@
 		q = &placement.Quota{}
 		f.quotas[t.m.Name] = q
 	}
-	q.Most = t.m.Quota
-	if err := q.Take(t.m.Name, u.Bytes, w.old, w.size); err != nil {
+	q.MaxBytes = t.m.Quota
+	if err := q.Reserve(t.m.Name, u.Bytes, w.old, w.size); err != nil {
 		return &GivenUp{Refused: true, Why: err.Error()}
 	}
 	w.quota = q
@@ -112,7 +112,7 @@
 		return
 	}
 	w.t.f.mu.Lock()
-	w.quota.Done(w.old, w.size)
+	w.quota.Release(w.old, w.size)
 	w.t.f.mu.Unlock()
 	w.quota = nil
 }
@@ -174,7 +174,7 @@
 	w.held += bytes
 	f := w.t.f
 	f.mu.Lock()
-	f.budget.Force(bytes)
+	f.budget.AllocateUnchecked(bytes)
 	f.mu.Unlock()
 }
 
@@ -225,7 +225,7 @@
 				Hosts: t.m.Hosts, Units: t.f.opt.Work.Units(len(x.data.B)), Share: t.m.Share,
 				Expires: try.Expires, Retry: try.Retry, Tiers: spot.Tiers, Avoid: spot.Avoid, Op: nodewire.Write, Key: item, Payload: x.data.B}, nil
 		},
-		ended: func(a host.Answer) (pacing.Kind, string) {
+		ended: func(a host.Answer) (pacing.TryResult, string) {
 			switch a.Kind {
 			case host.Served:
 				w.parts[x.index].Shard, w.parts[x.index].Try = a.Shard, x.try
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -150,13 +150,13 @@
 
 // PlanQuery is settings as planSettings reads them.
 func PlanQuery(set rebalance.Settings) url.Values {
-	return url.Values{"least": {strconv.FormatFloat(set.Least, 'g', -1, 64)}, "moves": {strconv.Itoa(set.Moves)},
-		"per_node": {strconv.Itoa(set.PerNode)}, "rate": {strconv.FormatInt(set.Rate, 10)}}
+	return url.Values{"least": {strconv.FormatFloat(set.MinDifference, 'g', -1, 64)}, "moves": {strconv.Itoa(set.MaxMoves)},
+		"per_node": {strconv.Itoa(set.MaxMovesPerShard)}, "rate": {strconv.FormatInt(set.BytesPerSecond, 10)}}
 }
 
 func planSettings(q url.Values) (set rebalance.Settings, err error) {
 	set = rebalance.Default
-	for key, into := range map[string]any{"least": &set.Least, "moves": &set.Moves, "per_node": &set.PerNode, "rate": &set.Rate} {
+	for key, into := range map[string]any{"least": &set.MinDifference, "moves": &set.MaxMoves, "per_node": &set.MaxMovesPerShard, "rate": &set.BytesPerSecond} {
 		if q.Get(key) == "" {
 			continue
 		}
@@ -172,7 +172,7 @@
 	if g.plc == nil {
 		return nil, errors.New("placement.choice = 0: no fill is known, and nothing is planned")
 	}
-	set.High = g.cfg.Place.Low // what is moved is to leave a shard taking new data
+	set.HighMark = g.cfg.Place.Low // what is moved is to leave a shard taking new data
 	g.mu.Lock()
 	var modules []string
 	for _, m := range g.modules {
@@ -181,7 +181,7 @@
 	g.mu.Unlock()
 	var units []rebalance.Unit
 	if err := g.cat.Runs(modules, func(r store.Run) {
-		units = append(units, rebalance.Unit{Volume: r.Volume, Base: r.Base, Shard: r.Shard, Parts: r.Parts, Bytes: r.Bytes})
+		units = append(units, rebalance.Unit{Volume: r.Volume, Base: r.Base, Shard: r.Shard, Extents: r.Parts, Bytes: r.Bytes})
 	}); err != nil {
 		return nil, err
 	}
@@ -220,9 +220,9 @@
 				warm = warm && p.warmth(n, 0) >= 1
 			}
 		}
-		s.Leaves = listed > 0 && ready == 0
-		s.Gives = listed > 0 && (ready == 0 || warm) && !lost(l.Shard)
-		s.Takes = ready > 0 && warm && !l.Full && !l.Past && !lost(l.Shard)
+		s.Draining = listed > 0 && ready == 0
+		s.Readable = listed > 0 && (ready == 0 || warm) && !lost(l.Shard)
+		s.Writable = ready > 0 && warm && !l.Full && !l.PastHighMark && !lost(l.Shard)
 		list = append(list, s)
 	}
 	p.mu.Lock()
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -29,7 +29,7 @@
 	mu    sync.Mutex
 	units map[string]float64 // asked for and not booked yet; guarded by mu
 
-	book *forecast.Book // run's
+	book *forecast.Recorder // run's
 }
 
 func newDemand(cfg *config.Config, log *slog.Logger) (*demand, error) {
@@ -46,7 +46,7 @@
 			log.Warn("forecast: it could not be put aside", "err", err)
 		}
 	}
-	if d.book, err = forecast.NewBook(cfg.ForecastSettings(), before); err != nil {
+	if d.book, err = forecast.NewRecorder(cfg.ForecastSettings(), before); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	return d, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -89,10 +89,10 @@
 		return err
 	}
 	n := &cfg.Nodes
-	bo := backend.Settings{Name: cfg.Gateway.Name, Conns: n.Conns, Streams: n.Streams, Waiting: n.Waiting,
-		DialTimeout: n.Dial.D(), IdleClose: n.IdleClose.D(), Cancelling: n.Cancel, Loops: n.Loops}
+	bo := backend.Settings{Name: cfg.Gateway.Name, MaxConns: n.Conns, AttemptsPerConn: n.Streams, MaxWaiting: n.Waiting,
+		DialTimeout: n.Dial.D(), IdleClose: n.IdleClose.D(), SendCancel: n.Cancel, Loops: n.Loops}
 	if cfg.Place.Choice > 0 { // a connection comes after the first list, and that after g.plc
-		bo.Filled = func(shard int, used, capacity uint64, noRoom bool) { g.plc.filled(shard, used, capacity, noRoom) }
+		bo.OnFill = func(shard int, used, capacity uint64, noRoom bool) { g.plc.filled(shard, used, capacity, noRoom) }
 	}
 	if g.back, err = backend.New(bo, nil, log); err != nil {
 		return err
@@ -101,7 +101,7 @@
 	if seed == 0 {
 		seed = rand.Int63()
 	}
-	ho := host.Options{Heard: func(shard int, answered bool) { g.out.heard(shard, answered) }, Settings: set, Seed: seed, Backend: g.back, Log: log, MostOpen: cfg.Gateway.Open}
+	ho := host.Options{NodeAnswered: func(shard int, answered bool) { g.out.heard(shard, answered) }, Settings: set, Seed: seed, Backend: g.back, Log: log, MaxOpen: cfg.Gateway.Open}
 	if rc := &cfg.Recorder; rc.On {
 		if g.rec, err = record.NewWriter(record.Options{Dir: filepath.Join(cfg.Gateway.Dir, "record"),
 			FileBytes: rc.FileSize, Files: rc.Files}, set, seed); err != nil {
@@ -135,11 +135,11 @@
 		File: sh.File, Poll: sh.Poll.D()}, g, log, time.Now); err != nil {
 		return err
 	}
-	g.back.Own(g.host)
+	g.back.SetOwner(g.host)
 	g.feed = register.New(register.Settings{URL: cfg.Register.URL, Gateway: cfg.Gateway.Name,
 		Cache: filepath.Join(cfg.Gateway.Dir, "nodes.json"), Silence: cfg.Register.Silence.D(),
 		Settle: cfg.Register.Settle.D(), Seed: seed}, g, log)
-	g.host.Follow(g.feed)
+	g.host.SetRegister(g.feed)
 	g.running = true
 	go func() {
 		g.err = g.host.Run()
@@ -224,7 +224,7 @@
 	}
 	g.host.List(l)
 	if l.Kind != control.ListFailed {
-		g.keep.Listed(g.nodes.ids())
+		g.keep.SetNodes(g.nodes.ids())
 	}
 }
 
--- a/internal/gateway/outages.go
+++ b/internal/gateway/outages.go
@@ -23,7 +23,7 @@
 	nodes *roster
 
 	mu   sync.Mutex
-	book *outage.Book
+	book *outage.Tracker
 }
 
 func newOutages(set outage.Settings, nodes *roster, log *slog.Logger, now func() time.Duration, probe func(string)) (*outages, error) {
@@ -39,20 +39,20 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, shard := range fresh {
-		o.book.Word(shard, o.now())
+		o.book.NodeChanged(shard, o.now())
 	}
-	o.book.Keep(func(shard int) bool { return len(o.nodes.of(shard)) > 0 })
+	o.book.Retain(func(shard int) bool { return len(o.nodes.of(shard)) > 0 })
 }
 
 // heard takes how an attempt or a probe at a shard ended. The host calls it on its loop.
 func (o *outages) heard(shard int, answered bool) {
 	o.mu.Lock()
-	change, silent := o.book.Heard(shard, answered, o.now())
+	change, silent := o.book.RecordResult(shard, answered, o.now())
 	o.mu.Unlock()
 	switch change {
-	case outage.Gone:
+	case outage.ShardLost:
 		o.log.Warn("outage: a shard is lost; what lies there is refused, and probed for now and then", "shard", shard)
-	case outage.Back:
+	case outage.ShardRecovered:
 		o.log.Info("outage: a shard answers again", "shard", shard, "silent", silent.Round(time.Millisecond).String())
 	}
 }
@@ -97,7 +97,7 @@
 		case <-tick.C:
 		}
 		o.mu.Lock()
-		due := o.book.Due(o.now())
+		due := o.book.ProbesDue(o.now())
 		o.mu.Unlock()
 		for _, shard := range due {
 			for _, n := range o.nodes.of(shard) {
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -128,8 +128,8 @@
 // more often.
 func (p *places) askAround() {
 	p.fillMu.Lock()
-	p.fill.Keep(func(shard int) bool { return len(p.nodes.of(shard)) > 0 })
-	ask := p.fill.Ask(p.nodes.shards(), p.now())
+	p.fill.Retain(func(shard int) bool { return len(p.nodes.of(shard)) > 0 })
+	ask := p.fill.ReportsDue(p.nodes.shards(), p.now())
 	p.fillMu.Unlock()
 	for _, shard := range ask {
 		if nodes := p.nodes.of(shard); len(nodes) > 0 { // one that is ready, before one that drains
@@ -186,12 +186,12 @@
 	for i := range shards {
 		s := &shards[i]
 		order = append(order, s.ID)
-		if s.Ready, s.Headroom = p.fill.Takes(s.ID), p.fill.Headroom(s.ID); !s.Ready {
+		if s.Ready, s.Headroom = p.fill.AcceptsExtents(s.ID), p.fill.Headroom(s.ID); !s.Ready {
 			next.avoid = append(next.avoid, s.ID)
 		}
 	}
 	if len(next.avoid) == len(order) && len(order) > 0 {
-		next.none = p.fill.None(order)
+		next.none = p.fill.NoRoomError(order)
 	}
 	p.fillMu.Unlock()
 	m, err := placement.New(p.set, shards, p.nodes.placed(p.placed))
@@ -227,7 +227,7 @@
 	if c := slot.Load(); c != nil && c.key == key && c.volume == volume {
 		return front.Spot{Tiers: c.tiers, Avoid: m.avoid}, nil
 	}
-	var c placement.Choices
+	var c placement.CandidateBuffer
 	tiers := m.Candidates(volume, key, &c)
 	out := make([][]int, len(tiers)) // a request outlives c
 	for i := range tiers {
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -34,7 +34,7 @@
 	if l.Kind != control.ListFull && l.Kind != control.ListCached {
 		maps.Copy(r.nodes, before)
 	}
-	if len(r.ever) > 2*placement.MostShards {
+	if len(r.ever) > 2*placement.MaxShards {
 		clear(r.ever)
 	}
 	for _, n := range l.Nodes {
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -72,7 +72,7 @@
 	for v := uint64(1); v <= 60; v++ {
 		if v%10 == 5 { // names a node that nobody knows
 			_, b := sealedSolution(t, v, int64(v)*1000, "node-0", "node-9")
-			if err := r.gw.Keeper().Offer("test", b); !errors.Is(err, solution.ErrUnknown) {
+			if err := r.gw.Keeper().Offer("test", b); !errors.Is(err, solution.ErrUnknownNodes) {
 				t.Errorf("unknown node: %v", err)
 			}
 			if got := r.gw.Keeper().State().Version; got != last {
@@ -120,7 +120,7 @@
 				requests++
 			case control.Shares:
 				seen++
-				want := solution.Told(whole[e.Version], whole[e.Version].At.Add(e.Age))
+				want := solution.ControlShares(whole[e.Version], whole[e.Version].At.Add(e.Age))
 				if !reflect.DeepEqual(e.Volumes, want.Volumes) {
 					t.Fatalf("version %d is not whole: %d volumes", e.Version, len(e.Volumes))
 				}
@@ -155,7 +155,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := forecast.Demands(rec, 1, 1)
+	d, err := forecast.EstimateDemands(rec, 1, 1)
 	if err != nil || d["records"].Peak == 0 {
 		t.Errorf("%+v, %v", d, err)
 	}
--- a/internal/gateway/space.go
+++ b/internal/gateway/space.go
@@ -80,7 +80,7 @@
 		switch {
 		case l.Full:
 			s.State = StateFull
-		case l.Past:
+		case l.PastHighMark:
 			s.State = StatePast
 		}
 		if l.Capacity > 0 {
--- a/internal/gateway/space_test.go
+++ b/internal/gateway/space_test.go
@@ -196,11 +196,11 @@
 	}
 	r.until("the new one to have reported", known(nodes+1))
 	p := plan()
-	if x := p.Parts[nodes]; len(p.Moves) == 0 || x.Before != 0 || x.After < p.After.Mean-0.05 || p.After.Most-p.After.Least > 0.1 {
+	if x := p.Usage[nodes]; len(p.Moves) == 0 || x.Before != 0 || x.After < p.After.Mean-0.05 || p.After.Max-p.After.Min > 0.1 {
 		t.Errorf("%+v", p)
 	}
 	for _, m := range p.Moves {
-		if m.To == m.Shard || m.Parts != 1 || m.Bytes != size {
+		if m.To == m.Shard || m.Extents != 1 || m.Bytes != size {
 			t.Errorf("%+v", m)
 		}
 	}
@@ -212,8 +212,8 @@
 		return lost
 	})
 	p = plan()
-	if p.Parts[1].After != 0 || p.Parts[2].After != p.Parts[2].Before || p.Parts[2].Before == 0 {
-		t.Errorf("one drains and one is lost: %+v", p.Parts)
+	if p.Usage[1].After != 0 || p.Usage[2].After != p.Usage[2].Before || p.Usage[2].Before == 0 {
+		t.Errorf("one drains and one is lost: %+v", p.Usage)
 	}
 	if info, err := os.Stat(filepath.Join(r.dir, AdminSocket)); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info, err)
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -107,13 +107,13 @@
 
 // Attempt is one attempt at a request, as passed to the backend.
 type Attempt struct {
-	Ref     uint64 // unique in this process
-	ID      uint64 // of the request
-	Number  int    // from 0 on
-	Node    string
-	Left    time.Duration // time left until the answer is due
-	Begin   time.Duration // the attempt must begin within this time from now; 0: within Left
-	Request *Request
+	Ref         uint64 // unique in this process
+	ID          uint64 // of the request
+	Number      int    // from 0 on
+	Node        string
+	Remaining   time.Duration // time left until the answer is due
+	BeginWithin time.Duration // the attempt must begin within this time from now; 0: within Left
+	Request     *Request
 }
 
 // Outcome is the end of an attempt, as reported by the backend.
@@ -174,14 +174,14 @@
 	Recorder Recorder // may be nil
 	Log      *slog.Logger
 	Clock    func() time.Duration // nil: the monotonic clock from ClockBase on
-	MostOpen int                  // maximum of open requests; 0: 100,000
+	MaxOpen  int                  // maximum of open requests; 0: 100,000
 
 	// Demand is called about once a second while there is any demand, with the units requested per volume since
 	// the last call; retries do not count. The callee owns the map and must not block. May be nil.
 	Demand func(map[string]float64)
 	// Heard is called for each attempt and probe that ended, with the shard of its node and whether an answer
 	// of any kind came. It is called on the host's loop and must not block. May be nil.
-	Heard func(shard int, answered bool)
+	NodeAnswered func(shard int, answered bool)
 }
 
 // Host runs one controller.
@@ -287,8 +287,8 @@
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
 	}
-	if opt.MostOpen == 0 {
-		opt.MostOpen = defaultMaxOpen
+	if opt.MaxOpen == 0 {
+		opt.MaxOpen = defaultMaxOpen
 	}
 	clock := opt.Clock
 	if clock == nil {
@@ -301,7 +301,7 @@
 }
 
 // Follow sets the register. It must be called before Run.
-func (h *Host) Follow(r Register) { h.options.Register = r }
+func (h *Host) SetRegister(r Register) { h.options.Register = r }
 
 // Now returns the time by the host's clock.
 func (h *Host) Now() time.Duration { return h.clock() }
@@ -320,10 +320,10 @@
 		h.mu.Unlock()
 		return 0, ErrStopped
 	}
-	if h.open >= h.options.MostOpen {
+	if h.open >= h.options.MaxOpen {
 		h.mu.Unlock()
 		h.statsMu.Lock()
-		h.published.Full++
+		h.published.RefusedAtLimit++
 		h.statsMu.Unlock()
 		return 0, ErrFull
 	}
@@ -337,10 +337,10 @@
 }
 
 // Leave reports that the client of a request has gone. The request gets no answer if it has none yet.
-func (h *Host) Leave(id uint64) { h.post(clientGone{id}) }
+func (h *Host) ClientGone(id uint64) { h.post(clientGone{id}) }
 
 // Ended reports the end of an attempt, for the backend.
-func (h *Host) Ended(o Outcome) {
+func (h *Host) AttemptEnded(o Outcome) {
 	o.at = h.clock()
 	h.post(o)
 }
@@ -501,7 +501,7 @@
 	if r == nil || r.finished {
 		return
 	}
-	h.stats.Left++
+	h.stats.ClientsGone++
 	h.addEvent(control.ClientGone{ID: r.name})
 	r.Answer = nil
 	r.Abandon()
@@ -540,7 +540,7 @@
 func (h *Host) handleOutcome(o Outcome) {
 	a := h.inFlight[o.Ref]
 	if a == nil {
-		h.stats.Late++
+		h.stats.LateOutcomes++
 		o.Data.Release()
 		return
 	}
@@ -586,10 +586,10 @@
 // reportHeard reports whether a node answered. An attempt that was not sent or was cancelled says nothing about it.
 func (h *Host) reportHeard(node string, result control.Result) {
 	n, known := h.nodes[node]
-	if h.options.Heard == nil || !known || result == control.NotSent || result == control.Cancelled {
+	if h.options.NodeAnswered == nil || !known || result == control.NotSent || result == control.Cancelled {
 		return
 	}
-	h.options.Heard(n.Shard, !result.Doubtful() && result != control.Unreachable)
+	h.options.NodeAnswered(n.Shard, !result.MayStillRun() && result != control.Unreachable)
 }
 
 // finish gives the final answer.
@@ -671,16 +671,16 @@
 }
 
 // Believed is the controller's belief about a node, with the attempts that the host has in flight to it.
-type Believed struct {
-	control.Belief
-	Carried int // attempts in flight; the backend has as many, on connections or waiting for one
+type NodeView struct {
+	control.NodeEstimate
+	HostInFlight int // attempts in flight; the backend has as many, on connections or waiting for one
 }
 
 // Beliefs calls f on the host's loop with the controller's belief about each node, ordered by id, or with nil if the
 // controller does not report beliefs. f must not block.
-func (h *Host) Beliefs(f func([]Believed)) {
+func (h *Host) Beliefs(f func([]NodeView)) {
 	h.post(call(func() {
-		reporter, ok := h.controller.(interface{ Beliefs() []control.Belief })
+		reporter, ok := h.controller.(interface{ NodeEstimates() []control.NodeEstimate })
 		if !ok {
 			f(nil)
 			return
@@ -689,9 +689,9 @@
 		for _, a := range h.inFlight {
 			carried[a.node]++
 		}
-		var list []Believed
-		for _, b := range reporter.Beliefs() {
-			list = append(list, Believed{b, carried[b.Node]})
+		var list []NodeView
+		for _, b := range reporter.NodeEstimates() {
+			list = append(list, NodeView{b, carried[b.Node]})
 		}
 		f(list)
 	}))
@@ -736,7 +736,7 @@
 		h.stats.Decide.record(h.clock() - r.submittedAt)
 	}
 	h.options.Backend.Send(Attempt{Ref: a.ref, ID: r.id, Number: a.number, Node: s.Node,
-		Left: r.deadline - h.now, Begin: begin, Request: r.Request})
+		Remaining: r.deadline - h.now, BeginWithin: begin, Request: r.Request})
 }
 
 // tierOf returns 0 for a shard of the first tier, 1 for one of a later tier, 2 for any other.
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -53,7 +53,7 @@
 
 func newTestHost(t *testing.T, d controller) *testHost {
 	b := &testHost{t: t, back: &fakeBackend{}, now: time.Hour}
-	h, err := New(Options{Backend: b.back, MostOpen: 3, Clock: func() time.Duration { return b.now },
+	h, err := New(Options{Backend: b.back, MaxOpen: 3, Clock: func() time.Duration { return b.now },
 		Settings: control.Settings{Hosts: 1, MaxAttempts: 4, SecondCopies: true, LoadFields: []string{"queue", "latency_ms"},
 			Classes: []control.Class{{Name: "read", Aim: 100 * ms, Deadline: time.Second, Worth: 1}}}})
 	if err != nil {
@@ -92,18 +92,18 @@
 	b := newTestHost(t, nil)
 	got, _ := b.submit(time.Second)
 	b.step(5 * ms)
-	if len(b.back.sent) != 1 || b.back.nodes != 2 || b.back.sent[0].Left > 980*ms {
+	if len(b.back.sent) != 1 || b.back.nodes != 2 || b.back.sent[0].Remaining > 980*ms {
 		t.Fatalf("sent %+v", b.back.sent)
 	}
 	data := buffer.Get(3)
-	b.Ended(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done, Shard: 7, Data: data})
+	b.AttemptEnded(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done, Shard: 7, Data: data})
 	b.step(20 * ms)
 	if len(*got) != 1 || (*got)[0].Kind != Served || (*got)[0].Data != data || (*got)[0].Shard != 7 || (*got)[0].Elapsed != 25*ms {
 		t.Fatalf("answers %+v", *got)
 	}
-	b.Ended(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done})
+	b.AttemptEnded(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done})
 	b.step(time.Second)
-	if len(*got) != 1 || b.stats.Late != 1 || len(b.requests)+len(b.inFlight)+b.wheel.Len() > 1 || b.stats.Defects != 0 {
+	if len(*got) != 1 || b.stats.LateOutcomes != 1 || len(b.requests)+len(b.inFlight)+b.wheel.Len() > 1 || b.stats.Defects != 0 {
 		t.Errorf("%d answers, %+v, %d timers", len(*got), b.stats, b.wheel.Len())
 	}
 }
@@ -190,7 +190,7 @@
 	d := &scriptedController{}
 	b := newTestHost(t, d)
 	reg := &fakeRegister{}
-	b.Follow(reg)
+	b.SetRegister(reg)
 	got, _ := b.submit(time.Second)
 	b.step(0)
 	d.next = func([]control.Event) []control.Action {
@@ -274,8 +274,8 @@
 	b.step(0)
 	d := &scriptedController{}
 	b.controller = d
-	b.Leave(id)
-	b.Leave(999)
+	b.ClientGone(id)
+	b.ClientGone(999)
 	b.step(0)
 	if _, ok := d.events[0].(control.ClientGone); !ok || len(d.events) != 1 {
 		t.Fatalf("told %+v", d.events)
@@ -283,7 +283,7 @@
 	if w := b.back.withdrawn; len(w) != 1 || w[0] != b.back.sent[0].Ref || !b.back.sent[0].Request.Abandoned() {
 		t.Fatalf("withdrawn %v, request abandoned: %v", w, b.back.sent[0].Request.Abandoned())
 	}
-	b.Ended(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done, Data: buffer.Get(1)})
+	b.AttemptEnded(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done, Data: buffer.Get(1)})
 	b.step(0)
 	if o, ok := d.events[0].(control.Outcome); !ok || !o.Closed || len(*got) != 0 || len(b.requests) != 0 {
 		t.Errorf("told %+v, %d answers, %d requests", d.events, len(*got), len(b.requests))
@@ -331,7 +331,7 @@
 		e.sent = nil
 		*at += ms
 		for _, a := range sent {
-			h.Ended(Outcome{Ref: a.Ref, Result: control.Done, Load: []float64{0, 1}})
+			h.AttemptEnded(Outcome{Ref: a.Ref, Result: control.Done, Load: []float64{0, 1}})
 		}
 		h.turn()
 	}
--- a/internal/host/stats.go
+++ b/internal/host/stats.go
@@ -11,20 +11,20 @@
 const statsInterval = 200 * time.Millisecond // between two publications of Stats
 
 // Times is a histogram of durations from one microsecond to one minute.
-type Times struct{ h *hdrhistogram.Histogram }
+type Histogram struct{ h *hdrhistogram.Histogram }
 
 // Record adds a duration. It is not safe for concurrent use.
-func (t *Times) Record(d time.Duration) { t.record(d) }
+func (t *Histogram) Record(d time.Duration) { t.record(d) }
 
 // Copy returns an independent copy.
-func (t Times) Copy() Times {
+func (t Histogram) Copy() Histogram {
 	if t.h == nil {
 		return t
 	}
-	return Times{hdrhistogram.Import(t.h.Export())}
+	return Histogram{hdrhistogram.Import(t.h.Export())}
 }
 
-func (t *Times) record(d time.Duration) {
+func (t *Histogram) record(d time.Duration) {
 	if t.h == nil {
 		t.h = hdrhistogram.New(1, time.Minute.Microseconds(), 2)
 	}
@@ -32,7 +32,7 @@
 }
 
 // At returns the value at a percentile, or 0 if nothing was recorded.
-func (t Times) At(percentile float64) time.Duration {
+func (t Histogram) Percentile(percentile float64) time.Duration {
 	if t.h == nil {
 		return 0
 	}
@@ -45,25 +45,25 @@
 	Answers                           [3]uint64 // by Kind
 	Results                           [9]uint64 // by control.Result
 	Placed                            [3]uint64 // attempts at new extents: in the first tier, a later tier, elsewhere
-	Left                              uint64    // clients that left before their answer
-	Late                              uint64    // outcomes reported after the end of their attempt
-	Full                              uint64    // refused at the limit of open requests
+	ClientsGone                       uint64    // clients that left before their answer
+	LateOutcomes                      uint64    // outcomes reported after the end of their attempt
+	RefusedAtLimit                    uint64    // refused at the limit of open requests
 	Defects                           uint64    // requests without a decision in time, and other controller faults: must stay 0
-	Open, Out, Timers                 int
-	Mailbox                           Times // from Submit to the controller
-	Decide                            Times // from Submit to the first Send
-	Outcome                           Times // from Send to the served answer
+	Open, InFlight, Timers            int
+	Mailbox                           Histogram // from Submit to the controller
+	Decide                            Histogram // from Submit to the first Send
+	Outcome                           Histogram // from Send to the served answer
 }
 
 // publishStats publishes a copy of the counters for Stats.
 func (h *Host) publishStats() {
 	s := h.stats
-	for _, t := range []*Times{&s.Mailbox, &s.Decide, &s.Outcome} {
+	for _, t := range []*Histogram{&s.Mailbox, &s.Decide, &s.Outcome} {
 		*t = t.Copy()
 	}
-	s.Open, s.Out, s.Timers = len(h.requests), len(h.inFlight), h.wheel.Len()
+	s.Open, s.InFlight, s.Timers = len(h.requests), len(h.inFlight), h.wheel.Len()
 	h.statsMu.Lock()
-	s.Full = h.published.Full
+	s.RefusedAtLimit = h.published.RefusedAtLimit
 	h.published = s
 	h.statsMu.Unlock()
 }
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -5,7 +5,7 @@
 )
 
 // Chunks decodes a chunked body (RFC 9112, 7.1) that is fed in pieces of any size.
-type Chunks struct {
+type ChunkDecoder struct {
 	Max          int64 // most bytes of the body; 0: unbounded, for a stream that is consumed as it arrives
 	remaining    int64 // bytes left of the current chunk's data
 	total        int64
@@ -27,7 +27,7 @@
 
 // Feed decodes b and appends its data to dst, which it returns as out. done reports that the end of the body has
 // been reached; rest is then what follows it.
-func (c *Chunks) Feed(dst, b []byte) (out, rest []byte, done bool, err error) {
+func (c *ChunkDecoder) Feed(dst, b []byte) (out, rest []byte, done bool, err error) {
 	for {
 		switch c.state {
 		case stateEnd:
@@ -73,7 +73,7 @@
 }
 
 // readLine reads one line, including the part of it that earlier calls have stored.
-func (c *Chunks) readLine(b []byte) (line, rest []byte, ok bool, err error) {
+func (c *ChunkDecoder) readLine(b []byte) (line, rest []byte, ok bool, err error) {
 	i := bytes.IndexByte(b, '\n')
 	n := i + 1
 	if i < 0 {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -166,7 +166,7 @@
 		}
 		gotBody := []byte(text[n:])
 		if got.Body.Chunked {
-			c, in := Chunks{Max: MaxBody}, gotBody
+			c, in := ChunkDecoder{Max: MaxBody}, gotBody
 			gotBody = nil
 			for done := false; !done; {
 				k := rapid.IntRange(1, max(1, len(in))).Draw(t, "piece")
@@ -189,7 +189,7 @@
 func TestBadChunks(t *testing.T) {
 	for _, text := range []string{"x\r\n", "\r\n", "-1\r\n", "1\nab", "2\r\nabc\r\n", "ffffffffffffffff\r\n", fmt.Sprintf("%x\r\n", MaxBody+1),
 		strings.Repeat("0", maxChunkLine+1), "0\r\n" + strings.Repeat("A: bbbbbbbbbbbbbbbbbbbbbbbb\r\n", 100)} {
-		c := Chunks{Max: MaxBody}
+		c := ChunkDecoder{Max: MaxBody}
 		if _, _, done, err := c.Feed(nil, []byte(text)); done || err == nil {
 			t.Errorf("%.40q was accepted (done %v)", text, done)
 		}
@@ -225,7 +225,7 @@
 		if err != nil || !r.Body.Chunked {
 			return
 		}
-		c := Chunks{Max: MaxBody}
+		c := ChunkDecoder{Max: MaxBody}
 		out, _, _, err := c.Feed(nil, b[n:])
 		if err == nil && len(out) > MaxBody {
 			t.Fatalf("%d bytes of a body", len(out))
--- a/internal/live/config.go
+++ b/internal/live/config.go
@@ -26,7 +26,7 @@
 	Settings   json.RawMessage `json:"settings"`
 
 	control control.Settings
-	conns   wire.Conns
+	conns   wire.ConnectionSettings
 	seed    uint64
 }
 
@@ -87,10 +87,10 @@
 		return nil, fmt.Errorf("limits: cores %v, memory_mb %v, sockets %d: expected more than 0, 16 or more, 64 or more",
 			l.Cores, l.MemoryMB, l.Sockets)
 	}
-	if c.control, err = wire.Settings(c.Settings); err != nil {
+	if c.control, err = wire.ParseSettings(c.Settings); err != nil {
 		return nil, err
 	}
-	if c.conns, err = wire.ConnSettings(c.Settings); err != nil {
+	if c.conns, err = wire.ParseConnectionSettings(c.Settings); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/live/live.go
+++ b/internal/live/live.go
@@ -70,16 +70,16 @@
 	if s.loop, err = loop.Start(log); err != nil {
 		return nil, err
 	}
-	s.backend = backend.New(backend.Settings{Conns: split.NodeConns, Bytes: split.AnswerBytes, Idle: cfg.conns.Idle,
-		DialTimeout: cfg.conns.DialTimeout, Service: serviceName, LoadFields: cfg.control.LoadFields}, s.loop, log)
+	s.backend = backend.New(backend.Settings{MaxConns: split.NodeConns, MaxResponseBytes: split.AnswerBytes, NodeIdleTimeout: cfg.conns.Idle,
+		DialTimeout: cfg.conns.DialTimeout, HostHeader: serviceName, LoadFields: cfg.control.LoadFields}, s.loop, log)
 	s.host, err = host.New(host.Options{Settings: cfg.control, Seed: int64(cfg.seed), Backend: s.backend, Log: log,
-		MostOpen: split.MaxRequests})
+		MaxOpen: split.MaxRequests})
 	if err != nil {
 		return nil, err
 	}
-	s.backend.Own(s.host)
+	s.backend.SetOwner(s.host)
 	s.feed = discovery.New(cfg.Discovery, s, log)
-	s.host.Follow(s.feed)
+	s.host.SetRegister(s.feed)
 	if len(cfg.KnownNodes) > 0 {
 		if err := s.feed.SetKnownList(cfg.KnownNodes); err != nil {
 			log.Warn("the known node list in the configuration cannot be used; it is ignored", "err", err)
@@ -92,8 +92,8 @@
 		close(s.hostEnded)
 	}()
 	go s.feed.Run(ctx)
-	s.front, err = front.Start(front.Options{Listen: cfg.Listen, Settings: cfg.control, Conns: split.ClientConns,
-		Bytes: split.RequestBytes, Host: s.host, Ready: s.hasNodeList.Load, Loop: s.loop, Log: log})
+	s.front, err = front.Start(front.Options{Listen: cfg.Listen, Settings: cfg.control, MaxConns: split.ClientConns,
+		MaxRequestBytes: split.RequestBytes, Host: s.host, Ready: s.hasNodeList.Load, Loop: s.loop, Log: log})
 	if err != nil {
 		cancel()
 		return nil, err
@@ -177,13 +177,13 @@
 			s.front.StopListening()
 		}
 		if previous.AnswerBy == 0 && phase.AnswerBy > 0 {
-			s.front.EndBy(clock + phase.AnswerBy)
+			s.front.LimitDeadlines(clock + phase.AnswerBy)
 		}
 		if previous.Serve && !phase.Serve {
 			s.front.Drain()
 		}
 		if !previous.StopReading && phase.StopReading {
-			s.front.Shut()
+			s.front.CloseWithoutRequest()
 		}
 		previous = phase
 		if phase.Exit {
@@ -217,26 +217,26 @@
 }
 
 // CompareNodes calls f with the controller's beliefs about each node and with the counters of its connections.
-func (s *Server) CompareNodes(f func([]host.Believed, map[string]backend.Passed)) {
-	s.host.Beliefs(func(believed []host.Believed) {
-		s.backend.Passed(func(passed map[string]backend.Passed) { f(believed, passed) })
+func (s *Server) CompareNodes(f func([]host.NodeView, map[string]backend.NodeTraffic)) {
+	s.host.Beliefs(func(believed []host.NodeView) {
+		s.backend.Traffic(func(passed map[string]backend.NodeTraffic) { f(believed, passed) })
 	})
 }
 
 // logNodes logs a line for each node to which anything was sent: the controller's beliefs and the counters of the
 // connections.
 func (s *Server) logNodes() {
-	s.CompareNodes(func(believed []host.Believed, passed map[string]backend.Passed) {
+	s.CompareNodes(func(believed []host.NodeView, passed map[string]backend.NodeTraffic) {
 		for _, n := range believed {
 			p := passed[n.Node]
-			if p.Written+uint64(p.Waiting+p.Opening+n.Carried) == 0 { // nothing to compare
+			if p.Written+uint64(p.Waiting+p.Opening+n.HostInFlight) == 0 { // nothing to compare
 				continue
 			}
 			s.log.Info("node", "uid", n.Node, "state", n.State, "cold", n.Cold, "suspect", n.Suspect,
-				slog.Group("believed", "out", n.Out, "held", n.Held, "carried", n.Carried, "window", n.Window, "round_trip", n.RoundTrip,
-					"backlog", n.Backlog, "unit", n.UnitTime, "errors", n.Errors),
-				slog.Group("passed", "out", p.Out, "waiting", p.Waiting, "idle", p.Idle, "opening", p.Opening, "written", p.Written,
-					"answered", p.Answered, "spoilt", p.Spoilt, "answer", p.Answer, "load", p.Load))
+				slog.Group("believed", "out", n.InFlight, "held", n.Held, "carried", n.HostInFlight, "window", n.Window, "round_trip", n.RoundTrip,
+					"backlog", n.Backlog, "unit", n.UnitTime, "errors", n.ErrorRate),
+				slog.Group("passed", "out", p.InFlight, "waiting", p.Waiting, "idle", p.Idle, "opening", p.Opening, "written", p.Written,
+					"answered", p.Responses, "spoilt", p.Invalid, "answer", p.ResponseTime, "load", p.Load))
 		}
 	})
 }
@@ -255,10 +255,10 @@
 			defer close(done)
 			s.log.Info("stats", "front", f, "nodes", b,
 				slog.Group("host", "requests", h.Requests, "served", h.Answers[host.Served], "refused", h.Answers[host.Refused],
-					"failed", h.Answers[host.Failed], "attempts", h.Attempts, "open", h.Open, "out", h.Out, "turns", h.Turns,
-					"late", h.Late, "left", h.Left, "defects", h.Defects, "results", h.Results,
-					"mailbox_p99", h.Mailbox.At(99), "mailbox_max", h.Mailbox.At(100), "decide_p99", h.Decide.At(99),
-					"outcome_p50", h.Outcome.At(50), "outcome_p99", h.Outcome.At(99)),
+					"failed", h.Answers[host.Failed], "attempts", h.Attempts, "open", h.Open, "out", h.InFlight, "turns", h.Turns,
+					"late", h.LateOutcomes, "left", h.ClientsGone, "defects", h.Defects, "results", h.Results,
+					"mailbox_p99", h.Mailbox.Percentile(99), "mailbox_max", h.Mailbox.Percentile(100), "decide_p99", h.Decide.Percentile(99),
+					"outcome_p50", h.Outcome.Percentile(50), "outcome_p99", h.Outcome.Percentile(99)),
 				slog.Group("discovery", "rev", d.Rev, "nodes", d.Nodes, "watching", d.Watching, "watches", d.Requests, "passed", d.Skipped),
 				slog.Group("process", "heap", samples[0].Value.Uint64(), "memory", samples[1].Value.Uint64(),
 					"goroutines", samples[2].Value.Uint64(), "collections", samples[3].Value.Uint64(), "maxrss_kb", cpu.Maxrss,
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -263,18 +263,18 @@
 	}
 	for settled := false; !settled; {
 		got := make(chan bool)
-		r.CompareNodes(func(b []host.Believed, p map[string]backend.Passed) { // attempts that wait for a connection are not in flight yet
-			got <- len(b) == 1 && b[0].Out > 0 && b[0].Held > 0 && p["s-1"].Waiting == 0 && p["s-1"].Out == b[0].Out
+		r.CompareNodes(func(b []host.NodeView, p map[string]backend.NodeTraffic) { // attempts that wait for a connection are not in flight yet
+			got <- len(b) == 1 && b[0].InFlight > 0 && b[0].Held > 0 && p["s-1"].Waiting == 0 && p["s-1"].InFlight == b[0].InFlight
 		})
 		settled = <-got
 	}
 	r.watch.Line(standin.List(2, false, standin.Target("s-1", n.Addr(), 0, "leaving", 0)))
 	before := 0 // in flight when nothing is queued any more
 	for held := 1; held > 0; {
-		got := make(chan host.Believed)
-		r.CompareNodes(func(b []host.Believed, _ map[string]backend.Passed) { got <- b[0] })
+		got := make(chan host.NodeView)
+		r.CompareNodes(func(b []host.NodeView, _ map[string]backend.NodeTraffic) { got <- b[0] })
 		b := <-got
-		held, before = b.Held, b.Out
+		held, before = b.Held, b.InFlight
 	}
 	close(release)
 	ok := 0
@@ -296,9 +296,9 @@
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
 	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
-	compare := func() (b host.Believed, p backend.Passed) {
+	compare := func() (b host.NodeView, p backend.NodeTraffic) {
 		got := make(chan bool)
-		r.CompareNodes(func(bs []host.Believed, ps map[string]backend.Passed) { b, p = bs[0], ps["s-1"]; close(got) })
+		r.CompareNodes(func(bs []host.NodeView, ps map[string]backend.NodeTraffic) { b, p = bs[0], ps["s-1"]; close(got) })
 		<-got
 		return b, p
 	}
@@ -307,12 +307,12 @@
 		answers = append(answers, r.startRead(i, 0))
 	}
 	r.waitReceived(n, 3, answers...)
-	if b, p := compare(); b.Out != 3 || b.Carried != 3 || p.Out+p.Waiting != 3 || p.Written != 3 || p.Answered != 0 {
+	if b, p := compare(); b.InFlight != 3 || b.HostInFlight != 3 || p.InFlight+p.Waiting != 3 || p.Written != 3 || p.Responses != 0 {
 		t.Fatalf("believed %+v, passed %+v", b, p)
 	}
 	for suspect := false; !suspect; {
 		b, p := compare()
-		if suspect = b.Suspect; b.Carried != p.Out+p.Waiting {
+		if suspect = b.Suspect; b.HostInFlight != p.InFlight+p.Waiting {
 			t.Fatalf("believed %+v, passed %+v", b, p)
 		}
 	}
@@ -320,7 +320,7 @@
 	for i, a := range answers {
 		r.expect(a, served(i))
 	}
-	if b, p := compare(); b.Out != 0 || b.Carried != 0 || b.Suspect || p.Out+p.Waiting != 0 || p.Answered != 3 {
+	if b, p := compare(); b.InFlight != 0 || b.HostInFlight != 0 || b.Suspect || p.InFlight+p.Waiting != 0 || p.Responses != 3 {
 		t.Fatalf("believed %+v, passed %+v", b, p)
 	}
 }
--- a/internal/loop/finish.go
+++ b/internal/loop/finish.go
@@ -26,7 +26,7 @@
 // discards further input until the peer closes or a bound is reached. The Peer gets no more Traffic calls, and Closed
 // at the end. A plain close with unread input resets the connection, which can destroy an answer that the other side
 // has not read yet. The cost is a descriptor that stays open for up to a second after the flush.
-func (l *Loop) Finish(g gnet.Conn) {
+func (l *Loop) CloseGracefully(g gnet.Conn) {
 	m := g.Context().(*connState)
 	if m.closing != nil {
 		return
@@ -57,7 +57,7 @@
 		return
 	}
 	l.sweepScheduled = true
-	time.AfterFunc(sweepInterval, func() { l.Do(l.sweep) })
+	time.AfterFunc(sweepInterval, func() { l.Post(l.sweep) })
 }
 
 func (l *Loop) sweep() {
@@ -69,7 +69,7 @@
 }
 
 // Unread reports whether the connection has input that has not been read yet. It is called on the loop.
-func Unread(g gnet.Conn) bool {
+func HasUnread(g gnet.Conn) bool {
 	var p [1]byte
 	n, _, err := unix.Recvfrom(g.Fd(), p[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	return err == nil && n > 0
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -83,7 +83,7 @@
 func (idlePeer) Closed(gnet.Conn, error)       {}
 
 // Do runs f on the loop, asynchronously. Calls run in the order of Do. After Stop they are dropped.
-func (l *Loop) Do(f func()) {
+func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
 	rung := l.scheduled
@@ -122,7 +122,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			l.Do(f)
+			l.Post(f)
 		}
 	}
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -83,7 +83,7 @@
 	}
 	for name, g := range map[string]gnet.Conn{"accepted": <-p.opened, "dialled": <-dialled.opened} {
 		got := make(chan int)
-		l.Do(func() {
+		l.Post(func() {
 			v, err := unix.GetsockoptInt(g.Fd(), unix.IPPROTO_TCP, unix.TCP_NODELAY)
 			if err != nil {
 				v = -1
@@ -110,8 +110,8 @@
 		if _, err := g.Write(answer); err != nil {
 			t.Error(err)
 		}
-		p.loop.Finish(g)
-		p.loop.Finish(g) // a second call has no effect
+		p.loop.CloseGracefully(g)
+		p.loop.CloseGracefully(g) // a second call has no effect
 		return gnet.None
 	})
 	_, c := newPair(t, p)
@@ -154,7 +154,7 @@
 	for name, flood := range map[string]bool{"says nothing": false, "goes on sending": true} {
 		t.Run(name, func(t *testing.T) {
 			var p *testPeer
-			p = newPeer(func(g gnet.Conn, b []byte) gnet.Action { p.loop.Finish(g); return gnet.None })
+			p = newPeer(func(g gnet.Conn, b []byte) gnet.Action { p.loop.CloseGracefully(g); return gnet.None })
 			l, c := newPair(t, p)
 			if _, err := c.Write([]byte("ask")); err != nil {
 				t.Fatal(err)
@@ -166,7 +166,7 @@
 			}
 			<-p.closed
 			got := make(chan int)
-			l.Do(func() { got <- len(l.closing) })
+			l.Post(func() { got <- len(l.closing) })
 			if n := <-got; n != 0 {
 				t.Fatalf("%d connections are still closing", n)
 			}
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -59,8 +59,8 @@
 	leave map[string]float64 // part of a load's clients that leave early
 	next  int                // number of the next node
 
-	solved *shares.Found  // nil: worth is counted without shares
-	meter  *standin.Meter // nil: nodes do not meter volumes
+	solved *shares.SearchResult // nil: worth is counted without shares
+	meter  *standin.Meter       // nil: nodes do not meter volumes
 
 	dropped atomic.Int64
 	number  atomic.Int64
--- a/internal/sealed/sealed.go
+++ b/internal/sealed/sealed.go
@@ -20,7 +20,7 @@
 )
 
 // ErrNewer is returned for a file of a newer format than the program supports.
-var ErrNewer = errors.New("it is of a newer format than this program reads: update the program, or write the file with an older one")
+var ErrNewerFormat = errors.New("it is of a newer format than this program reads: update the program, or write the file with an older one")
 
 // Seal returns body in a frame of the given kind and format.
 func Seal(kind string, format int, body []byte) []byte {
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("line 1: format %q: expected a number of 1 or more", fields[1])
 	}
 	if int(format) > maxFormat {
-		return nil, fmt.Errorf("%w (format %d, expected at most %d)", ErrNewer, format, maxFormat)
+		return nil, fmt.Errorf("%w (format %d, expected at most %d)", ErrNewerFormat, format, maxFormat)
 	}
 	length, err := strconv.ParseInt(fields[2], 10, 64)
 	if err != nil || length < 0 || length > maxBytes {
--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -26,7 +26,7 @@
 var (
 	ErrStaleVersion    = errors.New("solution: its version is not above that of the one in use: solve again, with a higher --version")
 	ErrVersionConflict = errors.New("solution: its version is in use, with other content: distribute it under a version of its own")
-	ErrUnknown         = errors.New("solution: it names nodes that the register does not list: solve again for the present nodes")
+	ErrUnknownNodes    = errors.New("solution: it names nodes that the register does not list: solve again for the present nodes")
 )
 
 // Settings holds the settings of a keeper.
@@ -163,13 +163,13 @@
 		if k.deferred == nil || c.solution.Version >= k.deferred.solution.Version {
 			k.deferred = c
 		}
-		return fmt.Errorf("%w (%d of %d: %s)", ErrUnknown, len(unknown), len(c.solution.Nodes), strings.Join(unknown[:min(5, len(unknown))], ", "))
+		return fmt.Errorf("%w (%d of %d: %s)", ErrUnknownNodes, len(unknown), len(c.solution.Nodes), strings.Join(unknown[:min(5, len(unknown))], ", "))
 	}
 	if k.deferred != nil && k.deferred.solution.Version <= c.solution.Version {
 		k.deferred = nil
 	}
 	k.current, k.bytes = c.solution, c.bytes
-	k.host.Shares(Told(c.solution, k.now()), c.solution.Placement)
+	k.host.Shares(ControlShares(c.solution, k.now()), c.solution.Placement)
 	k.state.Version, k.state.At, k.state.Until = c.solution.Version, c.solution.At, c.solution.At.Add(c.solution.Trust())
 	k.state.Volumes, k.state.Err = len(c.solution.Placement), ""
 	k.state.Taken++
@@ -195,7 +195,7 @@
 
 // Listed sets the nodes that the register lists in any state but gone. The solution in use stays
 // when some of its nodes are no longer listed, since nothing is sent to them.
-func (k *Keeper) Listed(ids []string) {
+func (k *Keeper) SetNodes(ids []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.nodes = make(map[string]bool, len(ids))
@@ -203,7 +203,7 @@
 		k.nodes[id] = true
 	}
 	if c := k.deferred; c != nil {
-		if err := k.accept(c); err != nil && !errors.Is(err, ErrUnknown) {
+		if err := k.accept(c); err != nil && !errors.Is(err, ErrUnknownNodes) {
 			k.deferred = nil
 		}
 	}
@@ -247,8 +247,8 @@
 // readFile reads a file of at most shares.MostSolution bytes.
 func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
-	if err == nil && info.Size() > shares.MostSolution {
-		err = fmt.Errorf("file has %d bytes: expected at most %d", info.Size(), shares.MostSolution)
+	if err == nil && info.Size() > shares.MaxSolutionBytes {
+		err = fmt.Errorf("file has %d bytes: expected at most %d", info.Size(), shares.MaxSolutionBytes)
 	}
 	if err != nil {
 		return nil, err
@@ -258,7 +258,7 @@
 
 // Told returns a solution as the shares of a controller at time now. A solution dated in the
 // future, by a clock that is ahead, has age 0.
-func Told(s *shares.Solution, now time.Time) control.Shares {
+func ControlShares(s *shares.Solution, now time.Time) control.Shares {
 	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
 		Volumes: make(map[string]control.VolumeShare, len(s.Shares))}
 	for v, byNode := range s.Shares {
--- a/internal/solution/keeper_test.go
+++ b/internal/solution/keeper_test.go
@@ -73,7 +73,7 @@
 // version, of the version in use with other content, or names unknown nodes.
 func TestOfferRefusesInvalidSolutions(t *testing.T) {
 	k, h := newTestKeeper(t, Settings{Inputs: strings.Repeat("ab", 32)})
-	k.Listed([]string{"a", "b"})
+	k.SetNodes([]string{"a", "b"})
 	good := encodeSolution(t, 5, "a", "b")
 	if err := k.Offer("test", good); err != nil {
 		t.Fatal(err)
@@ -85,7 +85,7 @@
 		}
 	}
 	newer := bytes.Replace(next, []byte("shares 1 "), []byte("shares 9 "), 1)
-	if err := k.Offer("test", newer); !errors.Is(err, sealed.ErrNewer) {
+	if err := k.Offer("test", newer); !errors.Is(err, sealed.ErrNewerFormat) {
 		t.Errorf("newer: %v", err)
 	}
 	s, _ := shares.ReadSolution(next)
@@ -103,7 +103,7 @@
 	if err := k.Offer("test", good); err != nil {
 		t.Errorf("the same again: %v", err)
 	}
-	if err := k.Offer("test", encodeSolution(t, 7, "a", "z")); !errors.Is(err, ErrUnknown) || !strings.Contains(err.Error(), "1 of 2: z") {
+	if err := k.Offer("test", encodeSolution(t, 7, "a", "z")); !errors.Is(err, ErrUnknownNodes) || !strings.Contains(err.Error(), "1 of 2: z") {
 		t.Errorf("unknown node: %v", err)
 	}
 	if got := h.versions(); len(got) != 1 || got[0] != 5 {
@@ -122,15 +122,15 @@
 // one has arrived.
 func TestDeferredUntilNodesAreListed(t *testing.T) {
 	k, h := newTestKeeper(t, Settings{})
-	if err := k.Offer("test", encodeSolution(t, 1, "a")); !errors.Is(err, ErrUnknown) {
+	if err := k.Offer("test", encodeSolution(t, 1, "a")); !errors.Is(err, ErrUnknownNodes) {
 		t.Fatal(err)
 	}
-	k.Listed([]string{"a"})
+	k.SetNodes([]string{"a"})
 	_ = k.Offer("test", encodeSolution(t, 2, "a", "b"))
 	_ = k.Offer("test", encodeSolution(t, 3, "a", "c"))
-	k.Listed([]string{"a", "b"})
-	k.Listed([]string{"a", "b", "c"})
-	k.Listed([]string{"a"}) // the solution in use stays when nodes are removed
+	k.SetNodes([]string{"a", "b"})
+	k.SetNodes([]string{"a", "b", "c"})
+	k.SetNodes([]string{"a"}) // the solution in use stays when nodes are removed
 	if got := h.versions(); len(got) != 2 || got[0] != 1 || got[1] != 3 {
 		t.Errorf("received: %v", got)
 	}
@@ -141,7 +141,7 @@
 func TestSolutionsSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	k, _ := newTestKeeper(t, Settings{Dir: dir})
-	k.Listed([]string{"a"})
+	k.SetNodes([]string{"a"})
 	for v := range uint64(12) {
 		if err := k.Offer("test", encodeSolution(t, v+1, "a")); err != nil {
 			t.Fatal(err)
@@ -158,7 +158,7 @@
 	if len(h.versions()) != 0 {
 		t.Fatal("shares received before the nodes were known")
 	}
-	k.Listed([]string{"a"})
+	k.SetNodes([]string{"a"})
 	if got := h.versions(); len(got) != 1 || got[0] != 11 {
 		t.Errorf("received: %v", got)
 	}
@@ -169,7 +169,7 @@
 func TestFollowReadsReplacedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "solution")
 	k, h := newTestKeeper(t, Settings{File: file})
-	k.Listed([]string{"a"})
+	k.SetNodes([]string{"a"})
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() { k.Follow(stop); close(done) }()
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -82,18 +82,18 @@
 
 // Conns holds the settings of connections to nodes. They apply to the host that opens the connections,
 // not to the controller.
-type Conns struct {
+type ConnectionSettings struct {
 	Idle        time.Duration // a node closes a connection that has been idle for this long; 0: it does not
 	DialTimeout time.Duration // a node that does not accept a connection in this time is unreachable; 0: not set
 }
 
 // ConnSettings parses the connection settings of a start message.
-func ConnSettings(text []byte) (Conns, error) {
+func ParseConnectionSettings(text []byte) (ConnectionSettings, error) {
 	var message settingsMessage
 	if err := json.Unmarshal(text, &message); err != nil {
-		return Conns{}, fmt.Errorf("settings: %w", err)
+		return ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
-	conns := Conns{duration(message.Limits.ConnIdleMS), duration(message.Limits.DialTimeoutMS)}
+	conns := ConnectionSettings{duration(message.Limits.ConnIdleMS), duration(message.Limits.DialTimeoutMS)}
 	if conns.Idle < 0 || conns.DialTimeout < 0 {
 		return conns, fmt.Errorf("settings: limits: conn_idle_ms %v, dial_timeout_ms %v: expected none below 0",
 			message.Limits.ConnIdleMS, message.Limits.DialTimeoutMS)
@@ -130,7 +130,7 @@
 }
 
 // Settings translates the settings of a start message. control.New validates the result.
-func Settings(text []byte) (control.Settings, error) {
+func ParseSettings(text []byte) (control.Settings, error) {
 	var message settingsMessage
 	if err := json.Unmarshal(text, &message); err != nil {
 		return control.Settings{}, fmt.Errorf("settings: %w", err)
@@ -140,19 +140,19 @@
 	}
 	settings := control.Settings{
 		Hosts:     message.Balancers,
-		MeanUnits: message.FamilyInfo.UnitMean, MostUnits: message.FamilyInfo.MostUnits,
+		MeanUnits: message.FamilyInfo.UnitMean, MaxUnits: message.FamilyInfo.MostUnits,
 		ShareWorth: message.FamilyInfo.WithinShare, SpareWorth: message.FamilyInfo.IdleWorth,
 		MeterSpan: duration(message.FamilyInfo.UsePeriodMS), Shards: message.FamilyInfo.SlotsTotal,
 		MaxAttempts: message.Limits.MaxAttempts, MaxRetryAfter: duration(message.Limits.MaxRetryAfterMS),
 		SecondCopies: message.Limits.SecondCopies, Cancelling: message.Limits.Cancelling,
 		Probing: message.Limits.Probes, ProbePrice: message.Tariffs.Probe,
-		DrainGrace: duration(message.Safety.DrainGraceMS),
-		ColdFor:    duration(message.Safety.ColdMS), ColdCapacity: message.Safety.StartCapacity,
-		FallMultiple: message.Safety.OverloadFactor, FallSpan: duration(message.Safety.FallMS),
-		ColdBears: message.FamilyInfo.ColdBears,
-		ExtraFree: message.Safety.BudgetFree, ExtraShare: message.Safety.ResendRatio,
-		ExtraSpan: duration(message.Safety.ResendSpanMS), OrderRest: duration(message.Safety.SettleAfterDoubtMS),
-		ListOnRequest: message.Discovery == "on_request", AskWithin: duration(message.Safety.MustAskInMS),
+		DrainGrace:     duration(message.Safety.DrainGraceMS),
+		WarmupDuration: duration(message.Safety.ColdMS), ColdCapacityFraction: message.Safety.StartCapacity,
+		OverloadMultiple: message.Safety.OverloadFactor, OverloadSpan: duration(message.Safety.FallMS),
+		ColdMinUnits:    message.FamilyInfo.ColdBears,
+		RetryBudgetBase: message.Safety.BudgetFree, RetryBudgetRatio: message.Safety.ResendRatio,
+		RetryBudgetSpan: duration(message.Safety.ResendSpanMS), OrderPause: duration(message.Safety.SettleAfterDoubtMS),
+		ListOnRequest: message.Discovery == "on_request", MaxListRequestInterval: duration(message.Safety.MustAskInMS),
 		LoadFields: message.Telemetry.Fields,
 	}
 	for i, c := range message.Classes {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -119,7 +119,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	set, err := Settings([]byte(`{"balancers":3,"new_key":{"x":1},"discovery":"on_request",
+	set, err := ParseSettings([]byte(`{"balancers":3,"new_key":{"x":1},"discovery":"on_request",
 		"classes":[{"name":"r","effect":"retryable","slo_ms":120,"deadline_ms":1000,"credit":2},
 		{"name":"w","effect":"dedup","dedup_scope":"cell","window_ms":1200,"in_order":true}],
 		"family_info":{"writes":[false,true],"unit_mean":1.99,"cold_bears":37},
@@ -128,8 +128,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := control.Settings{Hosts: 3, ListOnRequest: true, MeanUnits: 1.99, ColdBears: 37,
-		FallSpan: 2 * time.Second, AskWithin: 10 * time.Second, ExtraShare: 0.15, ExtraSpan: 5 * time.Second,
+	want := control.Settings{Hosts: 3, ListOnRequest: true, MeanUnits: 1.99, ColdMinUnits: 37,
+		OverloadSpan: 2 * time.Second, MaxListRequestInterval: 10 * time.Second, RetryBudgetRatio: 0.15, RetryBudgetSpan: 5 * time.Second,
 		Classes: []control.Class{{Name: "r", Aim: 120 * ms, Deadline: time.Second, Worth: 2},
 			{Name: "w", Effect: control.Keyed, Group: control.GroupCell, Window: 1200 * ms, InOrder: true,
 				Writes: true}},
@@ -150,11 +150,11 @@
 		`{"classes":[{"name":"a","effect":"retryable"}],"family_info":{"slots_total":-8}}`:       "family_info.slots_total",
 		`[]`: "settings",
 	} {
-		if _, err := Settings([]byte(bad)); err == nil || !strings.Contains(err.Error(), field) {
+		if _, err := ParseSettings([]byte(bad)); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: %v, expected an error that names %s", bad, err, field)
 		}
 	}
-	far, err := Settings([]byte(`{"classes":[{"name":"a","effect":"retryable","deadline_ms":1e300}]}`))
+	far, err := ParseSettings([]byte(`{"classes":[{"name":"a","effect":"retryable","deadline_ms":1e300}]}`))
 	if err != nil || far.Classes[0].Deadline <= time.Hour {
 		t.Errorf("a deadline beyond what a clock holds is read as %v: %v", far.Classes[0].Deadline, err)
 	}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -41,20 +41,20 @@
 
 // Yields reports whether a connection that holds heldBytes of an incomplete request is closed in favour of a request
 // of newBytes, when there is no room for both. It guards against clients that begin hundreds of large requests.
-func Yields(heldBytes, newBytes int) bool { return heldBytes > newBytes }
+func EvictForRequest(heldBytes, newBytes int) bool { return heldBytes > newBytes }
 
 // Again is the retry delay given to a client that is refused for lack of room.
-const Again = 500 * time.Millisecond
+const RetryDelay = 500 * time.Millisecond
 
 // Conn is the state of a client connection.
 type Conn struct {
-	Open   bool          // it has an open request
-	Taking bool          // its last answer has not been written completely
-	Ending bool          // it is being closed and waits for the other side to close
-	Asked  bool          // it has sent a complete request before
-	Begun  bool          // a request has been received in part
-	Opened time.Duration // when it was accepted
-	Since  time.Duration // when it entered this state
+	Open           bool          // it has an open request
+	WritingAnswer  bool          // its last answer has not been written completely
+	Closing        bool          // it is being closed and waits for the other side to close
+	HasRequested   bool          // it has sent a complete request before
+	PartialRequest bool          // a request has been received in part
+	Opened         time.Duration // when it was accepted
+	Since          time.Duration // when it entered this state
 }
 
 // The time limits of connections without an open request.
@@ -80,61 +80,61 @@
 )
 
 // Verdict is the decision about a connection.
-type Verdict int
+type Decision int
 
 // The verdicts.
 const (
-	Stay  Verdict = iota // keep it open
-	Leave                // close it
-	Late                 // answer that the request did not arrive in time, then close it
+	KeepOpen Decision = iota // keep it open
+	Close                    // close it
+	Late                     // answer that the request did not arrive in time, then close it
 )
 
 // Judge decides whether a connection stays open while used of capacity connections exist.
-func Judge(now time.Duration, c Conn, used, capacity int) Verdict {
+func Decide(now time.Duration, c Conn, used, capacity int) Decision {
 	age := now - c.Since
 	switch {
-	case c.Open || c.Ending:
-		return Stay
-	case c.Taking && age >= answerTimeout:
-		return Leave
-	case c.Taking:
-		return Stay
-	case c.Begun && !c.Asked && now-c.Opened >= firstRequestTimeout, c.Begun && c.Asked && age >= requestTimeout:
+	case c.Open || c.Closing:
+		return KeepOpen
+	case c.WritingAnswer && age >= answerTimeout:
+		return Close
+	case c.WritingAnswer:
+		return KeepOpen
+	case c.PartialRequest && !c.HasRequested && now-c.Opened >= firstRequestTimeout, c.PartialRequest && c.HasRequested && age >= requestTimeout:
 		return Late
-	case c.Begun:
-		return Stay
-	case !c.Asked && age >= firstRequestTimeout:
-		return Leave
-	case c.Asked && (age >= idleTimeout || age >= shortIdleTimeout && float64(used) >= busyOccupancy*float64(capacity)):
-		return Leave
-	case !c.Asked && used >= capacity && age >= silentTimeout:
-		return Leave
+	case c.PartialRequest:
+		return KeepOpen
+	case !c.HasRequested && age >= firstRequestTimeout:
+		return Close
+	case c.HasRequested && (age >= idleTimeout || age >= shortIdleTimeout && float64(used) >= busyOccupancy*float64(capacity)):
+		return Close
+	case !c.HasRequested && used >= capacity && age >= silentTimeout:
+		return Close
 	}
-	return Stay
+	return KeepOpen
 }
 
 // Keep reports whether a connection stays open after an answer while used of capacity connections exist. It guards
 // against clients that send one request and stay connected: they would hold the places of active clients, and
 // detecting them takes longer than opening a new connection. A client that is told with the answer sends nothing more
 // on a connection that closes. The cost is that clients reconnect for each request while places are short.
-func Keep(used, capacity int) bool { return float64(used) < keepAliveOccupancy*float64(capacity) }
+func KeepAlive(used, capacity int) bool { return float64(used) < keepAliveOccupancy*float64(capacity) }
 
 // Rank orders connections for eviction when a new client connects and Judge frees no place: the highest rank is closed
 // first. may is false for a connection that must not be closed, such as one with an open request. Connections that are
 // being closed rank above those that have sent nothing, these above those between requests, and these above those
 // with part of a first request.
-func Rank(now time.Duration, c Conn) (rank float64, may bool) {
+func EvictionRank(now time.Duration, c Conn) (rank float64, may bool) {
 	age := min(0.99, max(0, (now-c.Since).Seconds()/60))
 	switch {
-	case c.Ending:
+	case c.Closing:
 		return 4 + age, now-c.Since >= shortLingerTimeout
-	case c.Open || c.Taking || c.Begun && c.Asked:
+	case c.Open || c.WritingAnswer || c.PartialRequest && c.HasRequested:
 		return 0, false
-	case c.Asked && now-c.Since < shortIdleTimeout/8, !c.Asked && now-c.Opened < silentTimeout:
+	case c.HasRequested && now-c.Since < shortIdleTimeout/8, !c.HasRequested && now-c.Opened < silentTimeout:
 		return 0, false
-	case !c.Asked && !c.Begun:
+	case !c.HasRequested && !c.PartialRequest:
 		return 3 + age, true
-	case c.Begun:
+	case c.PartialRequest:
 		return 1 + age, true
 	}
 	return 2 + age, true
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -26,24 +26,24 @@
 		conn          Conn
 		now           time.Duration
 		taken, places int
-		want          Verdict
+		want          Decision
 	}{
-		{"a request is open", Conn{Open: true}, 99 * sec, 100, 100, Stay},
-		{"it reads its answer", Conn{Taking: true, Asked: true}, 4 * sec, 100, 100, Stay},
-		{"it does not read its answer", Conn{Taking: true, Asked: true}, 5 * sec, 1, 100, Leave},
-		{"silent, new", Conn{}, 1 * sec, 1, 100, Stay},
-		{"silent for long", Conn{}, 3 * sec, 1, 100, Leave},
-		{"silent, and no room", Conn{}, 400 * time.Millisecond, 100, 100, Leave},
-		{"part of a first request, late", Conn{Begun: true, Since: 2 * sec}, 2300 * time.Millisecond, 1, 100, Late},
-		{"part of a first request, recent", Conn{Begun: true}, 1 * sec, 100, 100, Stay},
-		{"part of a later request, late", Conn{Begun: true, Asked: true, Since: 5 * sec}, 7 * sec, 1, 100, Late},
-		{"idle, and room", Conn{Asked: true}, 10 * sec, 10, 100, Stay},
-		{"idle, and little room", Conn{Asked: true}, 10 * sec, 80, 100, Leave},
-		{"idle for a moment, and little room", Conn{Asked: true}, 1 * sec, 80, 100, Stay},
-		{"being closed", Conn{Ending: true, Asked: true}, 99 * sec, 100, 100, Stay},
-		{"idle for long", Conn{Asked: true}, 21 * sec, 1, 100, Leave},
+		{"a request is open", Conn{Open: true}, 99 * sec, 100, 100, KeepOpen},
+		{"it reads its answer", Conn{WritingAnswer: true, HasRequested: true}, 4 * sec, 100, 100, KeepOpen},
+		{"it does not read its answer", Conn{WritingAnswer: true, HasRequested: true}, 5 * sec, 1, 100, Close},
+		{"silent, new", Conn{}, 1 * sec, 1, 100, KeepOpen},
+		{"silent for long", Conn{}, 3 * sec, 1, 100, Close},
+		{"silent, and no room", Conn{}, 400 * time.Millisecond, 100, 100, Close},
+		{"part of a first request, late", Conn{PartialRequest: true, Since: 2 * sec}, 2300 * time.Millisecond, 1, 100, Late},
+		{"part of a first request, recent", Conn{PartialRequest: true}, 1 * sec, 100, 100, KeepOpen},
+		{"part of a later request, late", Conn{PartialRequest: true, HasRequested: true, Since: 5 * sec}, 7 * sec, 1, 100, Late},
+		{"idle, and room", Conn{HasRequested: true}, 10 * sec, 10, 100, KeepOpen},
+		{"idle, and little room", Conn{HasRequested: true}, 10 * sec, 80, 100, Close},
+		{"idle for a moment, and little room", Conn{HasRequested: true}, 1 * sec, 80, 100, KeepOpen},
+		{"being closed", Conn{Closing: true, HasRequested: true}, 99 * sec, 100, 100, KeepOpen},
+		{"idle for long", Conn{HasRequested: true}, 21 * sec, 1, 100, Close},
 	} {
-		if got := Judge(c.now, c.conn, c.taken, c.places); got != c.want {
+		if got := Decide(c.now, c.conn, c.taken, c.places); got != c.want {
 			t.Errorf("%s: verdict %d, expected %d", c.name, got, c.want)
 		}
 	}
@@ -53,15 +53,15 @@
 func TestRank(t *testing.T) {
 	now := 10 * time.Second
 	last := 99.0
-	for _, c := range []Conn{{Ending: true}, {}, {Asked: true}, {Begun: true}} {
-		rank, may := Rank(now, c)
+	for _, c := range []Conn{{Closing: true}, {}, {HasRequested: true}, {PartialRequest: true}} {
+		rank, may := EvictionRank(now, c)
 		if !may || rank >= last {
 			t.Errorf("%+v: rank %v after %v", c, rank, last)
 		}
 		last = rank
 	}
-	for _, c := range []Conn{{Open: true}, {Begun: true, Asked: true}, {Opened: now}, {Asked: true, Since: now}, {Ending: true, Since: now}} {
-		if rank, may := Rank(now, c); may {
+	for _, c := range []Conn{{Open: true}, {PartialRequest: true, HasRequested: true}, {Opened: now}, {HasRequested: true, Since: now}, {Closing: true, Since: now}} {
+		if rank, may := EvictionRank(now, c); may {
 			t.Errorf("%+v may be evicted, with rank %v", c, rank)
 		}
 	}
@@ -70,7 +70,7 @@
 // TestKeep checks that connections stay open while there is room, and close after their answers well before there is
 // none.
 func TestKeep(t *testing.T) {
-	if !Keep(1, 100) || !Keep(59, 100) || Keep(60, 100) || Keep(100, 100) {
+	if !KeepAlive(1, 100) || !KeepAlive(59, 100) || KeepAlive(60, 100) || KeepAlive(100, 100) {
 		t.Error("connections are kept open at the wrong occupancy")
 	}
 }
--- a/outage/outage.go
+++ b/outage/outage.go
@@ -56,7 +56,7 @@
 
 // Book tracks shards that do not answer. It is not safe for concurrent use. It holds an entry only for listed shards
 // that have been silent since their last answer.
-type Book struct {
+type Tracker struct {
 	settings    Settings
 	silent      map[int]*silentShard
 	pastOutages []time.Duration // durations of the latest outages
@@ -72,11 +72,11 @@
 }
 
 // New returns an empty Book.
-func New(settings Settings) (*Book, error) {
+func New(settings Settings) (*Tracker, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("outage: %w", err)
 	}
-	return &Book{settings: settings, silent: map[int]*silentShard{}}, nil
+	return &Tracker{settings: settings, silent: map[int]*silentShard{}}, nil
 }
 
 // Change is the effect of a call to Heard.
@@ -84,14 +84,14 @@
 
 // Changes of a shard's state.
 const (
-	NoChange Change = iota
-	Gone            // the shard is lost as of now
-	Back            // a lost shard answers again
+	NoChange       Change = iota
+	ShardLost             // the shard is lost as of now
+	ShardRecovered        // a lost shard answers again
 )
 
 // Heard records that a shard answered, with whatever result, or gave no answer: the connection failed or was dropped,
 // or the answer did not come in time. The duration returned with Gone and Back is how long the shard was silent.
-func (b *Book) Heard(id int, answered bool, now time.Duration) (Change, time.Duration) {
+func (b *Tracker) RecordResult(id int, answered bool, now time.Duration) (Change, time.Duration) {
 	s := b.silent[id]
 	if answered {
 		delete(b.silent, id)
@@ -99,7 +99,7 @@
 			if b.pastOutages = append(b.pastOutages, now-s.since); len(b.pastOutages) > maxPastOutages {
 				b.pastOutages = b.pastOutages[1:]
 			}
-			return Back, now - s.since
+			return ShardRecovered, now - s.since
 		}
 		return NoChange, 0
 	}
@@ -115,18 +115,18 @@
 		return NoChange, 0
 	}
 	s.lost, s.nextProbe = true, now // probe at once: the cause may only be dropped connections
-	return Gone, now - s.since
+	return ShardLost, now - s.since
 }
 
 // Word records a change in the register: a node of the shard is new or has moved. A lost shard is then probed at once.
-func (b *Book) Word(id int, now time.Duration) {
+func (b *Tracker) NodeChanged(id int, now time.Duration) {
 	if s := b.silent[id]; s != nil && s.lost {
 		s.nextProbe = min(s.nextProbe, now)
 	}
 }
 
 // Keep removes shards that are no longer listed.
-func (b *Book) Keep(listed func(id int) bool) {
+func (b *Tracker) Retain(listed func(id int) bool) {
 	for id := range b.silent {
 		if !listed(id) {
 			delete(b.silent, id)
@@ -138,7 +138,7 @@
 // By that time a fraction of RetryQuantile of the past outages that lasted longer than this one so far had ended;
 // without such outages it is as long as the silence so far. It lies within the bounds of the settings, and not before
 // the next probe.
-func (b *Book) Lost(id int, now time.Duration) (silent, retryAfter time.Duration, lost bool) {
+func (b *Tracker) Lost(id int, now time.Duration) (silent, retryAfter time.Duration, lost bool) {
 	s := b.silent[id]
 	if s == nil || !s.lost {
 		return 0, 0, false
@@ -151,7 +151,7 @@
 // remaining estimates how much longer an outage lasts. Where outages are alike, as for a process that is restarted or
 // a node that is upgraded, past ones give the estimate. If none lasted as long, the estimate is as long again as the
 // shard has been silent.
-func (b *Book) remaining(silent time.Duration) time.Duration {
+func (b *Tracker) remaining(silent time.Duration) time.Duration {
 	var longer []time.Duration
 	for _, duration := range b.pastOutages {
 		if duration > silent {
@@ -166,7 +166,7 @@
 }
 
 // Due returns the lost shards that are to be probed now, ordered by ID, and schedules their next probes.
-func (b *Book) Due(now time.Duration) (due []int) {
+func (b *Tracker) ProbesDue(now time.Duration) (due []int) {
 	for id, s := range b.silent {
 		if s.lost && now >= s.nextProbe {
 			due = append(due, id)
@@ -179,7 +179,7 @@
 }
 
 // LostShards returns the lost shards, ordered by ID.
-func (b *Book) LostShards() (lost []int) {
+func (b *Tracker) LostShards() (lost []int) {
 	for id, s := range b.silent {
 		if s.lost {
 			lost = append(lost, id)
--- a/outage/outage_test.go
+++ b/outage/outage_test.go
@@ -20,15 +20,15 @@
 		t.Fatal(err)
 	}
 	for i := range 40 {
-		if c, _ := b.Heard(1, false, time.Second+time.Duration(i)*ms); c != NoChange {
+		if c, _ := b.RecordResult(1, false, time.Second+time.Duration(i)*ms); c != NoChange {
 			t.Fatalf("lost after %d ms", i)
 		}
 	}
-	b.Heard(1, false, 1100*ms)
-	if c, _ := b.Heard(1, false, 1200*ms); c != Gone {
+	b.RecordResult(1, false, 1100*ms)
+	if c, _ := b.RecordResult(1, false, 1200*ms); c != ShardLost {
 		t.Fatalf("not lost: %v", c)
 	}
-	if due := b.Due(1200 * ms); len(due) != 1 || due[0] != 1 {
+	if due := b.ProbesDue(1200 * ms); len(due) != 1 || due[0] != 1 {
 		t.Errorf("due %v", due)
 	}
 	if silent, retryAfter, lost := b.Lost(1, 1300*ms); !lost || silent != 300*ms || retryAfter != time.Second+Default.SilenceInterval {
@@ -37,7 +37,7 @@
 	if _, _, lost := b.Lost(2, 1300*ms); lost {
 		t.Error("another shard is lost")
 	}
-	if c, gone := b.Heard(1, true, 5*time.Second); c != Back || gone != 4*time.Second {
+	if c, gone := b.RecordResult(1, true, 5*time.Second); c != ShardRecovered || gone != 4*time.Second {
 		t.Errorf("%v %v", c, gone)
 	}
 	if _, _, lost := b.Lost(1, 5*time.Second); lost || len(b.LostShards()) != 0 {
@@ -53,12 +53,12 @@
 		b, _ := New(Default)
 		start, duration := time.Minute, time.Duration(rapid.IntRange(200, 60_000).Draw(t, "ms"))*ms
 		for i := range 3 {
-			b.Heard(7, false, start+time.Duration(i)*50*ms)
+			b.RecordResult(7, false, start+time.Duration(i)*50*ms)
 		}
 		probes, found := 0, time.Duration(0)
 		retryTimes := map[time.Duration]bool{} // times at which clients were told to retry
 		for now := start + 100*ms; found == 0; now += 10 * ms {
-			for range b.Due(now) {
+			for range b.ProbesDue(now) {
 				probes++
 				if now >= start+duration {
 					found = now
@@ -91,15 +91,15 @@
 func TestNodeChangeTriggersProbe(t *testing.T) {
 	b, _ := New(Default)
 	for i := range 3 {
-		b.Heard(1, false, time.Duration(i)*time.Second)
+		b.RecordResult(1, false, time.Duration(i)*time.Second)
 	}
-	b.Due(2 * time.Second)
-	b.Word(1, 2100*ms)
-	b.Word(2, 2100*ms)
-	if due := b.Due(2100 * ms); len(due) != 1 || due[0] != 1 {
+	b.ProbesDue(2 * time.Second)
+	b.NodeChanged(1, 2100*ms)
+	b.NodeChanged(2, 2100*ms)
+	if due := b.ProbesDue(2100 * ms); len(due) != 1 || due[0] != 1 {
 		t.Errorf("due %v", due)
 	}
-	b.Keep(func(id int) bool { return id != 1 })
+	b.Retain(func(id int) bool { return id != 1 })
 	if len(b.LostShards()) != 0 {
 		t.Error("a shard that is no longer listed is still lost")
 	}
@@ -122,16 +122,16 @@
 	for i, duration := range lengths {
 		start := time.Hour * time.Duration(i+1)
 		for j := range 3 {
-			b.Heard(1, false, start+time.Duration(j)*50*ms)
+			b.RecordResult(1, false, start+time.Duration(j)*50*ms)
 		}
 		type client struct{ arrivedAt, firstRetryAfter, retryAt time.Duration }
 		var waiting []*client
 		recoveredAt := time.Duration(0)
 		for now := start + 100*ms; recoveredAt == 0 || len(waiting) > 0; now += 10 * ms {
-			for range b.Due(now) {
+			for range b.ProbesDue(now) {
 				if now >= start+duration && recoveredAt == 0 {
 					recoveredAt = now
-					b.Heard(1, true, now)
+					b.RecordResult(1, true, now)
 				}
 			}
 			if _, retryAfter, lost := b.Lost(1, now); lost {
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -32,7 +32,7 @@
 
 // Ends reports whether the end of a connection completes an answer without a length: it does if the other side shut
 // down its sending side, which a read of zero bytes shows. A reset or any other error does not complete it.
-func Ends(err error) bool {
+func EndsAnswer(err error) bool {
 	var syscallErr *os.SyscallError
 	return errors.As(err, &syscallErr) && syscallErr.Syscall == "read" && syscallErr.Err == io.EOF
 }
@@ -51,7 +51,7 @@
 
 // OfSpoilt returns the result that a malformed or incomplete answer proves: the request may have run, and a
 // Not-Started field in it is no proof to the contrary.
-func OfSpoilt() control.Result { return control.Error }
+func OfMalformed() control.Result { return control.Error }
 
 // Reusable reports whether a connection may carry another request after a complete answer: the answer does not close
 // it, no extra bytes followed the answer, and no byte of the request remains to be written.
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -19,7 +19,7 @@
 			}
 		}
 	}
-	if OfSpoilt().NeverRan() || OfSpoilt() == control.Done {
+	if OfMalformed().NeverRan() || OfMalformed() == control.Done {
 		t.Error("a malformed answer proves that the request ran, or that it never ran")
 	}
 	for _, c := range []struct {
@@ -27,7 +27,7 @@
 		rest  int
 		never bool
 	}{{NotBegun, 0, true}, {NotBegun, 9, true}, {Partial, 1, true}, {Partial, 0, false}, {Complete, 0, false}} {
-		if r := OfEnd(c.h, c.rest); r.NeverRan() != c.never || !r.NeverRan() && !r.Doubtful() {
+		if r := OfEnd(c.h, c.rest); r.NeverRan() != c.never || !r.NeverRan() && !r.MayStillRun() {
 			t.Errorf("%+v: %d", c, r)
 		}
 	}
@@ -45,7 +45,7 @@
 		io.EOF: false, // the poller's error for any end other than by a read
 		nil:    false,
 	} {
-		if got := Ends(err); got != want {
+		if got := EndsAnswer(err); got != want {
 			t.Errorf("%v: %v, expected %v", err, got, want)
 		}
 	}
--- a/pacing/budget.go
+++ b/pacing/budget.go
@@ -25,10 +25,10 @@
 }
 
 // Give releases allocated bytes.
-func (b *Budget) Give(bytes int64) { b.usedBytes -= bytes }
+func (b *Budget) Release(bytes int64) { b.usedBytes -= bytes }
 
 // Used returns the number of allocated bytes.
 func (b *Budget) Used() int64 { return b.usedBytes }
 
 // Force allocates bytes that are in memory already, even beyond the limit.
-func (b *Budget) Force(bytes int64) { b.usedBytes += bytes }
+func (b *Budget) AllocateUnchecked(bytes int64) { b.usedBytes += bytes }
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -16,33 +16,33 @@
 
 // Settings limit a transfer.
 type Settings struct {
-	Tries       int           // maximum number of requests for an extent, retries included
-	Patience    time.Duration // time limit of an extent over all tries; less with a short client timeout
-	TimeoutPart float64       // fraction of the client's own timeout that an extent may take
-	Least       time.Duration // a try with less time left than this is not made
-	WindowStart int           // initial number of extents requested at a time
-	WindowTop   int           // maximum number of extents requested at a time
-	ShardPause  time.Duration // time for which extents of a shard get a single try after one was given up
-	LeaveOut    int           // number of consecutive files left out after which the transfer ends
+	MaxTries        int           // maximum number of requests for an extent, retries included
+	ExtentTimeout   time.Duration // time limit of an extent over all tries; less with a short client timeout
+	TimeoutFraction float64       // fraction of the client's own timeout that an extent may take
+	MinTryTime      time.Duration // a try with less time left than this is not made
+	InitialWindow   int           // initial number of extents requested at a time
+	MaxWindow       int           // maximum number of extents requested at a time
+	ShardPause      time.Duration // time for which extents of a shard get a single try after one was given up
+	MaxFilesLeftOut int           // number of consecutive files left out after which the transfer ends
 }
 
 // Default holds the default settings.
-var Default = Settings{Tries: 4, Patience: 8 * time.Second, TimeoutPart: 0.6, Least: 20 * time.Millisecond,
-	WindowStart: 2, WindowTop: 8, ShardPause: 5 * time.Second, LeaveOut: 16}
+var Default = Settings{MaxTries: 4, ExtentTimeout: 8 * time.Second, TimeoutFraction: 0.6, MinTryTime: 20 * time.Millisecond,
+	InitialWindow: 2, MaxWindow: 8, ShardPause: 5 * time.Second, MaxFilesLeftOut: 16}
 
 // Check returns an error that describes the first invalid setting.
 func (s Settings) Check() error {
 	switch {
-	case s.Tries < 1 || s.Tries > 4:
-		return fmt.Errorf("tries = %d: expected 1 to 4", s.Tries)
-	case s.Patience <= 0 || s.Least <= 0 || s.Least >= s.Patience:
-		return fmt.Errorf("patience = %v, least = %v: expected 0 < least < patience", s.Patience, s.Least)
-	case !(s.TimeoutPart > 0 && s.TimeoutPart < 1):
-		return fmt.Errorf("timeout_part = %v: expected more than 0 and less than 1", s.TimeoutPart)
-	case s.WindowStart < 1 || s.WindowTop < s.WindowStart:
-		return fmt.Errorf("window_start = %d, window_top = %d: expected 1 <= start <= top", s.WindowStart, s.WindowTop)
-	case s.ShardPause < 0 || s.LeaveOut < 1:
-		return fmt.Errorf("shard_pause = %v, leave_out = %d: expected 0 or more, 1 or more", s.ShardPause, s.LeaveOut)
+	case s.MaxTries < 1 || s.MaxTries > 4:
+		return fmt.Errorf("tries = %d: expected 1 to 4", s.MaxTries)
+	case s.ExtentTimeout <= 0 || s.MinTryTime <= 0 || s.MinTryTime >= s.ExtentTimeout:
+		return fmt.Errorf("patience = %v, least = %v: expected 0 < least < patience", s.ExtentTimeout, s.MinTryTime)
+	case !(s.TimeoutFraction > 0 && s.TimeoutFraction < 1):
+		return fmt.Errorf("timeout_part = %v: expected more than 0 and less than 1", s.TimeoutFraction)
+	case s.InitialWindow < 1 || s.MaxWindow < s.InitialWindow:
+		return fmt.Errorf("window_start = %d, window_top = %d: expected 1 <= start <= top", s.InitialWindow, s.MaxWindow)
+	case s.ShardPause < 0 || s.MaxFilesLeftOut < 1:
+		return fmt.Errorf("shard_pause = %v, leave_out = %d: expected 0 or more, 1 or more", s.ShardPause, s.MaxFilesLeftOut)
 	}
 	return nil
 }
@@ -66,10 +66,10 @@
 // New returns the state of a new transfer. timeout is the client's own timeout (0: none), and rate its limit in bytes
 // per second (0: none). The seed randomizes pauses, so that transfers refused together do not retry together.
 func New(settings Settings, timeout time.Duration, rate float64, seed uint64) *Transfer {
-	t := &Transfer{settings: settings, extentTimeout: settings.Patience, window: float64(settings.WindowStart),
+	t := &Transfer{settings: settings, extentTimeout: settings.ExtentTimeout, window: float64(settings.InitialWindow),
 		failedShards: map[int]time.Duration{}, rate: rate, rng: rand.New(rand.NewPCG(seed, 0))}
 	if timeout > 0 {
-		t.extentTimeout = min(t.extentTimeout, time.Duration(settings.TimeoutPart*float64(timeout)))
+		t.extentTimeout = min(t.extentTimeout, time.Duration(settings.TimeoutFraction*float64(timeout)))
 	}
 	return t
 }
@@ -88,7 +88,7 @@
 
 // Room reports whether another extent may be requested now. If only the transfer's rate prevents it, at is the time at
 // which one may be requested.
-func (t *Transfer) Room(now time.Duration) (ok bool, at time.Duration) {
+func (t *Transfer) MayRequest(now time.Duration) (ok bool, at time.Duration) {
 	if t.inFlight >= int(t.window) {
 		return false, 0
 	}
@@ -104,14 +104,14 @@
 
 // Patience returns how long an extent may take over all its tries, which is also how long an extent that a client
 // waits for may be held back from its first try.
-func (t *Transfer) Patience() time.Duration { return t.extentTimeout }
+func (t *Transfer) ExtentTimeout() time.Duration { return t.extentTimeout }
 
 // Window returns the maximum number of extents that may be requested at a time.
 func (t *Transfer) Window() int { return int(t.window) }
 
 // Begin registers an extent of the given size that is wanted now. shard is the shard that stores it, or negative if
 // unknown; deadline is the deadline of its class.
-func (t *Transfer) Begin(now time.Duration, shard, bytes int, deadline time.Duration) *Extent {
+func (t *Transfer) StartExtent(now time.Duration, shard, bytes int, deadline time.Duration) *Extent {
 	if t.rate > 0 {
 		t.debtBytes += float64(bytes)
 	}
@@ -125,9 +125,9 @@
 }
 
 // Ask registers a try of the extent. ok is false if no time or no tries are left.
-func (t *Transfer) Ask(x *Extent, now time.Duration) (Try, bool) {
+func (t *Transfer) StartTry(x *Extent, now time.Duration) (Try, bool) {
 	remaining := x.expiresAt - now
-	if remaining < t.settings.Least || x.tries >= t.settings.Tries {
+	if remaining < t.settings.MinTryTime || x.tries >= t.settings.MaxTries {
 		return Try{}, false
 	}
 	x.tries++
@@ -137,13 +137,13 @@
 }
 
 // Kind is the result of a try.
-type Kind int
+type TryResult int
 
 // Results of a try.
 const (
-	Served  Kind = iota
-	Refused      // nothing was executed, or a retry is harmless
-	Failed       // a failed read, or a write that may have been executed and is retried under another name
+	Served  TryResult = iota
+	Refused           // nothing was executed, or a retry is harmless
+	Failed            // a failed read, or a write that may have been executed and is retried under another name
 )
 
 // Step is the kind of action that follows a try.
@@ -152,15 +152,15 @@
 // Actions after a try.
 const (
 	Done   Step = iota
-	Again       // retry at NextStep.At
+	Retry       // retry at NextStep.At
 	GiveUp      // abandon the extent: its file is left out
 )
 
 // NextStep is the action that follows a try.
 type NextStep struct {
-	What Step
-	At   time.Duration // Again: time of the retry
-	Back time.Duration // GiveUp: time from now after which the client should retry; 0: unknown
+	Step       Step
+	At         time.Duration // Again: time of the retry
+	RetryAfter time.Duration // GiveUp: time from now after which the client should retry; 0: unknown
 }
 
 // firstPauseDivisor gives the minimum pause before the second try as a fraction of the extent's time limit. Each
@@ -171,14 +171,14 @@
 const firstPauseDivisor = 32
 
 // Ended records the result of a try and returns what to do next. retryAfter is the retry-after of a refusal.
-func (t *Transfer) Ended(x *Extent, now time.Duration, kind Kind, retryAfter time.Duration) NextStep {
+func (t *Transfer) TryEnded(x *Extent, now time.Duration, kind TryResult, retryAfter time.Duration) NextStep {
 	t.inFlight--
 	if kind == Served {
 		if t.inFlight+1 >= int(t.window) { // the window limited the transfer
-			t.window = min(float64(t.settings.WindowTop), t.window+1/t.window)
+			t.window = min(float64(t.settings.MaxWindow), t.window+1/t.window)
 		}
 		delete(t.failedShards, x.Shard)
-		return NextStep{What: Done}
+		return NextStep{Step: Done}
 	}
 	if x.sentAt >= t.windowHalvedAt { // once for all tries in flight at that time
 		t.window = max(1, t.window/2)
@@ -189,12 +189,12 @@
 		pause = max(pause, retryAfter)
 	}
 	retryAt := now + pause + time.Duration(t.rng.Int64N(int64(pause)+1))
-	maxTries := t.settings.Tries
+	maxTries := t.settings.MaxTries
 	if until, failed := t.failedShards[x.Shard]; failed && now < until {
 		maxTries = 1
 	}
-	if x.tries < maxTries && retryAt+t.settings.Least <= x.expiresAt {
-		return NextStep{What: Again, At: retryAt}
+	if x.tries < maxTries && retryAt+t.settings.MinTryTime <= x.expiresAt {
+		return NextStep{Step: Retry, At: retryAt}
 	}
 	if x.Shard >= 0 {
 		t.failedShards[x.Shard] = now + t.settings.ShardPause
@@ -203,19 +203,19 @@
 	if kind == Refused {
 		clientRetryAfter = max(retryAfter, time.Millisecond)
 	}
-	return NextStep{What: GiveUp, Back: clientRetryAfter}
+	return NextStep{Step: GiveUp, RetryAfter: clientRetryAfter}
 }
 
 // Dropped records that the answer to a try is no longer awaited.
-func (t *Transfer) Dropped(*Extent) { t.inFlight-- }
+func (t *Transfer) TryAbandoned(*Extent) { t.inFlight-- }
 
 // File records that a file was finished or left out, and reports whether the transfer ends now: after LeaveOut
 // consecutive files left out, continuing would only use up the client's time.
-func (t *Transfer) File(ok bool) (end bool) {
+func (t *Transfer) FileEnded(ok bool) (end bool) {
 	if ok {
 		t.leftOutInRow = 0
 		return false
 	}
 	t.leftOutInRow++
-	return t.leftOutInRow >= t.settings.LeaveOut
+	return t.leftOutInRow >= t.settings.MaxFilesLeftOut
 }
