--- a/pacing/pacing_test.go
+++ b/pacing/pacing_test.go
@@ -14,33 +14,33 @@
 
 func TestRefusalDelaysAndMarksRetry(t *testing.T) {
 	tr := New(Default, 10*second, 0, 1) // an extent may take 6 s
-	x := tr.Begin(0, 3, 1000, second)
-	try, ok := tr.Ask(x, 0)
+	x := tr.StartExtent(0, 3, 1000, second)
+	try, ok := tr.StartTry(x, 0)
 	if !ok || try.Retry || try.Expires != second {
 		t.Fatalf("first try: %+v %v", try, ok)
 	}
-	next := tr.Ended(x, 100*ms, Refused, 2*second)
-	if next.What != Again || next.At < 2100*ms || next.At > 4100*ms {
+	next := tr.TryEnded(x, 100*ms, Refused, 2*second)
+	if next.Step != Retry || next.At < 2100*ms || next.At > 4100*ms {
 		t.Fatalf("after a refusal: %+v", next)
 	}
-	if try, ok = tr.Ask(x, next.At); !ok || !try.Retry {
+	if try, ok = tr.StartTry(x, next.At); !ok || !try.Retry {
 		t.Fatalf("second try: %+v %v", try, ok)
 	}
-	if next = tr.Ended(x, next.At+100*ms, Refused, 5*second); next.What != GiveUp || next.Back != 5*second {
+	if next = tr.TryEnded(x, next.At+100*ms, Refused, 5*second); next.Step != GiveUp || next.RetryAfter != 5*second {
 		t.Fatalf("a retry-after beyond the client's timeout: %+v", next)
 	}
 }
 
 func TestShortRetryAfterIsExtended(t *testing.T) {
 	tr := New(Default, 0, 0, 1) // an extent may take 8 s
-	x := tr.Begin(0, 0, 1, second)
+	x := tr.StartExtent(0, 0, 1, second)
 	at, waits := time.Duration(0), []time.Duration(nil)
 	for {
-		if _, ok := tr.Ask(x, at); !ok {
+		if _, ok := tr.StartTry(x, at); !ok {
 			t.Fatal("no try is left, but the extent was not given up")
 		}
-		next := tr.Ended(x, at, Refused, ms)
-		if next.What == GiveUp {
+		next := tr.TryEnded(x, at, Refused, ms)
+		if next.Step == GiveUp {
 			break
 		}
 		waits = append(waits, next.At-at)
@@ -63,9 +63,9 @@
 	bins := map[time.Duration]int{}
 	for i := range 1000 {
 		tr := New(Default, 0, 0, uint64(i))
-		x := tr.Begin(0, 0, 1, second)
-		tr.Ask(x, 0)
-		bins[tr.Ended(x, 0, Refused, ms).At/bin]++
+		x := tr.StartExtent(0, 0, 1, second)
+		tr.StartTry(x, 0)
+		bins[tr.TryEnded(x, 0, Refused, ms).At/bin]++
 	}
 	for at, n := range bins {
 		if n > 200 {
@@ -73,10 +73,10 @@
 		}
 	}
 	a, b := New(Default, 0, 0, 7), New(Default, 0, 0, 7)
-	x, y := a.Begin(0, 0, 1, second), b.Begin(0, 0, 1, second)
-	a.Ask(x, 0)
-	b.Ask(y, 0)
-	if a.Ended(x, 0, Refused, ms) != b.Ended(y, 0, Refused, ms) {
+	x, y := a.StartExtent(0, 0, 1, second), b.StartExtent(0, 0, 1, second)
+	a.StartTry(x, 0)
+	b.StartTry(y, 0)
+	if a.TryEnded(x, 0, Refused, ms) != b.TryEnded(y, 0, Refused, ms) {
 		t.Error("equal seeds give different pauses")
 	}
 }
@@ -84,10 +84,10 @@
 func TestFailedShardGetsOneTry(t *testing.T) {
 	tr := New(Default, 0, 0, 1)
 	giveUp := func(shard int, at time.Duration) int {
-		x := tr.Begin(at, shard, 1, second)
+		x := tr.StartExtent(at, shard, 1, second)
 		for {
-			tr.Ask(x, at)
-			if next := tr.Ended(x, at, Failed, 0); next.What == GiveUp {
+			tr.StartTry(x, at)
+			if next := tr.TryEnded(x, at, Failed, 0); next.Step == GiveUp {
 				return x.Tries()
 			} else {
 				at = next.At
@@ -103,9 +103,9 @@
 	if n := giveUp(2, 4*second); n != 4 {
 		t.Errorf("another shard: %d tries", n)
 	}
-	x := tr.Begin(4*second, 1, 1, second)
-	tr.Ask(x, 4*second)
-	tr.Ended(x, 4*second, Served, 0)
+	x := tr.StartExtent(4*second, 1, 1, second)
+	tr.StartTry(x, 4*second)
+	tr.TryEnded(x, 4*second, Served, 0)
 	if n := giveUp(1, 5*second); n != 4 {
 		t.Errorf("after one was served: %d tries", n)
 	}
@@ -115,19 +115,19 @@
 	tr := New(Default, 0, 0, 1)
 	extents := []*Extent{}
 	for now := time.Duration(0); tr.Window() < 8 && now < second; now += ms {
-		for ok, _ := tr.Room(now); ok; ok, _ = tr.Room(now) {
-			x := tr.Begin(now, 0, 1, second)
-			tr.Ask(x, now)
+		for ok, _ := tr.MayRequest(now); ok; ok, _ = tr.MayRequest(now) {
+			x := tr.StartExtent(now, 0, 1, second)
+			tr.StartTry(x, now)
 			extents = append(extents, x)
 		}
-		tr.Ended(extents[0], now, Served, 0)
+		tr.TryEnded(extents[0], now, Served, 0)
 		extents = extents[1:]
 	}
 	if tr.Window() != 8 {
 		t.Fatalf("window %d", tr.Window())
 	}
 	for _, x := range extents {
-		tr.Ended(x, second, Failed, 0)
+		tr.TryEnded(x, second, Failed, 0)
 	}
 	if tr.Window() != 4 {
 		t.Errorf("window %d after %d failures at once", tr.Window(), len(extents))
@@ -138,14 +138,14 @@
 	tr := New(Default, 0, 1000, 1)
 	sum, now := 0, time.Duration(0)
 	for now < 10*second {
-		ok, at := tr.Room(now)
+		ok, at := tr.MayRequest(now)
 		if !ok {
 			now = at
 			continue
 		}
-		x := tr.Begin(now, 0, 250, second)
-		tr.Ask(x, now)
-		tr.Ended(x, now, Served, 0)
+		x := tr.StartExtent(now, 0, 250, second)
+		tr.StartTry(x, now)
+		tr.TryEnded(x, now, Served, 0)
 		sum += 250
 	}
 	if sum < 9500 || sum > 10500 {
@@ -155,18 +155,18 @@
 
 func TestTransferEndsAfterFilesLeftOutInARow(t *testing.T) {
 	tr := New(Default, 0, 0, 1)
-	for i := range Default.LeaveOut - 1 {
-		if tr.File(false) {
+	for i := range Default.MaxFilesLeftOut - 1 {
+		if tr.FileEnded(false) {
 			t.Fatalf("ends after %d", i+1)
 		}
 	}
-	tr.File(true)
-	for range Default.LeaveOut - 1 {
-		if tr.File(false) {
+	tr.FileEnded(true)
+	for range Default.MaxFilesLeftOut - 1 {
+		if tr.FileEnded(false) {
 			t.Fatal("a served file does not reset the count")
 		}
 	}
-	if !tr.File(false) {
+	if !tr.FileEnded(false) {
 		t.Error("does not end")
 	}
 }
@@ -177,28 +177,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		timeout := time.Duration(rapid.IntRange(0, 60).Draw(t, "timeout")) * second
 		tr := New(Default, timeout, 0, 1)
-		limit := Default.Patience
+		limit := Default.ExtentTimeout
 		if timeout > 0 {
-			limit = min(limit, time.Duration(Default.TimeoutPart*float64(timeout)))
+			limit = min(limit, time.Duration(Default.TimeoutFraction*float64(timeout)))
 		}
 		now := time.Duration(rapid.Int64Range(0, int64(second)).Draw(t, "begin"))
 		begin := now
-		x := tr.Begin(now, 0, 1, time.Duration(rapid.IntRange(20, 5000).Draw(t, "deadline"))*ms)
+		x := tr.StartExtent(now, 0, 1, time.Duration(rapid.IntRange(20, 5000).Draw(t, "deadline"))*ms)
 		tries := 0
 		for {
-			try, ok := tr.Ask(x, now)
+			try, ok := tr.StartTry(x, now)
 			if !ok {
 				break
 			}
 			tries++
-			if now+try.Expires > begin+limit || try.Expires < Default.Least || try.Retry != (tries > 1) || tries > 4 {
+			if now+try.Expires > begin+limit || try.Expires < Default.MinTryTime || try.Retry != (tries > 1) || tries > 4 {
 				t.Fatalf("try %d at %v of %v: %+v", tries, now-begin, limit, try)
 			}
 			now += time.Duration(rapid.Int64Range(0, int64(try.Expires)).Draw(t, "took"))
 			retryAfter := time.Duration(rapid.Int64Range(0, int64(3*second)).Draw(t, "hint"))
-			kind := Kind(rapid.IntRange(0, 2).Draw(t, "kind"))
-			next := tr.Ended(x, now, kind, retryAfter)
-			if next.What != Again {
+			kind := TryResult(rapid.IntRange(0, 2).Draw(t, "kind"))
+			next := tr.TryEnded(x, now, kind, retryAfter)
+			if next.Step != Retry {
 				break
 			}
 			if kind == Refused && next.At < now+retryAfter {
@@ -206,7 +206,7 @@
 			}
 			now = next.At
 		}
-		if tr.inFlight != 0 || tr.Window() < 1 || tr.Window() > Default.WindowTop {
+		if tr.inFlight != 0 || tr.Window() < 1 || tr.Window() > Default.MaxWindow {
 			t.Fatalf("%d in flight, window %d", tr.inFlight, tr.Window())
 		}
 	})
@@ -217,7 +217,7 @@
 	if !b.Take(75, 50) || b.Take(1, 50) || !b.Take(25, 0) || b.Take(1, 0) {
 		t.Errorf("used %d", b.Used())
 	}
-	b.Give(100)
+	b.Release(100)
 	if b.Used() != 0 || !b.Take(1, 1) {
 		t.Errorf("used %d", b.Used())
 	}
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -67,7 +67,7 @@
 }
 
 // Keep removes all shards for which known returns false.
-func (f *Fill) Keep(known func(shard int) bool) {
+func (f *Fill) Retain(known func(shard int) bool) {
 	maps.DeleteFunc(f.shards, func(s int, _ *shardFill) bool { return !known(s) })
 }
 
@@ -123,7 +123,7 @@
 func (l *shardFill) headroomStep() int { return int(headroomSteps * l.usedFraction()) }
 
 // Takes returns whether a shard accepts new extents. An unknown shard does.
-func (f *Fill) Takes(shard int) bool {
+func (f *Fill) AcceptsExtents(shard int) bool {
 	l := f.shards[shard]
 	return l == nil || l.takes()
 }
@@ -138,7 +138,7 @@
 }
 
 // Ask returns those of the given shards from which a report is due, and records that they are asked now.
-func (f *Fill) Ask(shards []int, now time.Duration) (due []int) {
+func (f *Fill) ReportsDue(shards []int, now time.Duration) (due []int) {
 	for _, s := range shards {
 		l := f.shard(s)
 		interval := ReportInterval
@@ -155,12 +155,12 @@
 
 // Level is the fill level of one shard.
 type Level struct {
-	Shard    int
-	Used     int64         // bytes
-	Capacity int64         // bytes; 0: unknown
-	Age      time.Duration // time since the last report; meaningless before the first one
-	Full     bool          // had no room for an extent recently
-	Past     bool          // passed the high mark and is not yet below the low mark
+	Shard        int
+	Used         int64         // bytes
+	Capacity     int64         // bytes; 0: unknown
+	Age          time.Duration // time since the last report; meaningless before the first one
+	Full         bool          // had no room for an extent recently
+	PastHighMark bool          // passed the high mark and is not yet below the low mark
 }
 
 // Levels returns the fill levels of all known shards, ordered by shard.
@@ -190,7 +190,7 @@
 }
 
 // None returns the error for the case that none of the given shards accepts new extents.
-func (f *Fill) None(shards []int) *NoRoomError {
+func (f *Fill) NoRoomError(shards []int) *NoRoomError {
 	e := &NoRoomError{Shards: len(shards)}
 	for _, s := range shards {
 		if l := f.shards[s]; l != nil && !l.takes() {
@@ -205,8 +205,8 @@
 // Quota limits the bytes of a volume: the bytes of its files, each counted once, plus those of new versions that
 // are being written. It is not safe for concurrent use.
 type Quota struct {
-	Most    int64 // bytes; 0: unlimited
-	pending int64 // bytes that versions in progress add
+	MaxBytes int64 // bytes; 0: unlimited
+	pending  int64 // bytes that versions in progress add
 }
 
 // QuotaError reports that a file does not fit into the quota of its volume.
@@ -227,14 +227,14 @@
 // Take reserves room for a new version of size bytes of a file whose present version has old bytes (0: a new file),
 // in a volume that uses used bytes. It returns a QuotaError if the version does not fit. A version that is no larger
 // than the present one always fits, so that a full volume can still be reduced.
-func (q *Quota) Take(volume string, used, old, size int64) error {
+func (q *Quota) Reserve(volume string, used, old, size int64) error {
 	added := max(0, size-old)
-	if q.Most > 0 && added > 0 && (added > q.Most || used+q.pending > q.Most-added) {
-		return &QuotaError{volume, used, q.pending, q.Most, added}
+	if q.MaxBytes > 0 && added > 0 && (added > q.MaxBytes || used+q.pending > q.MaxBytes-added) {
+		return &QuotaError{volume, used, q.pending, q.MaxBytes, added}
 	}
 	q.pending += added
 	return nil
 }
 
 // Done releases what Take reserved, once the version is in the catalogue or has been abandoned.
-func (q *Quota) Done(old, size int64) { q.pending = max(0, q.pending-max(0, size-old)) }
+func (q *Quota) Release(old, size int64) { q.pending = max(0, q.pending-max(0, size-old)) }
--- a/placement/fill_test.go
+++ b/placement/fill_test.go
@@ -27,24 +27,24 @@
 		{1 * second, 940, true}, {2 * second, 950, false}, {3 * second, 920, false}, {4 * second, 900, false}, {5 * second, 899, true}, {6 * second, 940, true},
 		{7 * second, -1, false}, {8 * second, 100, false}, {16 * second, 100, false}, {17 * second, 100, true}, {18 * second, 1000, false},
 	} {
-		before := f.Takes(3)
+		before := f.AcceptsExtents(3)
 		var changed bool
 		if test.used < 0 {
 			changed = f.NoRoom(3, test.at)
 		} else {
 			changed = f.Report(3, test.used, 1000, test.at)
 		}
-		if f.Takes(3) != test.takes {
-			t.Errorf("step %d: takes %v", i, f.Takes(3))
+		if f.AcceptsExtents(3) != test.takes {
+			t.Errorf("step %d: takes %v", i, f.AcceptsExtents(3))
 		}
-		if f.Takes(3) != before && !changed {
+		if f.AcceptsExtents(3) != before && !changed {
 			t.Errorf("step %d: acceptance changed, but no change was returned", i)
 		}
 	}
-	if !f.Takes(4) || f.Headroom(4) != 1 || f.Headroom(3) != 0 {
+	if !f.AcceptsExtents(4) || f.Headroom(4) != 1 || f.Headroom(3) != 0 {
 		t.Error("expected an unknown shard to accept extents and be empty, and a full one to have no headroom")
 	}
-	if e := f.None([]int{3}); e.Full != 1 || e.Used != 1000 || !strings.Contains(e.Error(), "1 are full") {
+	if e := f.NoRoomError([]int{3}); e.Full != 1 || e.Used != 1000 || !strings.Contains(e.Error(), "1 are full") {
 		t.Errorf("%v", e)
 	}
 	for _, m := range []Marks{{0.9, 0.95, 0}, {1.1, 0.9, 0}, {}} {
@@ -62,14 +62,14 @@
 	f.Report(2, 1, 100, 100*second)
 	asked := map[int]int{}
 	for now := 100 * second; now < 130*second; now += second / 2 {
-		for _, shard := range f.Ask([]int{1, 2, 3}, now) {
+		for _, shard := range f.ReportsDue([]int{1, 2, 3}, now) {
 			asked[shard]++
 		}
 	}
 	if asked[1] < 14 || asked[1] > 15 || asked[2] != 0 || asked[3] != 1 {
 		t.Errorf("asked %v", asked)
 	}
-	f.Keep(func(shard int) bool { return shard == 2 })
+	f.Retain(func(shard int) bool { return shard == 2 })
 	if l := f.Levels(130 * second); len(l) != 1 || l[0].Shard != 2 || l[0].Age != 30*second {
 		t.Errorf("%+v", l)
 	}
@@ -96,15 +96,15 @@
 				}
 				pastMark[shard] = used >= 8 || pastMark[shard] && used >= 5
 			}
-			for _, x := range f.Ask([]int{0, 1, 2, 3}, now) {
+			for _, x := range f.ReportsDue([]int{0, 1, 2, 3}, now) {
 				if at, ok := askedAt[x]; ok && now < at+FullShardReportInterval {
 					t.Fatalf("shard %d asked at %v and %v", x, at, now)
 				}
 				askedAt[x] = now
 			}
 			for x := range 4 {
-				if _, isFull := full[x]; f.Takes(x) == (pastMark[x] || isFull) {
-					t.Fatalf("shard %d: takes %v, past %v, full %v", x, f.Takes(x), pastMark[x], isFull)
+				if _, isFull := full[x]; f.AcceptsExtents(x) == (pastMark[x] || isFull) {
+					t.Fatalf("shard %d: takes %v, past %v, full %v", x, f.AcceptsExtents(x), pastMark[x], isFull)
 				}
 			}
 		}
@@ -114,10 +114,10 @@
 // TestQuota checks that reserved and used bytes together never exceed the quota, that a version that is no larger
 // always fits, and that released bytes can be reserved again.
 func TestQuota(t *testing.T) {
-	q := &Quota{Most: 100}
+	q := &Quota{MaxBytes: 100}
 	take := func(used, old, size int64, want bool) {
 		t.Helper()
-		err := q.Take("v", used, old, size)
+		err := q.Reserve("v", used, old, size)
 		if want != (err == nil) || err != nil && !errors.As(err, new(*QuotaError)) {
 			t.Errorf("used %d, %d to %d: %v", used, old, size, err)
 		}
@@ -125,13 +125,13 @@
 	take(40, 0, 60, true)
 	take(40, 0, 1, false)
 	take(40, 30, 30, true)
-	q.Done(0, 60)
+	q.Release(0, 60)
 	take(100, 0, 1, false)
 	take(150, 100, 20, true) // usage exceeds a lowered quota: a smaller version still fits
 	take(0, 0, 1<<62, false)
 	take(0, 0, 101, false)
 	take(0, 0, 100, true)
-	if err := q.Take("v", 0, 0, 7); err == nil || !slices.Contains(strings.Fields(err.Error()), "7") {
+	if err := q.Reserve("v", 0, 0, 7); err == nil || !slices.Contains(strings.Fields(err.Error()), "7") {
 		t.Errorf("%v", err)
 	}
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -22,9 +22,9 @@
 
 // Upper bounds on the inputs.
 const (
-	MostShards = 10_000 // shards in a map
-	MaxChoice  = 8      // candidates per tier
-	MaxWidth   = 64     // shards that a file is striped over
+	MaxShards = 10_000 // shards in a map
+	MaxChoice = 8      // candidates per tier
+	MaxWidth  = 64     // shards that a file is striped over
 )
 
 // Shard describes a shard, as known from the register and its load reports.
@@ -39,13 +39,13 @@
 
 // Settings configure how many candidates an extent has and how far a file is spread.
 type Settings struct {
-	Choice    int   // candidates per extent
-	Width     int   // shards that a file larger than WholeUpTo is striped over
-	WholeUpTo int64 // largest file, in bytes, that is stored whole on one shard
+	Choice            int   // candidates per extent
+	Width             int   // shards that a file larger than WholeUpTo is striped over
+	MaxWholeFileBytes int64 // largest file, in bytes, that is stored whole on one shard
 }
 
 // Default holds the default settings.
-var Default = Settings{Choice: 3, Width: 4, WholeUpTo: 4 << 20}
+var Default = Settings{Choice: 3, Width: 4, MaxWholeFileBytes: 4 << 20}
 
 // Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
@@ -54,8 +54,8 @@
 		return fmt.Errorf("choice = %d: 1 to %d", s.Choice, MaxChoice)
 	case s.Width < 1 || s.Width > MaxWidth:
 		return fmt.Errorf("width = %d: 1 to %d", s.Width, MaxWidth)
-	case s.WholeUpTo < 0:
-		return fmt.Errorf("whole_up_to = %d: not negative", s.WholeUpTo)
+	case s.MaxWholeFileBytes < 0:
+		return fmt.Errorf("whole_up_to = %d: not negative", s.MaxWholeFileBytes)
 	}
 	return nil
 }
@@ -88,8 +88,8 @@
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("placement: %w", err)
 	}
-	if len(shards) > MostShards {
-		return nil, fmt.Errorf("placement: %d shards: at most %d", len(shards), MostShards)
+	if len(shards) > MaxShards {
+		return nil, fmt.Errorf("placement: %d shards: at most %d", len(shards), MaxShards)
 	}
 	m := &Map{settings: settings, placed: map[string]*shardSet{}}
 	for i := range m.table {
@@ -185,14 +185,14 @@
 // have the same key: all extents of a file up to WholeUpTo bytes, or every Width-th extent of a larger file.
 func (s *Settings) Key(volume, file string, index int, size int64) uint64 {
 	h := xxhash.Sum64String(volume) ^ bits.RotateLeft64(xxhash.Sum64String(file), 17)
-	if size > s.WholeUpTo || size < 0 {
+	if size > s.MaxWholeFileBytes || size < 0 {
 		h += uint64(index%s.Width) * 0xd1342543de82ef95
 	}
 	return mix(h)
 }
 
 // Choices holds the buffers of one call to Candidates, so that calls need not allocate.
-type Choices struct {
+type CandidateBuffer struct {
 	placedBuffer [MaxChoice]int
 	allBuffer    [MaxChoice]int
 	tiers        [2][]int
@@ -200,7 +200,7 @@
 
 // Candidates returns the shards for a key in tiers: first those chosen from the volume's placement, if it has one,
 // then those chosen from all shards. The result is valid until choices is used again.
-func (m *Map) Candidates(volume string, key uint64, choices *Choices) [][]int {
+func (m *Map) Candidates(volume string, key uint64, choices *CandidateBuffer) [][]int {
 	tiers := choices.tiers[:0]
 	if placed := m.placed[volume]; placed != nil {
 		tiers = append(tiers, m.choose(placed, key, choices.placedBuffer[:0]))
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -35,7 +35,7 @@
 
 // firstChoice returns the best candidate among all shards.
 func firstChoice(m *Map, k uint64) int {
-	var c Choices
+	var c CandidateBuffer
 	tiers := m.Candidates("v", k, &c)
 	return tiers[len(tiers)-1][0]
 }
@@ -75,7 +75,7 @@
 			list = append(list, Shard{ID: i * 7, Ready: rapid.Bool().Draw(t, "ready"), Weight: float64(rapid.IntRange(0, 3).Draw(t, "weight")),
 				Warmth: rapid.SampledFrom([]float64{0.2, 1}).Draw(t, "warmth"), Headroom: rapid.SampledFrom([]float64{0, 0.1, 1}).Draw(t, "headroom")})
 		}
-		set := Settings{Choice: rapid.IntRange(1, MaxChoice).Draw(t, "choice"), Width: 4, WholeUpTo: 1000}
+		set := Settings{Choice: rapid.IntRange(1, MaxChoice).Draw(t, "choice"), Width: 4, MaxWholeFileBytes: 1000}
 		placed := map[string][]int{"v": {0, 7, 7, 21}}
 		m, err := New(set, list, placed)
 		if err != nil {
@@ -98,7 +98,7 @@
 			t.Fatal(err)
 		}
 		for i := range 50 {
-			var a, b, c Choices
+			var a, b, c CandidateBuffer
 			tiers := m.Candidates("v", testKey(i), &a)
 			for _, tier := range tiers {
 				for k, id := range tier {
@@ -134,7 +134,7 @@
 // TestKeysStripeLargeFiles checks that all extents of a small file have one key, that those of a large file have as
 // many keys as its width, and that files have different keys.
 func TestKeysStripeLargeFiles(t *testing.T) {
-	set := Settings{Choice: 2, Width: 4, WholeUpTo: 1000}
+	set := Settings{Choice: 2, Width: 4, MaxWholeFileBytes: 1000}
 	count := func(size int64) int {
 		keys := map[uint64]bool{}
 		for i := range 100 {
@@ -151,7 +151,7 @@
 }
 
 func TestNewRejectsInvalidInput(t *testing.T) {
-	for _, set := range []Settings{{}, {Choice: 9, Width: 1}, {Choice: 1}, {Choice: 1, Width: 1, WholeUpTo: -1}} {
+	for _, set := range []Settings{{}, {Choice: 9, Width: 1}, {Choice: 1}, {Choice: 1, Width: 1, MaxWholeFileBytes: -1}} {
 		if _, err := New(set, nil, nil); err == nil {
 			t.Errorf("%+v is accepted", set)
 		}
@@ -160,7 +160,7 @@
 		t.Error("a duplicate shard is accepted")
 	}
 	m := newMap(t, Default, nil, map[string][]int{"v": {1}})
-	var c Choices
+	var c CandidateBuffer
 	if tiers := m.Candidates("v", 1, &c); len(tiers) != 0 {
 		t.Errorf("candidates without shards: %v", tiers)
 	}
@@ -174,7 +174,7 @@
 		w[i] = 1 + float64(i%7)
 	}
 	m := newMap(t, Settings{Choice: 8, Width: 1}, shards(w...), nil)
-	var c Choices
+	var c CandidateBuffer
 	for k := range 3000 {
 		h := testKey(k)
 		all := slices.Clone(m.all.entries)
@@ -197,7 +197,7 @@
 				w[i] = 1
 			}
 			m := newMap(b, Default, shards(w...), nil)
-			var c Choices
+			var c CandidateBuffer
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				m.Candidates("v", testKey(i), &c)
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -24,41 +24,41 @@
 	ID       int
 	Used     int64 // bytes
 	Capacity int64 // bytes; 0: unknown, and the shard is left out of the plan
-	Leaves   bool  // it drains: all its units are moved away
-	Gives    bool  // it can be read from now: neither lost nor overloaded
-	Takes    bool  // it can be written to now: ready, warm, below its high mark, not lost
+	Draining bool  // it drains: all its units are moved away
+	Readable bool  // it can be read from now: neither lost nor overloaded
+	Writable bool  // it can be written to now: ready, warm, below its high mark, not lost
 }
 
 // Unit is the smallest movable amount of data: the extents of one file version on one shard.
 type Unit struct {
-	Volume string `json:"volume"`
-	Base   string `json:"base"` // common prefix of the names of its items
-	Shard  int    `json:"from"`
-	Parts  int    `json:"extents"`
-	Bytes  int64  `json:"bytes"`
+	Volume  string `json:"volume"`
+	Base    string `json:"base"` // common prefix of the names of its items
+	Shard   int    `json:"from"`
+	Extents int    `json:"extents"`
+	Bytes   int64  `json:"bytes"`
 }
 
 // Settings limit a plan.
 type Settings struct {
-	Least   float64 // smallest difference in used fraction for which a move is worthwhile
-	Moves   int     // maximum per plan; another plan may follow
-	PerNode int     // maximum number of concurrent moves that a shard takes part in
-	Rate    int64   // bytes per second that a shard reads and writes, over all its moves
-	High    float64 // used fraction that no target exceeds
+	MinDifference    float64 // smallest difference in used fraction for which a move is worthwhile
+	MaxMoves         int     // maximum per plan; another plan may follow
+	MaxMovesPerShard int     // maximum number of concurrent moves that a shard takes part in
+	BytesPerSecond   int64   // bytes per second that a shard reads and writes, over all its moves
+	HighMark         float64 // used fraction that no target exceeds
 }
 
 // Default holds the default settings.
-var Default = Settings{Least: 0.05, Moves: 10_000, PerNode: 2, Rate: 16 << 20, High: 0.9}
+var Default = Settings{MinDifference: 0.05, MaxMoves: 10_000, MaxMovesPerShard: 2, BytesPerSecond: 16 << 20, HighMark: 0.9}
 
 // Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
-	case !(s.Least > 0 && s.Least <= 1):
-		return fmt.Errorf("least = %v: more than 0, at most 1", s.Least)
-	case s.Moves < 1 || s.PerNode < 1 || s.Rate < 1:
-		return fmt.Errorf("moves = %d, per node = %d, rate = %d: at least 1", s.Moves, s.PerNode, s.Rate)
-	case !(s.High > 0 && s.High <= 1):
-		return fmt.Errorf("high = %v: more than 0, at most 1", s.High)
+	case !(s.MinDifference > 0 && s.MinDifference <= 1):
+		return fmt.Errorf("least = %v: more than 0, at most 1", s.MinDifference)
+	case s.MaxMoves < 1 || s.MaxMovesPerShard < 1 || s.BytesPerSecond < 1:
+		return fmt.Errorf("moves = %d, per node = %d, rate = %d: at least 1", s.MaxMoves, s.MaxMovesPerShard, s.BytesPerSecond)
+	case !(s.HighMark > 0 && s.HighMark <= 1):
+		return fmt.Errorf("high = %v: more than 0, at most 1", s.HighMark)
 	}
 	return nil
 }
@@ -71,23 +71,23 @@
 
 // Spread describes the distribution of used fractions over shards.
 type Spread struct {
-	Mean   float64 `json:"mean"` // used fraction of the bytes of all shards
-	Most   float64 `json:"most"`
-	Least  float64 `json:"least"`
-	Varies float64 `json:"varies"` // coefficient of variation of the used fractions
+	Mean      float64 `json:"mean"` // used fraction of the bytes of all shards
+	Max       float64 `json:"most"`
+	Min       float64 `json:"least"`
+	Variation float64 `json:"varies"` // coefficient of variation of the used fractions
 }
 
 // Plan lists moves. Waves holds indexes into Moves: the moves of one wave may run at the same time.
 type Plan struct {
-	Moves  []Move        `json:"moves"`
-	Waves  [][]int       `json:"waves"`
-	Bytes  int64         `json:"bytes"`
-	Takes  time.Duration `json:"takes"` // estimated duration at Settings.Rate, ns
-	Before Spread        `json:"before"`
-	After  Spread        `json:"after"`
+	Moves             []Move        `json:"moves"`
+	Waves             [][]int       `json:"waves"`
+	Bytes             int64         `json:"bytes"`
+	EstimatedDuration time.Duration `json:"takes"` // estimated duration at Settings.Rate, ns
+	Before            Spread        `json:"before"`
+	After             Spread        `json:"after"`
 	// Why is the reason for which planning ended.
-	Why   string        `json:"why"`
-	Parts map[int]Usage `json:"parts"` // used fractions by shard
+	Reason string        `json:"why"`
+	Usage  map[int]Usage `json:"parts"` // used fractions by shard
 }
 
 // Usage holds the used fraction of a shard before and after a plan.
@@ -98,10 +98,10 @@
 
 // Reasons for which planning ends.
 const (
-	WhyBalanced   = "what is left to gain on shards that take data now is less than what it costs"
-	WhyMaxMoves   = "the most moves of a plan: another one may follow"
-	WhyNoUnitFits = "of what may move nothing fits anywhere better"
-	WhyNoTarget   = "no shard takes data now, or there is only one"
+	ReasonBalanced   = "what is left to gain on shards that take data now is less than what it costs"
+	ReasonMaxMoves   = "the most moves of a plan: another one may follow"
+	ReasonNoUnitFits = "of what may move nothing fits anywhere better"
+	ReasonNoTarget   = "no shard takes data now, or there is only one"
 )
 
 // shardState is the state of a shard during planning.
@@ -117,8 +117,8 @@
 
 func (g sourceHeap) Len() int { return len(g) }
 func (g sourceHeap) Less(i, j int) bool {
-	if g[i].Leaves != g[j].Leaves {
-		return g[i].Leaves
+	if g[i].Draining != g[j].Draining {
+		return g[i].Draining
 	}
 	return cmp.Or(cmp.Compare(g[j].usedFraction(), g[i].usedFraction()), cmp.Compare(g[i].ID, g[j].ID)) < 0
 }
@@ -149,20 +149,20 @@
 	}
 	slices.SortFunc(states, func(a, b *shardState) int { return cmp.Compare(a.ID, b.ID) })
 	for _, u := range units {
-		if s := byID[u.Shard]; s != nil && s.Gives && u.Bytes > 0 {
+		if s := byID[u.Shard]; s != nil && s.Readable && u.Bytes > 0 {
 			s.units = append(s.units, u)
 		}
 	}
-	p := &Plan{Before: computeSpread(states), Parts: map[int]Usage{}}
+	p := &Plan{Before: computeSpread(states), Usage: map[int]Usage{}}
 	for _, s := range states {
 		slices.SortFunc(s.units, func(a, b Unit) int {
 			return cmp.Or(cmp.Compare(b.Bytes, a.Bytes), cmp.Compare(a.Volume, b.Volume), cmp.Compare(a.Base, b.Base))
 		})
-		p.Parts[s.ID] = Usage{Before: s.usedFraction()}
+		p.Usage[s.ID] = Usage{Before: s.usedFraction()}
 	}
 	p.selectMoves(settings, states, allowed)
 	for _, s := range states {
-		p.Parts[s.ID] = Usage{p.Parts[s.ID].Before, s.usedFraction()}
+		p.Usage[s.ID] = Usage{p.Usage[s.ID].Before, s.usedFraction()}
 	}
 	p.After = computeSpread(states)
 	p.scheduleWaves(settings)
@@ -177,7 +177,7 @@
 		if len(s.units) > 0 {
 			sources = append(sources, s)
 		}
-		if s.Takes && !s.Leaves {
+		if s.Writable && !s.Draining {
 			targets = append(targets, s)
 		}
 	}
@@ -186,25 +186,25 @@
 		return cmp.Or(cmp.Compare(a.usedFraction(), b.usedFraction()), cmp.Compare(a.ID, b.ID))
 	}
 	slices.SortFunc(targets, compare)
-	p.Why = WhyBalanced
+	p.Reason = ReasonBalanced
 	if len(targets) == 0 || len(states) < 2 {
-		p.Why = WhyNoTarget
+		p.Reason = ReasonNoTarget
 		return
 	}
 	for len(sources) > 0 {
-		if len(p.Moves) == settings.Moves {
-			p.Why = WhyMaxMoves
+		if len(p.Moves) == settings.MaxMoves {
+			p.Reason = ReasonMaxMoves
 			return
 		}
 		s := sources[0]
-		if !s.Leaves && s.usedFraction()-targets[0].usedFraction() < settings.Least {
+		if !s.Draining && s.usedFraction()-targets[0].usedFraction() < settings.MinDifference {
 			return // a move away from the fullest remaining source gains too little
 		}
 		unitIndex, targetIndex := s.bestMove(settings, targets, allowed)
 		if targetIndex < 0 {
 			heap.Pop(&sources)
-			if !s.Leaves || len(s.units) > 0 {
-				p.Why = WhyNoUnitFits
+			if !s.Draining || len(s.units) > 0 {
+				p.Reason = ReasonNoUnitFits
 			}
 			continue
 		}
@@ -239,11 +239,11 @@
 		if t == s {
 			continue
 		}
-		if !s.Leaves && s.usedFraction()-t.usedFraction() < settings.Least {
+		if !s.Draining && s.usedFraction()-t.usedFraction() < settings.MinDifference {
 			break // later targets are fuller
 		}
-		room := float64(t.Capacity)*settings.High - float64(t.Used)
-		if !s.Leaves { // the move must not leave the target fuller than the source
+		room := float64(t.Capacity)*settings.HighMark - float64(t.Used)
+		if !s.Draining { // the move must not leave the target fuller than the source
 			sourceCapacity, targetCapacity := float64(s.Capacity), float64(t.Capacity)
 			room = min(room, (float64(s.Used)*targetCapacity-float64(t.Used)*sourceCapacity)/(sourceCapacity+targetCapacity))
 		}
@@ -270,7 +270,7 @@
 		var wave, postponed []int
 		for _, i := range remaining {
 			m := &p.Moves[i]
-			if busy[m.Shard] >= settings.PerNode || busy[m.To] >= settings.PerNode {
+			if busy[m.Shard] >= settings.MaxMovesPerShard || busy[m.To] >= settings.MaxMovesPerShard {
 				postponed = append(postponed, i)
 				continue
 			}
@@ -285,7 +285,7 @@
 			maxBytes = max(maxBytes, b)
 		}
 		p.Waves = append(p.Waves, wave)
-		p.Takes += time.Duration(float64(maxBytes) / float64(settings.Rate) * float64(time.Second))
+		p.EstimatedDuration += time.Duration(float64(maxBytes) / float64(settings.BytesPerSecond) * float64(time.Second))
 		remaining = postponed
 	}
 }
@@ -294,22 +294,22 @@
 func computeSpread(states []*shardState) (s Spread) {
 	used, capacity, count := int64(0), int64(0), 0.0
 	sum, squares := 0.0, 0.0
-	s.Least = math.Inf(1)
+	s.Min = math.Inf(1)
 	for _, x := range states {
-		if x.Leaves {
+		if x.Draining {
 			continue
 		}
 		fraction := x.usedFraction()
 		used, capacity, count = used+x.Used, capacity+x.Capacity, count+1
 		sum, squares = sum+fraction, squares+fraction*fraction
-		s.Most, s.Least = max(s.Most, fraction), min(s.Least, fraction)
+		s.Max, s.Min = max(s.Max, fraction), min(s.Min, fraction)
 	}
 	if count == 0 {
 		return Spread{}
 	}
 	s.Mean = float64(used) / float64(capacity)
 	if mean := sum / count; mean > 0 {
-		s.Varies = math.Sqrt(max(0, squares/count-mean*mean)) / mean
+		s.Variation = math.Sqrt(max(0, squares/count-mean*mean)) / mean
 	}
 	return s
 }
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -12,15 +12,15 @@
 func drawSite(t *rapid.T) (shards []Shard, units []Unit) {
 	for id := range rapid.IntRange(1, 12).Draw(t, "shards") {
 		s := Shard{ID: id, Capacity: rapid.SampledFrom([]int64{0, 1000, 1000, 5000, 100_000}).Draw(t, "capacity"),
-			Gives: rapid.IntRange(0, 9).Draw(t, "gives") > 0, Takes: rapid.IntRange(0, 9).Draw(t, "takes") > 0,
-			Leaves: rapid.IntRange(0, 9).Draw(t, "leaves") == 0}
+			Readable: rapid.IntRange(0, 9).Draw(t, "gives") > 0, Writable: rapid.IntRange(0, 9).Draw(t, "takes") > 0,
+			Draining: rapid.IntRange(0, 9).Draw(t, "leaves") == 0}
 		for u := range rapid.IntRange(0, 30).Draw(t, "units") {
 			b := int64(rapid.IntRange(1, 60).Draw(t, "bytes"))
 			if s.Used+b > s.Capacity {
 				break
 			}
 			s.Used += b
-			units = append(units, Unit{Volume: fmt.Sprint("v", u%3), Base: fmt.Sprint(id, "-", u), Shard: id, Parts: 1, Bytes: b})
+			units = append(units, Unit{Volume: fmt.Sprint("v", u%3), Base: fmt.Sprint(id, "-", u), Shard: id, Extents: 1, Bytes: b})
 		}
 		shards = append(shards, s)
 	}
@@ -54,7 +54,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		shards, units := drawSite(t)
 		set := Default
-		set.Moves = rapid.IntRange(1, 40).Draw(t, "moves")
+		set.MaxMoves = rapid.IntRange(1, 40).Draw(t, "moves")
 		allowed := func(v string, shard int) bool { return v != "v1" || shard%2 == 0 }
 		visited := map[string]map[int]bool{}
 		for round := 0; ; round++ {
@@ -78,15 +78,15 @@
 				switch {
 				case seen[m.Base]:
 					t.Fatalf("%s moves twice in a plan", m.Base)
-				case !from.Gives || !to.Takes || to.Leaves || to.Capacity == 0 || !allowed(m.Volume, m.To):
+				case !from.Readable || !to.Writable || to.Draining || to.Capacity == 0 || !allowed(m.Volume, m.To):
 					t.Fatalf("%+v: from %+v to %+v", m, from, to)
 				}
 				seen[m.Base] = true
 				from.Used, to.Used = from.Used-m.Bytes, to.Used+m.Bytes
-				if float64(to.Used) > set.High*float64(to.Capacity) {
+				if float64(to.Used) > set.HighMark*float64(to.Capacity) {
 					t.Fatalf("%+v passes the high mark", to)
 				}
-				if !from.Leaves && float64(to.Used)/float64(to.Capacity) > float64(from.Used)/float64(from.Capacity)+1e-9 {
+				if !from.Draining && float64(to.Used)/float64(to.Capacity) > float64(from.Used)/float64(from.Capacity)+1e-9 {
 					t.Fatalf("%+v: the target is fuller than the source after it", m)
 				}
 				if visited[m.Base] == nil {
@@ -109,7 +109,7 @@
 					busy[p.Moves[i].To]++
 				}
 				for s, n := range busy {
-					if n > set.PerNode {
+					if n > set.MaxMovesPerShard {
 						t.Fatalf("shard %d takes part in %d moves of a wave", s, n)
 					}
 				}
@@ -127,33 +127,33 @@
 func TestMakeBalancesShards(t *testing.T) {
 	site := func(used ...int64) (shards []Shard, units []Unit) {
 		for id, u := range used {
-			shards = append(shards, Shard{ID: id, Used: u * 10, Capacity: 1000, Gives: true, Takes: true})
+			shards = append(shards, Shard{ID: id, Used: u * 10, Capacity: 1000, Readable: true, Writable: true})
 			for i := range u {
-				units = append(units, Unit{Volume: "v", Base: fmt.Sprint(id, ".", i), Shard: id, Parts: 1, Bytes: 10})
+				units = append(units, Unit{Volume: "v", Base: fmt.Sprint(id, ".", i), Shard: id, Extents: 1, Bytes: 10})
 			}
 		}
 		return shards, units
 	}
 	shards, units := site(60, 60, 60, 0)
 	p, err := Make(Default, shards, units, nil)
-	if err != nil || p.Why != WhyBalanced || p.After.Most-p.After.Least >= Default.Least || p.After.Mean != 0.45 {
+	if err != nil || p.Reason != ReasonBalanced || p.After.Max-p.After.Min >= Default.MinDifference || p.After.Mean != 0.45 {
 		t.Fatalf("%+v, %v", p, err)
 	}
 	if p.Bytes < 380 || p.Bytes > 450 { // 450 would balance the shards exactly
 		t.Errorf("%d bytes move", p.Bytes)
 	}
 	shards, units = site(50, 48, 46)
-	if p, _ = Make(Default, shards, units, nil); len(p.Moves) != 0 || p.Why != WhyBalanced {
-		t.Errorf("%d moves for too small a gain: %s", len(p.Moves), p.Why)
+	if p, _ = Make(Default, shards, units, nil); len(p.Moves) != 0 || p.Reason != ReasonBalanced {
+		t.Errorf("%d moves for too small a gain: %s", len(p.Moves), p.Reason)
 	}
 	shards, units = site(50, 40, 40)
-	shards[0].Leaves, shards[0].Takes = true, false
-	if p, _ = Make(Default, shards, units, nil); p.Parts[0].After != 0 || len(p.Moves) != 50 {
-		t.Errorf("%+v", p.Parts)
+	shards[0].Draining, shards[0].Writable = true, false
+	if p, _ = Make(Default, shards, units, nil); p.Usage[0].After != 0 || len(p.Moves) != 50 {
+		t.Errorf("%+v", p.Usage)
 	}
 	shards, units = site(90, 10)
-	shards[0].Takes, shards[1].Takes = false, false
-	if p, _ = Make(Default, shards, units, nil); p.Why != WhyNoTarget || len(p.Moves) != 0 {
+	shards[0].Writable, shards[1].Writable = false, false
+	if p, _ = Make(Default, shards, units, nil); p.Reason != ReasonNoTarget || len(p.Moves) != 0 {
 		t.Errorf("%+v", p)
 	}
 	if _, err := Make(Settings{}, shards, units, nil); err == nil {
--- a/shares/brute_test.go
+++ b/shares/brute_test.go
@@ -262,7 +262,7 @@
 		got, err := Exact(p, 0)
 		if want == nil {
 			none++
-			if !errors.Is(err, ErrNone) {
+			if !errors.Is(err, ErrInfeasible) {
 				t.Fatalf("seed %d: no placement, but %v, %v", seed, got, err)
 			}
 			continue
--- a/shares/cases_test.go
+++ b/shares/cases_test.go
@@ -72,7 +72,7 @@
 	}(); err != nil || got != "aabbcc" {
 		t.Errorf("all equal: %s, %v, want the lexicographically least optimum", got, err)
 	}
-	big := readyProblem([]Node{{ID: "a", Capacity: MostFlow}}, []Volume{{ID: "v", Plan: "p", Demand: MostFlow, Spread: 1}},
+	big := readyProblem([]Node{{ID: "a", Capacity: MaxFlow}}, []Volume{{ID: "v", Plan: "p", Demand: MaxFlow, Spread: 1}},
 		Plan{Name: "p", Weight: MaxRatioTerm, Price: MaxPrice})
 	big.SpareWorth = Ratio{999_999, MaxRatioTerm}
 	a, err = Exact(big, 0)
@@ -112,7 +112,7 @@
 			t.Fatalf("feasible problem: %v", err)
 		}
 		change(p)
-		if a, err := Exact(p, 0); !errors.Is(err, ErrNone) {
+		if a, err := Exact(p, 0); !errors.Is(err, ErrInfeasible) {
 			t.Errorf("%s: %+v, %v", name, a, err)
 		}
 	}
@@ -145,7 +145,7 @@
 		"state":       {func(p *Problem) { p.Nodes[0].State = "asleep" }, "ready, draining or gone"},
 		"plan":        {func(p *Problem) { p.Volumes[0].Plan = "gold" }, "no such plan"},
 		"require":     {func(p *Problem) { p.Volumes[0].Require = []string{"z"} }, `node "z"`},
-		"capacity":    {func(p *Problem) { p.Nodes[0].Capacity = MostFlow + 1 }, "capacity"},
+		"capacity":    {func(p *Problem) { p.Nodes[0].Capacity = MaxFlow + 1 }, "capacity"},
 		"negative":    {func(p *Problem) { p.Volumes[0].Demand = -1 }, "demand = -1"},
 		"spread":      {func(p *Problem) { p.Volumes[0].Spread = 0 }, "spread = 0"},
 		"least zones": {func(p *Problem) { p.Volumes[0].LeastZones = 2 }, "least_zones"},
@@ -160,7 +160,7 @@
 	}
 	p := readyProblem([]Node{{ID: "a", Capacity: 10}}, []Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
 	for _, placement := range []map[string][]string{{}, {"v": nil}, {"v": {"z"}}, {"v": {"a", "a"}}, {"v": {"a"}, "w": {"a"}}} {
-		if _, err := Evaluate(p, placement); !errors.As(err, new(*Infeasible)) {
+		if _, err := Evaluate(p, placement); !errors.As(err, new(*InfeasibleError)) {
 			t.Errorf("%v: %v", placement, err)
 		}
 	}
--- a/shares/conflict.go
+++ b/shares/conflict.go
@@ -119,7 +119,7 @@
 	infeasible := func(omitted map[Constraint]bool) (bool, error) {
 		_, err := Exact(withoutConstraints(p, omitted), steps)
 		switch {
-		case errors.Is(err, ErrNone):
+		case errors.Is(err, ErrInfeasible):
 			return true, nil
 		case errors.Is(err, ErrStepLimit): // the search may have found a placement nevertheless
 			return false, err
--- a/shares/conflict_test.go
+++ b/shares/conflict_test.go
@@ -18,7 +18,7 @@
 		if cerr != nil {
 			t.Fatal(seed, cerr)
 		}
-		if !errors.Is(err, ErrNone) {
+		if !errors.Is(err, ErrInfeasible) {
 			if conflict != nil {
 				t.Fatalf("seed %d: conflict %v for a feasible problem", seed, conflict)
 			}
@@ -34,7 +34,7 @@
 		for _, c := range conflict {
 			left[c] = false
 		}
-		if _, err := Exact(withoutConstraints(p, left), 0); !errors.Is(err, ErrNone) {
+		if _, err := Exact(withoutConstraints(p, left), 0); !errors.Is(err, ErrInfeasible) {
 			t.Fatalf("seed %d: %v can be met together: %v", seed, conflict, err)
 		}
 		for _, c := range conflict {
--- a/shares/evaluate.go
+++ b/shares/evaluate.go
@@ -25,10 +25,10 @@
 }
 
 // Infeasible is the error for a placement that violates a constraint. Text names the constraint.
-type Infeasible struct{ Text string }
+type InfeasibleError struct{ Text string }
 
 // Error implements error.
-func (e *Infeasible) Error() string { return "infeasible: " + e.Text }
+func (e *InfeasibleError) Error() string { return "infeasible: " + e.Text }
 
 // load is one volume's part on one node.
 type load struct {
@@ -185,24 +185,24 @@
 func (in *instance) checkSet(v int, set []int) error {
 	x := &in.volumes[v]
 	if len(set) != x.spread {
-		return &Infeasible{fmt.Sprintf("volume %s: on %d nodes, spread %d", x.id, len(set), x.spread)}
+		return &InfeasibleError{fmt.Sprintf("volume %s: on %d nodes, spread %d", x.id, len(set), x.spread)}
 	}
 	zones := map[int]bool{}
 	for i, n := range set {
 		if i > 0 && set[i-1] >= n {
-			return &Infeasible{fmt.Sprintf("volume %s: node %s twice", x.id, in.nodes[n].id)}
+			return &InfeasibleError{fmt.Sprintf("volume %s: node %s twice", x.id, in.nodes[n].id)}
 		}
 		if !x.allowed[n] {
-			return &Infeasible{fmt.Sprintf("volume %s: node %s is not ready, forbidden, or in a zone that is not allowed", x.id, in.nodes[n].id)}
+			return &InfeasibleError{fmt.Sprintf("volume %s: node %s is not ready, forbidden, or in a zone that is not allowed", x.id, in.nodes[n].id)}
 		}
 		zones[in.nodes[n].zone] = true
 	}
 	if len(zones) < x.minZones {
-		return &Infeasible{fmt.Sprintf("volume %s: in %d zones, at least %d", x.id, len(zones), x.minZones)}
+		return &InfeasibleError{fmt.Sprintf("volume %s: in %d zones, at least %d", x.id, len(zones), x.minZones)}
 	}
 	for n, must := range x.required {
 		if must && !slices.Contains(set, n) {
-			return &Infeasible{fmt.Sprintf("volume %s: not on node %s, which it requires", x.id, in.nodes[n].id)}
+			return &InfeasibleError{fmt.Sprintf("volume %s: not on node %s, which it requires", x.id, in.nodes[n].id)}
 		}
 	}
 	return nil
@@ -231,11 +231,11 @@
 	for i := range in.nodes {
 		n, loads := &in.nodes[i], loadsAt[i]
 		if len(loads) > n.maxVolumes {
-			return nil, &Infeasible{fmt.Sprintf("node %s: %d volumes, at most %d", n.id, len(loads), n.maxVolumes)}
+			return nil, &InfeasibleError{fmt.Sprintf("node %s: %d volumes, at most %d", n.id, len(loads), n.maxVolumes)}
 		}
 		shares, spares := make([]int64, len(loads)), make([]int64, len(loads))
 		if !in.allocate(n, loads, shares, spares) {
-			return nil, &Infeasible{fmt.Sprintf("node %s: the reserves there come to more than the %d usable", n.id, n.usable)}
+			return nil, &InfeasibleError{fmt.Sprintf("node %s: the reserves there come to more than the %d usable", n.id, n.usable)}
 		}
 		for k, l := range loads {
 			x := &in.volumes[l.volume]
@@ -263,19 +263,19 @@
 	for v := range in.volumes {
 		ids, ok := placement[in.volumes[v].id]
 		if !ok {
-			return nil, &Infeasible{fmt.Sprintf("volume %s: not placed", in.volumes[v].id)}
+			return nil, &InfeasibleError{fmt.Sprintf("volume %s: not placed", in.volumes[v].id)}
 		}
 		for _, id := range ids {
 			n, ok := nodeIndex[id]
 			if !ok {
-				return nil, &Infeasible{fmt.Sprintf("volume %s: there is no node %s", in.volumes[v].id, id)}
+				return nil, &InfeasibleError{fmt.Sprintf("volume %s: there is no node %s", in.volumes[v].id, id)}
 			}
 			sets[v] = append(sets[v], n)
 		}
 		slices.Sort(sets[v])
 	}
 	if len(placement) > len(sets) {
-		return nil, &Infeasible{"it places volumes that the problem does not have"}
+		return nil, &InfeasibleError{"it places volumes that the problem does not have"}
 	}
 	return in.evaluate(sets)
 }
--- a/shares/exact.go
+++ b/shares/exact.go
@@ -10,7 +10,7 @@
 var ErrStepLimit = errors.New("shares: the exact search did not end within its steps")
 
 // ErrNone is returned when no placement meets all constraints.
-var ErrNone = errors.New("shares: no placement meets all constraints")
+var ErrInfeasible = errors.New("shares: no placement meets all constraints")
 
 // Exact finds the placement of the highest value; among equal ones the lexicographically least,
 // volumes and nodes ordered by id. steps limits the placements of single volumes that it tries;
@@ -43,7 +43,7 @@
 		if s.stopped {
 			return nil, ErrStepLimit
 		}
-		return nil, ErrNone
+		return nil, ErrInfeasible
 	}
 	a, err := in.evaluate(s.bestSets)
 	if err == nil && a.Value != s.bestValue {
--- a/shares/explain.go
+++ b/shares/explain.go
@@ -8,10 +8,10 @@
 // Choice is one node that a part of a volume could be placed on, and how the value of the
 // placement would change.
 type Choice struct {
-	Node    string `json:"node"`
-	Instead string `json:"instead,omitempty"` // the node of the placement that it would replace
-	Change  Value  `json:"change"`            // of the placement's value; 0 for a node that the volume is on
-	Why     string `json:"why,omitempty"`     // why the volume cannot be there; Change is 0 then
+	Node     string `json:"node"`
+	Replaces string `json:"instead,omitempty"` // the node of the placement that it would replace
+	Change   Value  `json:"change"`            // of the placement's value; 0 for a node that the volume is on
+	Why      string `json:"why,omitempty"`     // why the volume cannot be there; Change is 0 then
 }
 
 // Explanation compares the placement of one volume with its alternatives.
@@ -107,12 +107,12 @@
 			s.assign(v, set)
 		}
 		if why == "" && change.Cmp(best.Change) > 0 {
-			best.Change, best.Instead, best.Why = change, in.nodes[replaced].id, ""
-		} else if best.Instead == "" && why != "" {
+			best.Change, best.Replaces, best.Why = change, in.nodes[replaced].id, ""
+		} else if best.Replaces == "" && why != "" {
 			best.Why = why
 		}
 	}
-	if best.Instead == "" {
+	if best.Replaces == "" {
 		best.Change = Value{}
 		if !x.allowed[n] {
 			best.Why = "it is not ready, forbidden, or in a zone that is not allowed"
--- a/shares/generate.go
+++ b/shares/generate.go
@@ -8,19 +8,19 @@
 )
 
 // Draw holds the parameters of the problem that Generate makes.
-type Draw struct {
+type GenerateOptions struct {
 	Volumes, Nodes, Zones int
 	Seed                  uint64
 	Skew                  float64 // Zipf exponent of the volumes' demands by rank; 0: all equal
 	Load                  float64 // total demand over total usable capacity
-	Unequal               int64   // highest ratio of the capacities of two nodes
+	MaxCapacityRatio      int64   // highest ratio of the capacities of two nodes
 	Spread                int     // highest number of nodes a volume is placed on
 	Costs                 bool    // whether the nodes of one zone have a cost
 	Placed                bool    // whether volumes have a present placement, on random nodes
 }
 
 // Check returns an error for the first parameter that is out of range.
-func (d *Draw) Check() error {
+func (d *GenerateOptions) Check() error {
 	switch {
 	case d.Volumes < 0 || d.Volumes > MaxVolumes:
 		return fmt.Errorf("volumes = %d: expected 0 to %d", d.Volumes, MaxVolumes)
@@ -30,8 +30,8 @@
 		return fmt.Errorf("zones = %d: expected 1 to the number of nodes", d.Zones)
 	case d.Spread < 1 || d.Spread > d.Nodes:
 		return fmt.Errorf("spread = %d: expected 1 to the number of nodes", d.Spread)
-	case d.Unequal < 1 || d.Unequal > 10_000:
-		return fmt.Errorf("unequal = %d: expected 1 to 10,000", d.Unequal)
+	case d.MaxCapacityRatio < 1 || d.MaxCapacityRatio > 10_000:
+		return fmt.Errorf("unequal = %d: expected 1 to 10,000", d.MaxCapacityRatio)
 	case !(d.Skew >= 0 && d.Skew <= 3):
 		return fmt.Errorf("skew = %v: expected 0 to 3", d.Skew)
 	case !(d.Load >= 0 && d.Load <= 100):
@@ -42,7 +42,7 @@
 
 // Generate makes a random problem; equal parameters give equal problems. About three quarters
 // of the volumes have a plan of weight 1, the others a plan of weight 3 with a reserve.
-func Generate(d Draw) (*Problem, error) {
+func Generate(d GenerateOptions) (*Problem, error) {
 	if err := d.Check(); err != nil {
 		return nil, fmt.Errorf("shares: generate: %w", err)
 	}
@@ -51,7 +51,7 @@
 		{Name: "standard", Weight: 1, Price: 720_000}, {Name: "priority", Weight: 3, Price: 900_000}}}
 	usable := int64(0)
 	for i := range d.Nodes {
-		c := int64(math.Round(60_000 * math.Pow(float64(d.Unequal), rng.Float64())))
+		c := int64(math.Round(60_000 * math.Pow(float64(d.MaxCapacityRatio), rng.Float64())))
 		n := Node{ID: fmt.Sprintf("n%0*d", digits(d.Nodes), i), Capacity: c, Zone: fmt.Sprintf("z%d", i%d.Zones), State: "ready"}
 		if d.Costs && i%d.Zones == 0 {
 			n.Cost = 50_000
@@ -74,7 +74,7 @@
 			plan = "priority"
 		}
 		v := Volume{ID: fmt.Sprintf("v%0*d", digits(d.Volumes), i), Plan: plan, Spread: 1 + rng.IntN(d.Spread), MoveCost: 1000,
-			Demand: min(MostFlow, int64(math.Round(float64(usable)*d.Load*w/sum)))}
+			Demand: min(MaxFlow, int64(math.Round(float64(usable)*d.Load*w/sum)))}
 		v.LeastZones = 1 + rng.IntN(min(2, v.Spread, d.Zones))
 		if d.Placed {
 			for _, n := range rng.Perm(d.Nodes)[:v.Spread] {
--- a/shares/plain.go
+++ b/shares/plain.go
@@ -94,7 +94,7 @@
 }
 
 // Plain returns the baseline of a name: greedy or hashing.
-func Plain(name string) (func(*Problem) (*Answer, error), error) {
+func Baseline(name string) (func(*Problem) (*Answer, error), error) {
 	switch name {
 	case "greedy":
 		return Greedy, nil
--- a/shares/problem.go
+++ b/shares/problem.go
@@ -19,7 +19,7 @@
 
 // Limits of a problem. Within them a value fits into 128 bits.
 const (
-	MostFlow     = 1_000_000_000_000     // milli-units a second, of a node or a volume
+	MaxFlow      = 1_000_000_000_000     // milli-units a second, of a node or a volume
 	MaxPrice     = 1_000_000_000_000_000 // micro-worth a unit
 	MaxRatioTerm = 1_000_000             // numerator and denominator
 	MaxVolumes   = 100_000
@@ -111,13 +111,13 @@
 		plans[x.Name] = true
 		check(x.Weight >= 1 && x.Weight <= MaxRatioTerm, "%s: weight = %d: expected 1 to %d", at, x.Weight, MaxRatioTerm)
 		check(x.Price >= 0 && x.Price <= MaxPrice, "%s: price = %d: expected 0 to %d", at, x.Price, int64(MaxPrice))
-		check(x.Reserve >= 0 && x.Reserve <= MostFlow, "%s: reserve = %d: expected 0 to %d", at, x.Reserve, int64(MostFlow))
+		check(x.Reserve >= 0 && x.Reserve <= MaxFlow, "%s: reserve = %d: expected 0 to %d", at, x.Reserve, int64(MaxFlow))
 	}
 	for i, x := range p.Nodes {
 		at := fmt.Sprintf("nodes[%d] %q", i, x.ID)
 		check(x.ID != "" && !nodes[x.ID], "%s: id: expected a unique, non-empty id", at)
 		nodes[x.ID] = true
-		check(x.Capacity >= 0 && x.Capacity <= MostFlow, "%s: capacity = %d: expected 0 to %d", at, x.Capacity, int64(MostFlow))
+		check(x.Capacity >= 0 && x.Capacity <= MaxFlow, "%s: capacity = %d: expected 0 to %d", at, x.Capacity, int64(MaxFlow))
 		check(x.Cost >= 0 && x.Cost <= MaxPrice, "%s: cost = %d: expected 0 to %d", at, x.Cost, int64(MaxPrice))
 		check(slices.Contains([]string{"ready", "draining", "gone"}, x.State), "%s: state = %q: expected ready, draining or gone", at, x.State)
 		check(x.MostVolumes >= 0, "%s: most_volumes = %d: expected 0 or more", at, x.MostVolumes)
@@ -127,7 +127,7 @@
 		check(x.ID != "" && !volumes[x.ID], "%s: id: expected a unique, non-empty id", at)
 		volumes[x.ID] = true
 		check(plans[x.Plan], "%s: plan = %q: no such plan", at, x.Plan)
-		check(x.Demand >= 0 && x.Demand <= MostFlow, "%s: demand = %d: expected 0 to %d", at, x.Demand, int64(MostFlow))
+		check(x.Demand >= 0 && x.Demand <= MaxFlow, "%s: demand = %d: expected 0 to %d", at, x.Demand, int64(MaxFlow))
 		check(x.Spread >= 1 && x.Spread <= MaxNodes, "%s: spread = %d: expected 1 to %d", at, x.Spread, MaxNodes)
 		check(x.LeastZones >= 0 && x.LeastZones <= x.Spread, "%s: least_zones = %d: expected 0 to its spread", at, x.LeastZones)
 		check(x.MoveCost >= 0 && x.MoveCost <= MaxPrice, "%s: move_cost = %d: expected 0 to %d", at, x.MoveCost, int64(MaxPrice))
--- a/shares/relax.go
+++ b/shares/relax.go
@@ -12,7 +12,7 @@
 // placed, it omits none. If exact is true, each addition is decided by an exact search of at
 // most opt.Steps steps. Otherwise it is decided by placing the volume and relocating a few
 // others, and opt.Steps applies to the search that follows.
-func Relax(p *Problem, exact bool, opt Options) (*Found, []string, error) {
+func Relax(p *Problem, exact bool, opt Options) (*SearchResult, []string, error) {
 	if err := p.Check(); err != nil {
 		return nil, nil, err
 	}
@@ -41,7 +41,7 @@
 		if a == nil {
 			return nil, nil, err
 		}
-		f := &Found{Answer: a, Bound: a.Value}
+		f := &SearchResult{Answer: a, Bound: a.Value}
 		if err != nil {
 			f.Bound = Bound(q)
 		}
@@ -72,7 +72,7 @@
 	for _, v := range order {
 		_, err := Exact(withVolumes(p, append(kept, v.ID)), steps)
 		switch {
-		case errors.Is(err, ErrNone):
+		case errors.Is(err, ErrInfeasible):
 			omitted = append(omitted, v.ID)
 		case err != nil:
 			return nil, nil, err
--- a/shares/resolve.go
+++ b/shares/resolve.go
@@ -15,10 +15,10 @@
 }
 
 // Again holds the options of Resolve.
-type Again struct {
-	Seed      uint64
-	Steps     int // changes tried once all volumes are placed again
-	MostMoves int // limit on the nodes that volumes are newly placed on; negative: no limit
+type ResolveOptions struct {
+	Seed     uint64
+	Steps    int // changes tried once all volumes are placed again
+	MaxMoves int // limit on the nodes that volumes are newly placed on; negative: no limit
 }
 
 // Resolve solves a problem again from its present placement (Volume.On) with few moves, after
@@ -26,7 +26,7 @@
 // placed where the total value gains most. Then it tries changes and applies those that gain
 // more than their moves cost, within the limit of opt.MostMoves. If the displaced volumes alone
 // need more moves, the error is a *MoveLimitError.
-func Resolve(p *Problem, opt Again) (*Found, error) {
+func Resolve(p *Problem, opt ResolveOptions) (*SearchResult, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
 	}
@@ -59,10 +59,10 @@
 	if !s.placeAll(displaced) || !s.evaluateNodes() {
 		return nil, ErrNotFound
 	}
-	if opt.MostMoves >= 0 && s.moveCount > opt.MostMoves {
-		return nil, &MoveLimitError{s.moveCount, opt.MostMoves}
+	if opt.MaxMoves >= 0 && s.moveCount > opt.MaxMoves {
+		return nil, &MoveLimitError{s.moveCount, opt.MaxMoves}
 	}
-	s.maxMoves = opt.MostMoves
+	s.maxMoves = opt.MaxMoves
 	for range opt.Steps {
 		s.tryStep()
 	}
@@ -70,12 +70,12 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Found{Answer: a, Bound: in.bound(a.Value)}, nil
+	return &SearchResult{Answer: a, Bound: in.bound(a.Value)}, nil
 }
 
 // Migrate runs Resolve and orders the moves with Waves. If some moves have no order without
 // overload, it solves again with only the forced moves and keeps that answer if fewer are stuck.
-func Migrate(p *Problem, opt Again, perNode int) (*Found, *Schedule, error) {
+func Migrate(p *Problem, opt ResolveOptions, perNode int) (*SearchResult, *Schedule, error) {
 	f, err := Resolve(p, opt)
 	if err != nil {
 		return nil, nil, err
@@ -343,7 +343,7 @@
 // Now returns a copy of p with placement as the present placement of its volumes. Nodes that are
 // gone or not listed are omitted if enough others hold the volume, since their parts were
 // rebuilt elsewhere.
-func Now(p *Problem, placement map[string][]string) *Problem {
+func WithPlacement(p *Problem, placement map[string][]string) *Problem {
 	present := map[string]bool{}
 	for _, n := range p.Nodes {
 		present[n.ID] = n.State != "gone"
--- a/shares/resolve_test.go
+++ b/shares/resolve_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func mustGenerate(t testing.TB, d Draw) *Problem {
+func mustGenerate(t testing.TB, d GenerateOptions) *Problem {
 	t.Helper()
 	p, err := Generate(d)
 	if err != nil {
@@ -19,21 +19,21 @@
 }
 
 // placedProblem generates a problem whose present placement is the result of a search.
-func placedProblem(t testing.TB, d Draw) *Problem {
+func placedProblem(t testing.TB, d GenerateOptions) *Problem {
 	t.Helper()
 	p := mustGenerate(t, d)
 	f, err := Search(p, Options{Seed: 1, Steps: 500})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return Now(p, f.Placement)
+	return WithPlacement(p, f.Placement)
 }
 
 // TestResolveMakesFewMoves changes the nodes of a placed problem: lost, drained, no longer
 // listed, halved, added, or limited in volumes. Resolve must find a feasible answer and respect
 // a limit of moves equal to the moves that the change forces; with a lower limit it must fail.
 func TestResolveMakesFewMoves(t *testing.T) {
-	base := placedProblem(t, Draw{Volumes: 120, Nodes: 10, Zones: 3, Seed: 4, Skew: 0.7, Load: 0.7, Unequal: 4, Spread: 3})
+	base := placedProblem(t, GenerateOptions{Volumes: 120, Nodes: 10, Zones: 3, Seed: 4, Skew: 0.7, Load: 0.7, MaxCapacityRatio: 4, Spread: 3})
 	on := func(p *Problem, ids ...string) (n int) {
 		for _, v := range p.Volumes {
 			for _, id := range v.On {
@@ -60,15 +60,15 @@
 		"ceiling":   {func(p *Problem) { p.Nodes[2].MostVolumes = 5 }, nil},
 		"no moving": {func(p *Problem) { p.Nodes[3].State = "draining" }, []string{"n3"}},
 	} {
-		p := Now(base, placementOf(base))
+		p := WithPlacement(base, placementOf(base))
 		p.Nodes = slices.Clone(base.Nodes)
 		c.change(p)
-		f, err := Resolve(p, Again{Seed: 1, Steps: 200, MostMoves: -1})
+		f, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 200, MaxMoves: -1})
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		forced := on(p, c.forced...)
-		least, err := Resolve(p, Again{Seed: 1, Steps: 200, MostMoves: forced})
+		least, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 200, MaxMoves: forced})
 		if name == "ceiling" || name == "halved" {
 			continue // the number of forced moves is not known in advance
 		}
@@ -80,7 +80,7 @@
 		}
 		if forced > 0 {
 			var limitErr *MoveLimitError
-			if _, err := Resolve(p, Again{MostMoves: forced - 1}); !errors.As(err, &limitErr) || limitErr.Needed != forced {
+			if _, err := Resolve(p, ResolveOptions{MaxMoves: forced - 1}); !errors.As(err, &limitErr) || limitErr.Needed != forced {
 				t.Errorf("%s: limit one below the forced moves: %v", name, err)
 			}
 		}
@@ -160,12 +160,12 @@
 func TestWavesNeverOverloadNodes(t *testing.T) {
 	complete := 0
 	for seed := range uint64(60) {
-		p := placedProblem(t, Draw{Volumes: 60, Nodes: 8, Zones: 3, Seed: seed, Skew: 0.6, Load: 0.85, Unequal: 3, Spread: 2})
+		p := placedProblem(t, GenerateOptions{Volumes: 60, Nodes: 8, Zones: 3, Seed: seed, Skew: 0.6, Load: 0.85, MaxCapacityRatio: 3, Spread: 2})
 		rng := rand.New(rand.NewSource(int64(seed)))
 		for range 1 + rng.Intn(2) {
 			p.Nodes[rng.Intn(len(p.Nodes))].State = []string{"draining", "gone"}[rng.Intn(2)]
 		}
-		f, s, err := Migrate(p, Again{Seed: seed, Steps: 300, MostMoves: -1}, rng.Intn(4))
+		f, s, err := Migrate(p, ResolveOptions{Seed: seed, Steps: 300, MaxMoves: -1}, rng.Intn(4))
 		if errors.Is(err, ErrNotFound) {
 			continue
 		}
@@ -210,10 +210,10 @@
 // TestResolveAfterFailedWave loses a node in the middle of a wave, with the parts that were
 // moving to it, solves again from the state reached, and repeats this with a second node.
 func TestResolveAfterFailedWave(t *testing.T) {
-	p := placedProblem(t, Draw{Volumes: 80, Nodes: 9, Zones: 3, Seed: 11, Skew: 0.5, Load: 0.6, Unequal: 2, Spread: 2})
+	p := placedProblem(t, GenerateOptions{Volumes: 80, Nodes: 9, Zones: 3, Seed: 11, Skew: 0.5, Load: 0.6, MaxCapacityRatio: 2, Spread: 2})
 	p.Nodes[0].State = "draining"
 	for _, lost := range []int{4, 7} {
-		f, err := Resolve(p, Again{Seed: 1, Steps: 100, MostMoves: -1})
+		f, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 100, MaxMoves: -1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -224,11 +224,11 @@
 		now := ApplyMoves(placementOf(p), s.Waves[0])
 		half := s.Waves[1][:len(s.Waves[1])/2]
 		half = slices.DeleteFunc(slices.Clone(half), func(m Move) bool { return m.To == p.Nodes[lost].ID })
-		p = Now(p, ApplyMoves(now, half))
+		p = WithPlacement(p, ApplyMoves(now, half))
 		p.Nodes = slices.Clone(p.Nodes)
 		p.Nodes[lost].State = "gone"
 	}
-	f, err := Resolve(p, Again{Seed: 1, Steps: 100, MostMoves: -1})
+	f, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 100, MaxMoves: -1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -272,7 +272,7 @@
 	agree, infeasible := 0, 0
 	for seed := range int64(600) {
 		p := randomProblem(rand.New(rand.NewSource(seed)))
-		if _, err := Exact(p, 0); !errors.Is(err, ErrNone) {
+		if _, err := Exact(p, 0); !errors.Is(err, ErrInfeasible) {
 			continue
 		}
 		f, left, err := Relax(p, true, Options{})
@@ -281,7 +281,7 @@
 		}
 		for _, id := range left { // no omitted volume can be placed with those kept
 			keep := append(slices.Collect(maps.Keys(f.Placement)), id)
-			if _, err := Exact(withVolumes(p, keep), 0); !errors.Is(err, ErrNone) {
+			if _, err := Exact(withVolumes(p, keep), 0); !errors.Is(err, ErrInfeasible) {
 				t.Fatalf("seed %d: %s could be placed too", seed, id)
 			}
 		}
@@ -300,9 +300,9 @@
 // gives, and that draining nodes and unknown volumes are rejected.
 func TestExplain(t *testing.T) {
 	for seed := range uint64(20) {
-		p := placedProblem(t, Draw{Volumes: 20, Nodes: 6, Zones: 2, Seed: seed, Skew: 1, Load: 1.1, Unequal: 5, Spread: 2, Costs: true})
+		p := placedProblem(t, GenerateOptions{Volumes: 20, Nodes: 6, Zones: 2, Seed: seed, Skew: 1, Load: 1.1, MaxCapacityRatio: 5, Spread: 2, Costs: true})
 		p.Nodes[1].State = "draining"
-		f, err := Resolve(p, Again{Seed: 1, Steps: 200, MostMoves: -1})
+		f, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 200, MaxMoves: -1})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -312,11 +312,11 @@
 			t.Fatal(e, err)
 		}
 		for _, c := range e.Choices {
-			if c.Why != "" || c.Instead == "" {
+			if c.Why != "" || c.Replaces == "" {
 				continue
 			}
 			other := maps.Clone(f.Placement)
-			other[v] = slices.Sorted(slices.Values(append(slices.DeleteFunc(slices.Clone(other[v]), func(n string) bool { return n == c.Instead }), c.Node)))
+			other[v] = slices.Sorted(slices.Values(append(slices.DeleteFunc(slices.Clone(other[v]), func(n string) bool { return n == c.Replaces }), c.Node)))
 			a, err := Evaluate(p, other)
 			if err != nil || a.Value.Sub(f.Value) != c.Change {
 				t.Fatalf("seed %d: %+v, but %v - %v, %v", seed, c, a, f.Value, err)
--- a/shares/search.go
+++ b/shares/search.go
@@ -19,7 +19,7 @@
 }
 
 // Found is the result of a search: an answer and an upper bound on the value of any placement.
-type Found struct {
+type SearchResult struct {
 	*Answer
 	Bound Value
 }
@@ -84,12 +84,12 @@
 }
 
 // Found returns the present placement, evaluated from scratch, and its upper bound.
-func (s *Solver) Found() (*Found, error) {
+func (s *Solver) Found() (*SearchResult, error) {
 	a, err := s.in.evaluate(s.state.sets)
 	if err != nil {
 		return nil, err
 	}
-	return &Found{Answer: a, Bound: s.in.bound(a.Value)}, nil
+	return &SearchResult{Answer: a, Bound: s.in.bound(a.Value)}, nil
 }
 
 // Search finds a good placement of a problem of any size by local search. It constructs a
@@ -97,7 +97,7 @@
 // changes and keeps those that do not lower the value: moving a volume to another node, swapping
 // two volumes, or removing a few volumes and placing them again. The same problem, seed and
 // number of steps give the same answer; more steps never give a lower value.
-func Search(p *Problem, opt Options) (*Found, error) {
+func Search(p *Problem, opt Options) (*SearchResult, error) {
 	s, err := NewSolver(p, opt.Seed)
 	if err != nil {
 		return nil, err
--- a/shares/search_test.go
+++ b/shares/search_test.go
@@ -16,7 +16,7 @@
 		p := randomProblem(rand.New(rand.NewSource(seed)))
 		want, err := Exact(p, 0)
 		got, serr := Search(p, Options{Seed: 1, Steps: 400})
-		if errors.Is(err, ErrNone) {
+		if errors.Is(err, ErrInfeasible) {
 			if !errors.Is(serr, ErrNotFound) {
 				t.Fatalf("seed %d: infeasible, but the search returned %+v, %v", seed, got, serr)
 			}
@@ -92,7 +92,7 @@
 var benchmarkSizes = []struct{ volumes, nodes, steps int }{{50, 8, 50_000}, {500, 42, 50_000}, {10_000, 300, 8000}}
 
 func benchmarkProblem(b *testing.B, volumes, nodes int, load float64) *Problem {
-	return mustGenerate(b, Draw{Volumes: volumes, Nodes: nodes, Zones: 3, Seed: 1, Skew: 0.7, Load: load, Unequal: 10, Spread: 3, Costs: true})
+	return mustGenerate(b, GenerateOptions{Volumes: volumes, Nodes: nodes, Zones: 3, Seed: 1, Skew: 0.7, Load: load, MaxCapacityRatio: 10, Spread: 3, Costs: true})
 }
 
 // BenchmarkAgainstBaselines measures the time and the gap to the bound, in percent, of the search
@@ -130,7 +130,7 @@
 					var a *Answer
 					for range b.N {
 						var err error
-						if a, err = solve(); err != nil && !errors.As(err, new(*Infeasible)) {
+						if a, err = solve(); err != nil && !errors.As(err, new(*InfeasibleError)) {
 							b.Fatal(err)
 						}
 					}
@@ -151,7 +151,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			p = Now(p, f.Placement)
+			p = WithPlacement(p, f.Placement)
 			p.Nodes[1].State = "gone"
 			lost := 0
 			for _, v := range p.Volumes {
@@ -159,10 +159,10 @@
 					lost++
 				}
 			}
-			var resolved *Found
+			var resolved *SearchResult
 			var waves *Schedule
 			for b.Loop() {
-				if resolved, waves, err = Migrate(p, Again{Seed: 1, Steps: 500, MostMoves: -1}, 4); err != nil {
+				if resolved, waves, err = Migrate(p, ResolveOptions{Seed: 1, Steps: 500, MaxMoves: -1}, 4); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -170,7 +170,7 @@
 			b.ReportMetric(float64(resolved.Moves), "moves")
 			b.ReportMetric(float64(len(waves.Waves)), "waves")
 			b.ReportMetric(float64(len(waves.Stuck)), "stuck")
-			fresh, err := Search(Now(p, map[string][]string{}), Options{Seed: 2, Steps: 500})
+			fresh, err := Search(WithPlacement(p, map[string][]string{}), Options{Seed: 2, Steps: 500})
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/shares/solution.go
+++ b/shares/solution.go
@@ -22,7 +22,7 @@
 	SolutionFormat = 1
 	solutionMagic  = "eiderhold-shares"
 	// MostSolution is the maximum size of an encoded solution in bytes.
-	MostSolution = 256 << 20
+	MaxSolutionBytes = 256 << 20
 )
 
 // Solution is a versioned answer that is stored and distributed to gateways.
@@ -59,7 +59,7 @@
 
 // NewSolution returns the solution of an answer of p. The caller supplies the time at, since this
 // package reads no clock.
-func NewSolution(p *Problem, f *Found, version uint64, by string, at time.Time, trust time.Duration) *Solution {
+func NewSolution(p *Problem, f *SearchResult, version uint64, by string, at time.Time, trust time.Duration) *Solution {
 	s := &Solution{Version: version, Inputs: Digest(p), By: by, At: at.UTC(), For: trust.String(),
 		Value: f.Value.String(), Bound: f.Bound.String(), Placement: f.Placement,
 		Shares: map[string]map[string]int64{}, Weights: map[string]int64{}}
@@ -127,8 +127,8 @@
 		}
 		for _, n := range nodes {
 			share, ok := s.Shares[v][n]
-			if !ok || share < 0 || share > MostFlow {
-				return fmt.Errorf("shares: volume %q at node %q: expected 0 to %d milli-units a second (present: %v)", v, n, int64(MostFlow), ok)
+			if !ok || share < 0 || share > MaxFlow {
+				return fmt.Errorf("shares: volume %q at node %q: expected 0 to %d milli-units a second (present: %v)", v, n, int64(MaxFlow), ok)
 			}
 			if _, known := slices.BinarySearch(s.Nodes, n); !known {
 				return fmt.Errorf("placement of volume %q: node %q is not among the solution's nodes", v, n)
@@ -162,7 +162,7 @@
 // ReadSolution decodes and checks a solution. A file truncated at any byte is rejected. The error
 // is sealed.ErrNewer for a newer format.
 func ReadSolution(b []byte) (*Solution, error) {
-	body, err := sealed.Open(solutionMagic, SolutionFormat, MostSolution, b)
+	body, err := sealed.Open(solutionMagic, SolutionFormat, MaxSolutionBytes, b)
 	if err != nil {
 		return nil, fmt.Errorf("shares: solution: %w", err)
 	}
@@ -191,12 +191,12 @@
 
 // VolumeChange is how one volume differs between two solutions.
 type VolumeChange struct {
-	Volume  string   `json:"volume"`
-	Came    []string `json:"came,omitempty"` // nodes added to its placement
-	Went    []string `json:"went,omitempty"` // nodes removed from its placement
-	Before  int64    `json:"before"`         // sum of its shares, milli-units a second
-	After   int64    `json:"after"`
-	Weights [2]int64 `json:"weights"`
+	Volume       string   `json:"volume"`
+	NodesAdded   []string `json:"came,omitempty"` // nodes added to its placement
+	NodesRemoved []string `json:"went,omitempty"` // nodes removed from its placement
+	Before       int64    `json:"before"`         // sum of its shares, milli-units a second
+	After        int64    `json:"after"`
+	Weights      [2]int64 `json:"weights"`
 }
 
 // Difference is the difference between two solutions.
@@ -226,10 +226,10 @@
 			d.Removed = append(d.Removed, v)
 			continue
 		}
-		c := VolumeChange{Volume: v, Came: difference(b.Placement[v], a.Placement[v]), Went: difference(a.Placement[v], b.Placement[v]),
+		c := VolumeChange{Volume: v, NodesAdded: difference(b.Placement[v], a.Placement[v]), NodesRemoved: difference(a.Placement[v], b.Placement[v]),
 			Before: sumShares(a.Shares[v]), After: sumShares(b.Shares[v]), Weights: [2]int64{a.Weights[v], b.Weights[v]}}
-		d.Moves += len(c.Came)
-		if len(c.Came)+len(c.Went) > 0 || c.Weights[0] != c.Weights[1] || !maps.Equal(a.Shares[v], b.Shares[v]) {
+		d.Moves += len(c.NodesAdded)
+		if len(c.NodesAdded)+len(c.NodesRemoved) > 0 || c.Weights[0] != c.Weights[1] || !maps.Equal(a.Shares[v], b.Shares[v]) {
 			d.Changed = append(d.Changed, c)
 		}
 	}
--- a/shares/solution_test.go
+++ b/shares/solution_test.go
@@ -16,7 +16,7 @@
 // testSolution returns a generated problem and a solution of it.
 func testSolution(t testing.TB) (*Problem, *Solution) {
 	t.Helper()
-	p := mustGenerate(t, Draw{Volumes: 12, Nodes: 4, Zones: 2, Seed: 1, Skew: 1, Load: 1, Unequal: 3, Spread: 2})
+	p := mustGenerate(t, GenerateOptions{Volumes: 12, Nodes: 4, Zones: 2, Seed: 1, Skew: 1, Load: 1, MaxCapacityRatio: 3, Spread: 2})
 	f, err := Search(p, Options{Seed: 1, Steps: 200})
 	if err != nil {
 		t.Fatal(err)
@@ -54,7 +54,7 @@
 		t.Errorf("byte added: %v", err)
 	}
 	newer := bytes.Replace(b, []byte("eiderhold-shares 1 "), []byte("eiderhold-shares 2 "), 1)
-	if _, err := ReadSolution(newer); !errors.Is(err, sealed.ErrNewer) || !strings.Contains(err.Error(), "format 2") {
+	if _, err := ReadSolution(newer); !errors.Is(err, sealed.ErrNewerFormat) || !strings.Contains(err.Error(), "format 2") {
 		t.Errorf("a newer format: %v", err)
 	}
 	if err := s.CheckInputs(Digest(p)); err != nil {
@@ -108,7 +108,7 @@
 	b.Weights["v02"] = 9
 	d := Diff(a, &b)
 	if fmt.Sprint(d.Added, d.Removed) != "[v99] [v01]" || len(d.Changed) != 2 || d.Changed[0].Volume != "v00" || d.Moves != 1 ||
-		fmt.Sprint(d.Changed[0].Came) != "[n9]" || d.Changed[0].After != 5 || d.Changed[1].Weights[1] != 9 {
+		fmt.Sprint(d.Changed[0].NodesAdded) != "[n9]" || d.Changed[0].After != 5 || d.Changed[1].Weights[1] != 9 {
 		t.Errorf("%+v", d)
 	}
 }
