--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -118,7 +118,7 @@
 	Shed, Paused, Corrupt           uint64
 	Conns, Active                   int
 	Budget                          int64
-	Deliver                         host.Times // from the arrival of an outcome to its handling on the connection's loop
+	Deliver                         host.Histogram // from the arrival of an outcome to its handling on the connection's loop
 }
 
 const (
--- a/internal/front/rsync/reader.go
+++ b/internal/front/rsync/reader.go
@@ -58,7 +58,7 @@
 	at := around[0]
 	i := len(r.extents) - cap(around) // around is a subslice of extents, whose capacity equals its length
 	for j, h := range r.fetches {     // extents before this one or far behind it are not needed again
-		if j < i || j > i+r.transfer.front.opt.Pacing.WindowTop {
+		if j < i || j > i+r.transfer.front.opt.Pacing.MaxWindow {
 			r.release(j, h)
 		}
 	}
@@ -109,7 +109,7 @@
 				Hosts: t.module.Hosts, Units: t.front.opt.Work.Units(x.Length), Share: t.module.Share,
 				Expires: try.Expires, Retry: try.Retry, Op: nodewire.Read, Length: x.Length}, nil
 		},
-		onAnswer: func(a host.Answer) (pacing.Kind, string) {
+		onAnswer: func(a host.Answer) (pacing.TryResult, string) {
 			if a.Kind == host.Served {
 				if a.Data != nil && len(a.Data.B) == x.Length && xxhash.Sum64(a.Data.B) == x.Sum {
 					h.data = a.Data
@@ -131,7 +131,7 @@
 	return h
 }
 
-func pacingKind(a host.Answer) pacing.Kind {
+func pacingKind(a host.Answer) pacing.TryResult {
 	switch a.Kind {
 	case host.Served:
 		return pacing.Served
--- a/internal/front/rsync/transfer.go
+++ b/internal/front/rsync/transfer.go
@@ -142,13 +142,13 @@
 func (t *transfer) finishFile(err error) error {
 	if err == nil {
 		t.files++
-		t.pacing.File(true)
+		t.pacing.FileEnded(true)
 		return nil
 	}
 	t.leftOut++
 	t.lastCause = err.Error()
-	if t.pacing.File(false) {
-		err = fmt.Errorf("%w after %d files left out in a row: %w", proto.ErrEndTransfer, t.front.opt.Pacing.LeaveOut, err)
+	if t.pacing.FileEnded(false) {
+		err = fmt.Errorf("%w after %d files left out in a row: %w", proto.ErrEndTransfer, t.front.opt.Pacing.MaxFilesLeftOut, err)
 	}
 	return countedError{err}
 }
@@ -168,9 +168,9 @@
 	requestID     uint64
 	submitted     bool // the host has a request for the extent
 	finished      bool
-	build         func(pacing.Try) (*host.Request, error) // an error: no node can serve it now
-	onAnswer      func(host.Answer) (pacing.Kind, string) // handles an answer and returns the result of the try
-	onDone        func(error)                             // called with nil if the extent was served
+	build         func(pacing.Try) (*host.Request, error)      // an error: no node can serve it now
+	onAnswer      func(host.Answer) (pacing.TryResult, string) // handles an answer and returns the result of the try
+	onDone        func(error)                                  // called with nil if the extent was served
 	shard         int
 	writer        *writer // nil for a read
 	lastNodeCause string  // cause of the last unsuccessful try that reached a node
@@ -213,7 +213,7 @@
 			continue
 		}
 		now := t.front.opt.Host.Now()
-		ok, at := t.pacing.Room(now)
+		ok, at := t.pacing.MayRequest(now)
 		if !ok {
 			if at > 0 && !t.rateTimerSet {
 				t.rateTimerSet = true
@@ -226,7 +226,7 @@
 			return
 		}
 		t.queue = t.queue[1:]
-		p.extent = t.pacing.Begin(now, p.shard, int(p.bytes), t.front.classes[p.class].Deadline)
+		p.extent = t.pacing.StartExtent(now, p.shard, int(p.bytes), t.front.classes[p.class].Deadline)
 		t.inFlight[p] = true
 		p.submit()
 	}
@@ -239,7 +239,7 @@
 		return
 	}
 	p.waitLimited = true
-	t.front.after(t.front.opt.Host.Now()+t.pacing.Patience(), t.conn, func() {
+	t.front.after(t.front.opt.Host.Now()+t.pacing.ExtentTimeout(), t.conn, func() {
 		if p.extent == nil && !p.finished && !t.ended {
 			t.refused++
 			p.finish(&ExtentError{Refused: true, Cause: "no room for it in rsync.buffer_bytes", RetryAfter: time.Second})
@@ -281,7 +281,7 @@
 // releaseBudget returns bytes to the budget and wakes connections that wait for them.
 func (f *Front) releaseBudget(bytes int64) {
 	f.mu.Lock()
-	f.budget.Give(bytes)
+	f.budget.Release(bytes)
 	var wake []*conn
 	for c := range f.budgetWaiters {
 		if len(wake) == maxBudgetWakes {
@@ -307,14 +307,14 @@
 func (p *extentRequest) submit() {
 	t := p.transfer
 	now := t.front.opt.Host.Now()
-	try, ok := t.pacing.Ask(p.extent, now)
+	try, ok := t.pacing.StartTry(p.extent, now)
 	if !ok {
 		p.finish(errors.New("no time left for another try"))
 		return
 	}
 	r, err := p.build(try)
 	if err != nil { // no node was asked: an immediate retry would have the same result
-		t.pacing.Dropped(p.extent)
+		t.pacing.TryAbandoned(p.extent)
 		t.refused++
 		g := &ExtentError{Refused: true, Cause: err.Error()}
 		errors.As(err, &g)
@@ -353,11 +353,11 @@
 	if a.Attempts > 0 && kind != pacing.Served {
 		p.lastNodeCause = why
 	}
-	next := t.pacing.Ended(p.extent, now, kind, a.RetryAfter)
-	switch next.What {
+	next := t.pacing.TryEnded(p.extent, now, kind, a.RetryAfter)
+	switch next.Step {
 	case pacing.Done:
 		p.finish(nil)
-	case pacing.Again:
+	case pacing.Retry:
 		t.front.after(next.At, t.conn, func() {
 			if !p.finished && !t.ended {
 				p.submit()
@@ -372,7 +372,7 @@
 		if p.lastNodeCause != "" && p.lastNodeCause != why {
 			why += "; before: " + p.lastNodeCause
 		}
-		p.finish(&ExtentError{Refused: kind == pacing.Refused, Cause: why, Tries: p.extent.Tries(), RetryAfter: next.Back})
+		p.finish(&ExtentError{Refused: kind == pacing.Refused, Cause: why, Tries: p.extent.Tries(), RetryAfter: next.RetryAfter})
 	}
 	t.dispatch()
 }
@@ -412,8 +412,8 @@
 	p.finished = true
 	delete(p.transfer.inFlight, p)
 	if p.submitted {
-		p.transfer.pacing.Dropped(p.extent)
-		p.transfer.front.opt.Host.Leave(p.requestID)
+		p.transfer.pacing.TryAbandoned(p.extent)
+		p.transfer.front.opt.Host.ClientGone(p.requestID)
 	}
 	if p.onAbandon != nil {
 		p.onAbandon()
--- a/internal/front/rsync/writer.go
+++ b/internal/front/rsync/writer.go
@@ -99,8 +99,8 @@
 		q = &placement.Quota{}
 		f.quotas[t.module.Name] = q
 	}
-	q.Most = t.module.Quota
-	if err := q.Take(t.module.Name, u.Bytes, w.replacedBytes, w.announcedSize); err != nil {
+	q.MaxBytes = t.module.Quota
+	if err := q.Reserve(t.module.Name, u.Bytes, w.replacedBytes, w.announcedSize); err != nil {
 		return &ExtentError{Refused: true, Cause: err.Error()}
 	}
 	w.quota = q
@@ -113,7 +113,7 @@
 		return
 	}
 	w.transfer.front.mu.Lock()
-	w.quota.Done(w.replacedBytes, w.announcedSize)
+	w.quota.Release(w.replacedBytes, w.announcedSize)
 	w.transfer.front.mu.Unlock()
 	w.quota = nil
 }
@@ -176,7 +176,7 @@
 	w.heldBytes += bytes
 	f := w.transfer.front
 	f.mu.Lock()
-	f.budget.Force(bytes)
+	f.budget.AllocateUnchecked(bytes)
 	f.mu.Unlock()
 }
 
@@ -227,7 +227,7 @@
 				Hosts: t.module.Hosts, Units: t.front.opt.Work.Units(len(x.data.B)), Share: t.module.Share,
 				Expires: try.Expires, Retry: try.Retry, Tiers: spot.Tiers, Avoid: spot.Avoid, Op: nodewire.Write, Key: item, Payload: x.data.B}, nil
 		},
-		onAnswer: func(a host.Answer) (pacing.Kind, string) {
+		onAnswer: func(a host.Answer) (pacing.TryResult, string) {
 			switch a.Kind {
 			case host.Served:
 				w.parts[x.index].Shard, w.parts[x.index].Try = a.Shard, x.try
