--- a/extentmap/book.go
+++ b/extentmap/book.go
@@ -8,333 +8,337 @@
 	"time"
 )
 
-// BookSettings say what is done where the map does not know, or nodes say that it is wrong.
-type BookSettings struct {
-	Group    uint64        // extents that are asked for together, aligned; a power of two
-	MostOut  int           // refreshes out at a time
-	MostKept int           // groups kept as stale or unknown; over it requests for others are refused
-	Trust    time.Duration // a home told by a node is used so long while it cannot be confirmed
-	Absent   time.Duration // "there is no such extent" is believed so long after it was fetched
-	Silence  time.Duration // the whole map is used so long after the authority was heard; 0: for ever
-	Retry    time.Duration // after a refresh that failed, doubled each time ...
-	RetryTop time.Duration // ... up to this
+// RefreshSettings control how parts of the map that are unknown, or wrong according to nodes, are refreshed and
+// what requests for them do meanwhile.
+type RefreshSettings struct {
+	Group            uint64        // number of extents refreshed together, aligned; a power of two
+	MaxInFlight      int           // maximum number of concurrent refreshes
+	MaxGroups        int           // maximum number of stale or unknown groups; requests for further ones are refused
+	HintDuration     time.Duration // time a location reported by a node is used while the authority does not confirm it
+	AbsenceDuration  time.Duration // time after a refresh for which an extent that it did not contain counts as absent
+	MaxSilence       time.Duration // time since the last contact with the authority after which the map is not used; 0: no limit
+	MinRetryInterval time.Duration // retry interval after the first failed refresh; doubled after each further failure
+	MaxRetryInterval time.Duration // upper bound of the retry interval
 }
 
-// DefaultBook is good for refreshes of some milliseconds.
-var DefaultBook = BookSettings{Group: 4096, MostOut: 16, MostKept: 65536, Trust: time.Minute, Absent: time.Second,
-	Retry: 50 * time.Millisecond, RetryTop: 5 * time.Second}
+// DefaultRefresh suits an authority that answers a refresh within milliseconds.
+var DefaultRefresh = RefreshSettings{Group: 4096, MaxInFlight: 16, MaxGroups: 65536, HintDuration: time.Minute, AbsenceDuration: time.Second,
+	MinRetryInterval: 50 * time.Millisecond, MaxRetryInterval: 5 * time.Second}
 
-// Check names what cannot be.
-func (s *BookSettings) Check() error {
+// Check returns an error that describes the first invalid setting.
+func (s *RefreshSettings) Check() error {
 	switch {
 	case s.Group == 0 || s.Group&(s.Group-1) != 0:
-		return fmt.Errorf("group = %d extents: a power of two", s.Group)
-	case s.MostOut < 1:
-		return fmt.Errorf("most out = %d: at least 1", s.MostOut)
-	case s.MostKept < s.MostOut:
-		return fmt.Errorf("most kept = %d: at least most out, %d", s.MostKept, s.MostOut)
-	case s.Trust < 0 || s.Absent < 0 || s.Silence < 0:
-		return fmt.Errorf("trust, absent, silence = %v, %v, %v: not negative", s.Trust, s.Absent, s.Silence)
-	case s.Retry <= 0 || s.RetryTop < s.Retry:
-		return fmt.Errorf("retry = %v up to %v: more than 0s, the top no less", s.Retry, s.RetryTop)
+		return fmt.Errorf("group = %d extents: expected a power of two", s.Group)
+	case s.MaxInFlight < 1:
+		return fmt.Errorf("maximum of concurrent refreshes = %d: expected at least 1", s.MaxInFlight)
+	case s.MaxGroups < s.MaxInFlight:
+		return fmt.Errorf("maximum of groups = %d: expected at least the maximum of concurrent refreshes, %d", s.MaxGroups, s.MaxInFlight)
+	case s.HintDuration < 0 || s.AbsenceDuration < 0 || s.MaxSilence < 0:
+		return fmt.Errorf("hint duration, absence duration, maximum silence = %v, %v, %v: expected no negative value", s.HintDuration, s.AbsenceDuration, s.MaxSilence)
+	case s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval:
+		return fmt.Errorf("retry interval = %v up to %v: expected more than 0s, and a maximum that is not below the minimum", s.MinRetryInterval, s.MaxRetryInterval)
 	}
 	return nil
 }
 
-// Do is what is to be done with a request.
-type Do int
+// Action is what to do with a request.
+type Action int
 
-// What is to be done with a request.
+// Actions for a request.
 const (
-	Use    Do = iota // send it to Home
-	Wait             // until the group's refresh is answered
-	Refuse           // say Why, and to come back after RetryAfter
-	Absent           // there is no such extent
+	Use    Action = iota // send the request to the location in Home
+	Wait                 // wait until the refresh of its group is answered
+	Refuse               // refuse it with the reason Why and the retry time RetryAfter
+	Absent               // the extent does not exist
 )
 
-// Verdict is what is to be done with a request for an extent.
-type Verdict struct {
-	Do
-	Home                     // to use
-	Version    uint64        // that an attempt carries
-	RetryAfter time.Duration // when a refresh is likely to have been answered
+// Decision is the result of Refresher.Decide for one request.
+type Decision struct {
+	Action
+	Home                     // for Use
+	Version    uint64        // version of the map for the attempt to carry
+	RetryAfter time.Duration // estimated time until a refresh is answered
 	Why        string
 }
 
-// Word is a node's answer "moved": the extent is not there as of a version of the map.
-type Word struct {
+// MovedAnswer is a node's answer "moved": as of Version of the map, the node does not hold the extent.
+type MovedAnswer struct {
 	Version uint64
-	Home    // where it is; Known says whether the node knows
+	Home    // the new location, if Known
 	Known   bool
 }
 
-// Book keeps which parts of the map are unknown or said to be wrong, and decides who waits, what is asked
-// of the authority, and how long a node's word holds. One refresh serves all who want its group.
-type Book struct {
-	set    BookSettings
-	groups map[groupKey]*group
-	out    int
-	queue  int           // groups that were due and not asked for when Due was last called, and new ones since
-	took   time.Duration // that a refresh takes, a mean
-	heard  time.Duration // when the authority last gave a sign
-	counts Counts
+// Refresher tracks which parts of the map are unknown or reported wrong. It decides which requests wait, which
+// ranges to ask the authority for, and how long a location reported by a node is used. One refresh serves all
+// requests for its group.
+type Refresher struct {
+	settings    RefreshSettings
+	groups      map[groupKey]*group
+	inFlight    int
+	overdue     int           // groups that were due but not requested at the last call of Due, and groups added since
+	meanLatency time.Duration // moving average of a refresh's duration
+	lastSeen    time.Duration // time of the last contact with the authority
+	counts      Counts
 }
 
-// Counts are sums since the start.
+// Counts are totals since the start.
 type Counts struct {
-	Moved     uint64 // words of nodes that were news
-	Old       uint64 // words older than the map: the node is behind
-	Disputed  uint64 // words against what a refresh has just confirmed
-	Refreshes uint64 // asked
-	Failed    uint64 // of them
-	Waited    uint64 // requests told to wait
+	Moved     uint64 // answers of nodes that were newer than the map
+	Outdated  uint64 // answers of nodes that were older than the map
+	Disputed  uint64 // answers of nodes that contradict a completed refresh
+	Refreshes uint64 // refreshes started
+	Failed    uint64 // refreshes that failed
+	Waited    uint64 // requests that were told to wait
 	Refused   uint64
 }
 
 type groupKey struct {
 	volume string
-	n      uint64
+	index  uint64
 }
 
-// group is part of the map that is unknown or said to be wrong.
+// group is the state of an aligned group of extents that is unknown or reported wrong.
 type group struct {
-	wanted   time.Duration // since when
-	next     time.Duration // not asked before
-	asked    time.Duration // when, if it is out; else when it was answered, if it ever was
-	out      bool
-	answered bool   // ever
-	failed   int    // on end
-	stale    uint64 // what was known before this version is wrong; 0: what is known holds
-	told     []told // by nodes
-	disputed int    // times that nodes spoke against a refresh
-	quiet    bool   // nothing is asked: kept for what was told or disputed only
+	wantedSince time.Duration // orders due groups
+	nextRefresh time.Duration // earliest time of the next refresh
+	lastRefresh time.Duration // start of the refresh in flight, else the time of the last successful answer
+	inFlight    bool
+	answered    bool   // at least one refresh succeeded
+	failures    int    // consecutive failed refreshes
+	staleBefore uint64 // locations of lower versions are wrong; 0: none are
+	hints       []hint // locations reported by nodes
+	disputes    int    // answers of nodes that contradicted a refresh
+	idle        bool   // no refresh is needed; the group is kept for its hints and its history
 }
 
-// told is a home that a node told.
-type told struct {
-	extent uint64
-	home   Home
-	as     uint64 // version
-	until  time.Duration
+// hint is a location reported by a node.
+type hint struct {
+	extent  uint64
+	home    Home
+	version uint64
+	expiry  time.Duration
 }
 
-// NewBook returns an empty book. The authority counts as heard now.
-func NewBook(set BookSettings, now time.Duration) (*Book, error) {
+// NewRefresher returns a Refresher without groups. The authority counts as contacted now.
+func NewRefresher(set RefreshSettings, now time.Duration) (*Refresher, error) {
 	if err := set.Check(); err != nil {
 		return nil, fmt.Errorf("extentmap: %w", err)
 	}
-	return &Book{set: set, groups: map[groupKey]*group{}, took: set.Retry, heard: now}, nil
+	return &Refresher{settings: set, groups: map[groupKey]*group{}, meanLatency: set.MinRetryInterval, lastSeen: now}, nil
 }
 
-// Counts are the sums since the start.
-func (b *Book) Counts() Counts { return b.counts }
+// Counts returns the totals since the start.
+func (b *Refresher) Counts() Counts { return b.counts }
 
-// Heard notes a sign of life of the authority.
-func (b *Book) Heard(now time.Duration) { b.heard = max(b.heard, now) }
+// AuthoritySeen records a contact with the authority.
+func (b *Refresher) AuthoritySeen(now time.Duration) { b.lastSeen = max(b.lastSeen, now) }
 
-func (b *Book) key(volume string, extent uint64) groupKey {
-	return groupKey{volume, extent / b.set.Group}
+func (b *Refresher) groupOf(volume string, extent uint64) groupKey {
+	return groupKey{volume, extent / b.settings.Group}
 }
 
-// Range are the extents of the group that an extent is in.
-func (b *Book) Range(volume string, extent uint64) Range {
-	from := extent &^ (b.set.Group - 1)
-	return Range{volume, from, from + b.set.Group}
+// Range returns the range of the group that contains an extent.
+func (b *Refresher) Range(volume string, extent uint64) Range {
+	from := extent &^ (b.settings.Group - 1)
+	return Range{volume, from, from + b.settings.Group}
 }
 
-// Ask says what to do with a request for an extent whose client waits so long.
-func (b *Book) Ask(v *View, volume string, extent uint64, patience, now time.Duration) Verdict {
+// Decide returns what to do with a request for an extent whose client waits for at most patience.
+func (b *Refresher) Decide(v *View, volume string, extent uint64, patience, now time.Duration) Decision {
 	var home Home
 	var version uint64
 	known := false
 	if vol, ok := v.Volume(volume); ok {
 		home, version, known = v.Lookup(vol, extent)
 	}
-	k := b.key(volume, extent)
+	k := b.groupOf(volume, extent)
 	g := b.groups[k]
-	if b.set.Silence > 0 && now-b.heard > b.set.Silence {
-		return b.wait(k, g, patience, now, fmt.Sprintf("the map was last confirmed %v ago", (now-b.heard).Round(time.Second)))
+	if b.settings.MaxSilence > 0 && now-b.lastSeen > b.settings.MaxSilence {
+		return b.waitOrRefuse(k, g, patience, now, fmt.Sprintf("the map was last confirmed %v ago", (now-b.lastSeen).Round(time.Second)))
 	}
 	if g != nil {
-		for i := range g.told { // a node knows more than the map: until the map does
-			if t := &g.told[i]; t.extent == extent && (!known || t.as > version) && t.until > now {
-				b.want(g, now)
-				return Verdict{Do: Use, Home: t.home, Version: t.as}
+		for i := range g.hints { // a hint newer than the map is used until the map catches up
+			if t := &g.hints[i]; t.extent == extent && (!known || t.version > version) && t.expiry > now {
+				b.requestRefresh(g, now)
+				return Decision{Action: Use, Home: t.home, Version: t.version}
 			}
 		}
-		if known && g.stale > version {
-			return b.wait(k, g, patience, now, "where it lies has changed")
+		if known && g.staleBefore > version {
+			return b.waitOrRefuse(k, g, patience, now, "where it lies has changed")
 		}
 	}
 	switch {
 	case !known:
-		return b.wait(k, g, patience, now, "where it lies is not known")
+		return b.waitOrRefuse(k, g, patience, now, "where it lies is not known")
 	case home.Shard != Nowhere:
-		return Verdict{Do: Use, Home: home, Version: version}
-	case g != nil && !g.out && g.answered && now-g.asked < b.set.Absent:
-		return Verdict{Do: Absent, Version: version}
+		return Decision{Action: Use, Home: home, Version: version}
+	case g != nil && !g.inFlight && g.answered && now-g.lastRefresh < b.settings.AbsenceDuration:
+		return Decision{Action: Absent, Version: version}
 	}
-	if b.set.Absent == 0 {
-		return Verdict{Do: Absent, Version: version}
+	if b.settings.AbsenceDuration == 0 {
+		return Decision{Action: Absent, Version: version}
 	}
-	if g != nil && g.quiet {
-		g.quiet = false
+	if g != nil && g.idle {
+		g.idle = false
 	}
-	return b.wait(k, g, patience, now, "where it lies was not known to the authority")
+	return b.waitOrRefuse(k, g, patience, now, "where it lies was not known to the authority")
 }
 
-// wait has a request wait for the refresh of its group, or refuses it if that will be too late.
-func (b *Book) wait(k groupKey, g *group, patience, now time.Duration, why string) Verdict {
+// waitOrRefuse makes a request wait for the refresh of its group, or refuses it if the answer is expected too
+// late.
+func (b *Refresher) waitOrRefuse(k groupKey, g *group, patience, now time.Duration, why string) Decision {
 	if g == nil {
-		if len(b.groups) >= b.set.MostKept {
+		if len(b.groups) >= b.settings.MaxGroups {
 			b.counts.Refused++
-			return Verdict{Do: Refuse, RetryAfter: b.took, Why: fmt.Sprintf("%s, and %d parts of the map are being asked for, which is the most", why, len(b.groups))}
+			return Decision{Action: Refuse, RetryAfter: b.meanLatency, Why: fmt.Sprintf("%s, and %d parts of the map are being asked for, which is the most", why, len(b.groups))}
 		}
-		g = &group{wanted: now, next: now}
+		g = &group{wantedSince: now, nextRefresh: now}
 		b.groups[k] = g
-		b.queue++
+		b.overdue++
 	}
-	b.want(g, now)
-	if in := b.expected(g, now); in >= patience {
+	b.requestRefresh(g, now)
+	if in := b.expectedWait(g, now); in >= patience {
 		b.counts.Refused++
-		return Verdict{Do: Refuse, RetryAfter: in, Why: why}
+		return Decision{Action: Refuse, RetryAfter: in, Why: why}
 	}
 	b.counts.Waited++
-	return Verdict{Do: Wait, Why: why}
+	return Decision{Action: Wait, Why: why}
 }
 
-// want has a group asked for, if it is not.
-func (b *Book) want(g *group, now time.Duration) {
-	if g.quiet {
-		g.quiet, g.wanted = false, now
+// requestRefresh schedules a refresh of an idle group.
+func (b *Refresher) requestRefresh(g *group, now time.Duration) {
+	if g.idle {
+		g.idle, g.wantedSince = false, now
 	}
 }
 
-// expected is in how long a group's refresh is likely to have been answered: those that wait go before it, and
-// while the authority fails each try counts as lost but the next.
-func (b *Book) expected(g *group, now time.Duration) time.Duration {
-	if g.out {
-		return max(b.took-(now-g.asked), b.took/4) + b.backoff(g.failed)
+// expectedWait estimates the time until the group's refresh is answered. It counts the overdue groups ahead of
+// this one; after failures it adds the backoff, as the refresh in flight is assumed to fail too.
+func (b *Refresher) expectedWait(g *group, now time.Duration) time.Duration {
+	if g.inFlight {
+		return max(b.meanLatency-(now-g.lastRefresh), b.meanLatency/4) + b.backoff(g.failures)
 	}
-	return max(g.next-now, 0) + b.took*time.Duration(1+b.queue/b.set.MostOut)
+	return max(g.nextRefresh-now, 0) + b.meanLatency*time.Duration(1+b.overdue/b.settings.MaxInFlight)
 }
 
-// backoff is the pause after so many failures on end.
-func (b *Book) backoff(failed int) time.Duration {
+// backoff returns the retry interval after a number of consecutive failures.
+func (b *Refresher) backoff(failed int) time.Duration {
 	if failed == 0 {
 		return 0
 	}
-	return min(b.set.RetryTop, b.set.Retry<<min(failed-1, 20))
+	return min(b.settings.MaxRetryInterval, b.settings.MinRetryInterval<<min(failed-1, 20))
 }
 
-// Moved takes a node's word about an extent, which is news if it is of a later version than what the map
-// has there. Else the node is behind the map, or disputes what was just confirmed: then a retry
-// waits for the next refresh, which comes later each time.
-func (b *Book) Moved(v *View, volume string, extent uint64, w Word, now time.Duration) (news bool, err error) {
+// Moved records a node's answer that an extent has moved. It reports true if the answer is of a later version than
+// the map has for the extent. Otherwise the node is behind the map, or it contradicts a completed refresh; in the
+// latter case another refresh is scheduled, with a longer interval after each such answer.
+func (b *Refresher) Moved(v *View, volume string, extent uint64, w MovedAnswer, now time.Duration) (newer bool, err error) {
 	var version uint64
 	known := false
 	if vol, ok := v.Volume(volume); ok {
 		_, version, known = v.Lookup(vol, extent)
 	}
 	if known && w.Version < version {
-		b.counts.Old++
+		b.counts.Outdated++
 		return false, nil
 	}
-	k := b.key(volume, extent)
+	k := b.groupOf(volume, extent)
 	g := b.groups[k]
 	if g == nil {
-		if len(b.groups) >= b.set.MostKept {
+		if len(b.groups) >= b.settings.MaxGroups {
 			return false, fmt.Errorf("extentmap: %s: a node says that extent %d has moved, but %d parts of the map are being asked for, which is the most",
 				volume, extent, len(b.groups))
 		}
-		g = &group{wanted: now, next: now}
+		g = &group{wantedSince: now, nextRefresh: now}
 		b.groups[k] = g
 	}
-	if known && w.Version <= max(version, v.Mark) && g.quiet && g.answered {
+	if known && w.Version <= max(version, v.Mark) && g.idle && g.answered {
 		b.counts.Disputed++
-		g.disputed++
-		g.next = max(g.next, now+b.backoff(g.disputed))
-		b.want(g, now)
-		g.stale = max(g.stale, version+1)
+		g.disputes++
+		g.nextRefresh = max(g.nextRefresh, now+b.backoff(g.disputes))
+		b.requestRefresh(g, now)
+		g.staleBefore = max(g.staleBefore, version+1)
 		return false, nil
 	}
-	b.want(g, now)
+	b.requestRefresh(g, now)
 	b.counts.Moved++
-	g.stale = max(g.stale, w.Version, version+1)
-	g.told = slices.DeleteFunc(g.told, func(t told) bool { return t.until <= now || t.extent == extent && t.as <= w.Version })
-	if w.Known && len(g.told) < int(min(b.set.Group, 4096)) && !slices.ContainsFunc(g.told, func(t told) bool { return t.extent == extent }) {
-		g.told = append(g.told, told{extent, w.Home, w.Version, now + b.set.Trust})
+	g.staleBefore = max(g.staleBefore, w.Version, version+1)
+	g.hints = slices.DeleteFunc(g.hints, func(t hint) bool { return t.expiry <= now || t.extent == extent && t.version <= w.Version })
+	if w.Known && len(g.hints) < int(min(b.settings.Group, 4096)) && !slices.ContainsFunc(g.hints, func(t hint) bool { return t.extent == extent }) {
+		g.hints = append(g.hints, hint{extent, w.Home, w.Version, now + b.settings.HintDuration})
 	}
 	return true, nil
 }
 
-// Due are the ranges to ask the authority for now, those wanted longest first. Each is out until Answered.
-func (b *Book) Due(now time.Duration) []Range {
-	if b.out >= b.set.MostOut {
+// Due returns the ranges to request from the authority now, those that wait longest first. Each counts as in
+// flight until Answered is called for it.
+func (b *Refresher) Due(now time.Duration) []Range {
+	if b.inFlight >= b.settings.MaxInFlight {
 		return nil
 	}
-	type wanted struct {
+	type candidate struct {
 		groupKey
 		*group
 	}
-	var list []wanted
+	var list []candidate
 	for k, g := range b.groups {
-		if !g.out && !g.quiet && g.next <= now {
-			list = append(list, wanted{k, g})
+		if !g.inFlight && !g.idle && g.nextRefresh <= now {
+			list = append(list, candidate{k, g})
 		}
 	}
-	slices.SortFunc(list, func(x, y wanted) int {
-		return cmp.Or(cmp.Compare(x.wanted, y.wanted), cmp.Compare(x.volume, y.volume), cmp.Compare(x.n, y.n))
+	slices.SortFunc(list, func(x, y candidate) int {
+		return cmp.Or(cmp.Compare(x.wantedSince, y.wantedSince), cmp.Compare(x.volume, y.volume), cmp.Compare(x.index, y.index))
 	})
-	b.queue = max(0, len(list)-(b.set.MostOut-b.out))
+	b.overdue = max(0, len(list)-(b.settings.MaxInFlight-b.inFlight))
 	var due []Range
-	for _, w := range list[:min(len(list), b.set.MostOut-b.out)] {
-		w.out, w.asked = true, now
-		b.out++
+	for _, w := range list[:min(len(list), b.settings.MaxInFlight-b.inFlight)] {
+		w.inFlight, w.lastRefresh = true, now
+		b.inFlight++
 		b.counts.Refreshes++
-		due = append(due, b.Range(w.volume, w.n*b.set.Group))
+		due = append(due, b.Range(w.volume, w.index*b.settings.Group))
 	}
 	return due
 }
 
-// Next is when something is due; not ok: nothing is.
-func (b *Book) Next() (at time.Duration, ok bool) {
+// Next returns the earliest time at which a refresh is due; ok is false if none is scheduled.
+func (b *Refresher) Next() (at time.Duration, ok bool) {
 	for _, g := range b.groups {
-		if !g.out && !g.quiet && (!ok || g.next < at) {
-			at, ok = g.next, true
+		if !g.inFlight && !g.idle && (!ok || g.nextRefresh < at) {
+			at, ok = g.nextRefresh, true
 		}
 	}
 	return at, ok
 }
 
-// Answered takes how a refresh ended. After one that came, the map has what the authority says (Fetched
-// came before), and what nodes told about it holds no more.
-func (b *Book) Answered(r Range, came bool, now time.Duration) {
-	g := b.groups[b.key(r.Volume, r.From)]
-	if g == nil || !g.out {
+// Answered records the end of a refresh. If it succeeded, the caller has already applied the answer with
+// Map.Fetched, and the hints for the group are dropped.
+func (b *Refresher) Answered(r Range, succeeded bool, now time.Duration) {
+	g := b.groups[b.groupOf(r.Volume, r.From)]
+	if g == nil || !g.inFlight {
 		return
 	}
-	g.out = false
-	b.out--
-	if !came {
-		g.failed++
+	g.inFlight = false
+	b.inFlight--
+	if !succeeded {
+		g.failures++
 		b.counts.Failed++
-		g.next = now + b.backoff(g.failed)
+		g.nextRefresh = now + b.backoff(g.failures)
 		return
 	}
-	b.Heard(now)
-	b.took += (now - g.asked - b.took) / 4
-	g.failed, g.stale, g.told, g.quiet, g.answered, g.asked = 0, 0, nil, true, true, now
+	b.AuthoritySeen(now)
+	b.meanLatency += (now - g.lastRefresh - b.meanLatency) / 4
+	g.failures, g.staleBefore, g.hints, g.idle, g.answered, g.lastRefresh = 0, 0, nil, true, true, now
 }
 
-// Sweep drops what is kept for no reason any more. It is to be called every second or so.
-func (b *Book) Sweep(now time.Duration) {
-	keep := max(b.set.Absent, b.set.RetryTop)
+// Sweep drops expired hints and groups that are no longer needed. It is meant to be called about once a second.
+func (b *Refresher) Sweep(now time.Duration) {
+	keep := max(b.settings.AbsenceDuration, b.settings.MaxRetryInterval)
 	maps.DeleteFunc(b.groups, func(_ groupKey, g *group) bool {
-		g.told = slices.DeleteFunc(g.told, func(t told) bool { return t.until <= now })
-		return g.quiet && !g.out && now-g.asked > keep
+		g.hints = slices.DeleteFunc(g.hints, func(t hint) bool { return t.expiry <= now })
+		return g.idle && !g.inFlight && now-g.lastRefresh > keep
 	})
 }
 
-// Len is how many groups are kept.
-func (b *Book) Len() int { return len(b.groups) }
+// Len returns the number of groups.
+func (b *Refresher) Len() int { return len(b.groups) }
--- a/extentmap/book_test.go
+++ b/extentmap/book_test.go
@@ -10,36 +10,37 @@
 
 const ms = time.Millisecond
 
-// desk is a book over a map with extents 0 to 10,000 of volume v on shard 1, as of version 5.
-func desk(t *testing.T, change func(*BookSettings)) (*Book, *Map) {
+// newTestRefresher returns a refresher, and a map with extents 0 to 10,000 of volume v on shard 1 as of version 5.
+func newTestRefresher(t *testing.T, change func(*RefreshSettings)) (*Refresher, *Map) {
 	t.Helper()
-	set := DefaultBook
+	set := DefaultRefresh
 	if change != nil {
 		change(&set)
 	}
-	b, err := NewBook(set, 0)
+	b, err := NewRefresher(set, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := mustNew(t, 10_000)
-	if _, err := m.Snapshot(1, 5, from([]Run{{Range{"v", 0, 10_000}, Home{Shard: 1}, 5}})); err != nil {
+	if _, err := m.Snapshot(1, 5, runSource([]Run{{Range{"v", 0, 10_000}, Home{Shard: 1}, 5}})); err != nil {
 		t.Fatal(err)
 	}
 	return b, m
 }
 
-// TestOneRefreshForAll: a thousand requests on a range that has moved ask once, and all use the answer.
-func TestOneRefreshForAll(t *testing.T) {
-	b, m := desk(t, nil)
-	if v := b.Ask(m.View(), "v", 7, time.Second, 0); v.Do != Use || v.Shard != 1 || v.Version != 5 {
+// TestOneRefreshForAllRequests: a thousand requests for a range that has moved cause one refresh, and all use its
+// answer.
+func TestOneRefreshForAllRequests(t *testing.T) {
+	b, m := newTestRefresher(t, nil)
+	if v := b.Decide(m.View(), "v", 7, time.Second, 0); v.Action != Use || v.Shard != 1 || v.Version != 5 {
 		t.Fatalf("%+v", v)
 	}
-	if news, err := b.Moved(m.View(), "v", 7, Word{Version: 6}, 0); !news || err != nil {
-		t.Fatal(news, err)
+	if newer, err := b.Moved(m.View(), "v", 7, MovedAnswer{Version: 6}, 0); !newer || err != nil {
+		t.Fatal(newer, err)
 	}
 	asked := 0
 	for i := range 1000 {
-		if v := b.Ask(m.View(), "v", uint64(i), time.Second, time.Duration(i)*time.Microsecond); v.Do != Wait {
+		if v := b.Decide(m.View(), "v", uint64(i), time.Second, time.Duration(i)*time.Microsecond); v.Action != Wait {
 			t.Fatalf("request %d: %+v", i, v)
 		}
 		asked += len(b.Due(time.Duration(i) * time.Microsecond))
@@ -53,67 +54,68 @@
 	}
 	b.Answered(in, true, 3*ms)
 	for i := range 1000 {
-		if v := b.Ask(m.View(), "v", uint64(i), time.Second, 3*ms); v.Do != Use || v.Shard != 2 || v.Version != 6 {
+		if v := b.Decide(m.View(), "v", uint64(i), time.Second, 3*ms); v.Action != Use || v.Shard != 2 || v.Version != 6 {
 			t.Fatalf("request %d: %+v", i, v)
 		}
 	}
 	b.Sweep(time.Minute)
 	if b.Len() != 0 {
-		t.Errorf("%d groups are kept", b.Len())
+		t.Errorf("%d groups are left", b.Len())
 	}
 }
 
-// TestNodesTellWhileCutOff: the authority does not answer. What nodes tell is used, for as long as is set; what
-// they only say is wrong is refused, and its retry-after covers the pause between tries.
-func TestNodesTellWhileCutOff(t *testing.T) {
-	b, m := desk(t, func(s *BookSettings) { s.Trust = 30 * time.Second })
+// TestHintsWithoutAuthority: while the authority does not answer, locations reported by nodes are used for
+// HintDuration. Extents that nodes reported as moved without a location are refused, with a retry time that covers
+// the interval between refreshes.
+func TestHintsWithoutAuthority(t *testing.T) {
+	b, m := newTestRefresher(t, func(s *RefreshSettings) { s.HintDuration = 30 * time.Second })
 	for _, w := range []struct {
 		extent uint64
-		Word
-	}{{3, Word{Version: 8, Home: Home{Shard: 4}, Known: true}}, {5000, Word{Version: 8}}} {
-		if news, err := b.Moved(m.View(), "v", w.extent, w.Word, 0); !news || err != nil {
-			t.Fatal(news, err)
+		MovedAnswer
+	}{{3, MovedAnswer{Version: 8, Home: Home{Shard: 4}, Known: true}}, {5000, MovedAnswer{Version: 8}}} {
+		if newer, err := b.Moved(m.View(), "v", w.extent, w.MovedAnswer, 0); !newer || err != nil {
+			t.Fatal(newer, err)
 		}
 	}
 	asked, last, gap := 0, time.Duration(0), time.Duration(0)
 	for now := time.Duration(0); now < 29*time.Second; now += 10 * ms {
 		for _, r := range b.Due(now) {
-			if now > last { // two groups
+			if now > last { // both groups may be due at the same time
 				gap, last = now-last, now
 			}
 			asked++
 			b.Answered(r, false, now)
 		}
-		if v := b.Ask(m.View(), "v", 3, time.Second, now); v.Do != Use || v.Shard != 4 || v.Version != 8 {
-			t.Fatalf("at %v, what a node told: %+v", now, v)
+		if v := b.Decide(m.View(), "v", 3, time.Second, now); v.Action != Use || v.Shard != 4 || v.Version != 8 {
+			t.Fatalf("at %v, extent with a hint: %+v", now, v)
 		}
-		if v := b.Ask(m.View(), "v", 5000, 20*ms, now); v.Do != Refuse || v.RetryAfter < 20*ms || v.RetryAfter > DefaultBook.RetryTop+time.Second {
-			t.Fatalf("at %v, what is only known to be wrong: %+v", now, v)
+		if v := b.Decide(m.View(), "v", 5000, 20*ms, now); v.Action != Refuse || v.RetryAfter < 20*ms || v.RetryAfter > DefaultRefresh.MaxRetryInterval+time.Second {
+			t.Fatalf("at %v, stale extent without a hint: %+v", now, v)
 		}
 	}
 	if asked > 60 || gap < 4*time.Second {
-		t.Errorf("%d tries in 29 s, the last two %v apart", asked, gap)
+		t.Errorf("%d refreshes in 29 s, the last two %v apart", asked, gap)
 	}
-	if v := b.Ask(m.View(), "v", 3, 20*ms, 31*time.Second); v.Do != Refuse {
-		t.Errorf("after the trust is over: %+v", v)
+	if v := b.Decide(m.View(), "v", 3, 20*ms, 31*time.Second); v.Action != Refuse {
+		t.Errorf("after the hint expired: %+v", v)
 	}
 }
 
-// TestWords: an old word changes nothing; the map overtakes what a node told; one that speaks against what
-// a refresh has just confirmed makes the next ones later, not more.
-func TestWords(t *testing.T) {
-	b, m := desk(t, nil)
-	if news, _ := b.Moved(m.View(), "v", 3, Word{Version: 4, Home: Home{Shard: 9}, Known: true}, 0); news || b.Counts().Old != 1 {
-		t.Errorf("a word older than the map is news")
+// TestMovedAnswers: an answer older than the map changes nothing. The map replaces a hint once it is as recent.
+// Repeated answers that contradict a completed refresh lengthen the interval between refreshes.
+func TestMovedAnswers(t *testing.T) {
+	b, m := newTestRefresher(t, nil)
+	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 4, Home: Home{Shard: 9}, Known: true}, 0); newer || b.Counts().Outdated != 1 {
+		t.Errorf("an answer older than the map is recorded")
 	}
-	if news, _ := b.Moved(m.View(), "v", 3, Word{Version: 6, Home: Home{Shard: 9}, Known: true}, 0); !news {
-		t.Error("a later one is not")
+	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 6, Home: Home{Shard: 9}, Known: true}, 0); !newer {
+		t.Error("an answer newer than the map is not recorded")
 	}
 	if _, err := m.Apply(Delta{Term: 1, Version: 6, Runs: []Run{{Range{"v", 0, 10}, Home{Shard: 2}, 0}}}); err != nil {
 		t.Fatal(err)
 	}
-	if v := b.Ask(m.View(), "v", 3, time.Second, 0); v.Do != Use || v.Shard != 2 {
-		t.Errorf("the map knows as much as the node by now: %+v", v)
+	if v := b.Decide(m.View(), "v", 3, time.Second, 0); v.Action != Use || v.Shard != 2 {
+		t.Errorf("with the map as recent as the hint: %+v", v)
 	}
 	now := time.Duration(0)
 	var gaps []time.Duration
@@ -128,8 +130,8 @@
 		}
 		b.Answered(due[0], true, now)
 		gaps = append(gaps, now)
-		if news, err := b.Moved(m.View(), "v", 3, Word{Version: 6, Home: Home{Shard: 1}, Known: true}, now); news || err != nil {
-			t.Fatal(news, err)
+		if newer, err := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 6, Home: Home{Shard: 1}, Known: true}, now); newer || err != nil {
+			t.Fatal(newer, err)
 		}
 	}
 	if gaps[5]-gaps[4] < 4*(gaps[2]-gaps[1]) || b.Counts().Disputed != 6 {
@@ -137,10 +139,11 @@
 	}
 }
 
-// TestNoSuchExtent: what the authority does not have is absent for a while, then asked for again.
+// TestNoSuchExtent: an extent that the authority does not have counts as absent for AbsenceDuration; then it is
+// refreshed again.
 func TestNoSuchExtent(t *testing.T) {
-	b, m := desk(t, nil)
-	if v := b.Ask(m.View(), "w", 1, time.Second, 0); v.Do != Wait {
+	b, m := newTestRefresher(t, nil)
+	if v := b.Decide(m.View(), "w", 1, time.Second, 0); v.Action != Wait {
 		t.Fatalf("%+v", v)
 	}
 	for _, r := range b.Due(0) {
@@ -149,48 +152,50 @@
 		}
 		b.Answered(r, true, ms)
 	}
-	if v := b.Ask(m.View(), "w", 2, time.Second, 2*ms); v.Do != Absent {
+	if v := b.Decide(m.View(), "w", 2, time.Second, 2*ms); v.Action != Absent {
 		t.Errorf("right after: %+v", v)
 	}
-	if v := b.Ask(m.View(), "w", 2, time.Second, 2*time.Second); v.Do != Wait || len(b.Due(2*time.Second)) != 1 {
+	if v := b.Decide(m.View(), "w", 2, time.Second, 2*time.Second); v.Action != Wait || len(b.Due(2*time.Second)) != 1 {
 		t.Errorf("2 s later: %+v", v)
 	}
 }
 
-// TestBookIsBounded: over its ceiling a book refuses, with the cause, and what it has goes on.
-func TestBookIsBounded(t *testing.T) {
-	b, m := desk(t, func(s *BookSettings) { s.Group, s.MostKept, s.MostOut = 1, 20, 4 })
+// TestRefresherLimits: with MaxGroups groups further ones are refused with a reason, known extents are still
+// served, and at most MaxInFlight refreshes run.
+func TestRefresherLimits(t *testing.T) {
+	b, m := newTestRefresher(t, func(s *RefreshSettings) { s.Group, s.MaxGroups, s.MaxInFlight = 1, 20, 4 })
 	for i := range 20 {
-		if v := b.Ask(m.View(), "w", uint64(i), time.Second, 0); v.Do != Wait {
+		if v := b.Decide(m.View(), "w", uint64(i), time.Second, 0); v.Action != Wait {
 			t.Fatalf("%d: %+v", i, v)
 		}
 	}
-	if v := b.Ask(m.View(), "w", 99, time.Second, 0); v.Do != Refuse || !strings.Contains(v.Why, "20 parts of the map") {
-		t.Errorf("over the ceiling: %+v", v)
+	if v := b.Decide(m.View(), "w", 99, time.Second, 0); v.Action != Refuse || !strings.Contains(v.Why, "20 parts of the map") {
+		t.Errorf("above the maximum of groups: %+v", v)
 	}
-	if _, err := b.Moved(m.View(), "v", 1, Word{Version: 9}, 0); err == nil {
-		t.Error("a word over the ceiling is taken")
+	if _, err := b.Moved(m.View(), "v", 1, MovedAnswer{Version: 9}, 0); err == nil {
+		t.Error("a moved answer above the maximum of groups is recorded")
 	}
-	if v := b.Ask(m.View(), "v", 1, time.Second, 0); v.Do != Use {
-		t.Errorf("what is known: %+v", v)
+	if v := b.Decide(m.View(), "v", 1, time.Second, 0); v.Action != Use {
+		t.Errorf("known extent: %+v", v)
 	}
 	if due := b.Due(0); len(due) != 4 || len(b.Due(0)) != 0 {
-		t.Errorf("out at a time: %v", due)
+		t.Errorf("refreshes in flight: %v", due)
 	}
 }
 
-// TestBookProperties: whatever happens, no more are out than may be, a group is out once at most, waiting
-// requests have a refresh that is out or due, and a refused one is told to come back later than it could wait.
-func TestBookProperties(t *testing.T) {
+// TestRefresherProperties: under random events at most MaxInFlight refreshes run, at most one per group; each
+// waiting request has a refresh in flight or scheduled; and a refused request gets a retry time that exceeds its
+// patience.
+func TestRefresherProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := DefaultBook
-		set.Group, set.MostOut, set.MostKept = 4, rapid.IntRange(1, 3).Draw(t, "out"), rapid.IntRange(3, 8).Draw(t, "kept")
-		b, err := NewBook(set, 0)
+		set := DefaultRefresh
+		set.Group, set.MaxInFlight, set.MaxGroups = 4, rapid.IntRange(1, 3).Draw(t, "out"), rapid.IntRange(3, 8).Draw(t, "kept")
+		b, err := NewRefresher(set, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		m := mustNew(t, 1000)
-		if _, err := m.Snapshot(1, 1, from([]Run{{Range{"v", 0, 20}, Home{Shard: 1}, 1}})); err != nil {
+		if _, err := m.Snapshot(1, 1, runSource([]Run{{Range{"v", 0, 20}, Home{Shard: 1}, 1}})); err != nil {
 			t.Fatal(err)
 		}
 		now, version := time.Duration(0), uint64(1)
@@ -201,47 +206,47 @@
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
 				patience := time.Duration(rapid.IntRange(1, 500).Draw(t, "patience")) * ms
-				switch v := b.Ask(m.View(), "v", e, patience, now); v.Do {
+				switch v := b.Decide(m.View(), "v", e, patience, now); v.Action {
 				case Refuse:
-					if v.RetryAfter < patience && b.Len() < set.MostKept || v.Why == "" {
+					if v.RetryAfter < patience && b.Len() < set.MaxGroups || v.Why == "" {
 						t.Fatalf("patience %v: %+v", patience, v)
 					}
 				case Wait:
-					if at, ok := b.Next(); !out[b.Range("v", e)] && (!ok || at > now+set.RetryTop) {
-						t.Fatalf("one waits for %v, which is neither out nor due", b.Range("v", e))
+					if at, ok := b.Next(); !out[b.Range("v", e)] && (!ok || at > now+set.MaxRetryInterval) {
+						t.Fatalf("a request waits for %v, which has no refresh in flight or scheduled", b.Range("v", e))
 					}
 				}
 			case 2:
 				version += uint64(rapid.IntRange(0, 1).Draw(t, "later"))
-				_, _ = b.Moved(m.View(), "v", e, Word{Version: version, Home: Home{Shard: 3}, Known: rapid.Bool().Draw(t, "known")}, now)
+				_, _ = b.Moved(m.View(), "v", e, MovedAnswer{Version: version, Home: Home{Shard: 3}, Known: rapid.Bool().Draw(t, "known")}, now)
 			case 3:
 				for _, r := range b.Due(now) {
 					if out[r] {
-						t.Fatalf("%v is out twice", r)
+						t.Fatalf("two refreshes of %v are in flight", r)
 					}
 					out[r] = true
 				}
-				if len(out) > set.MostOut {
-					t.Fatalf("%d out", len(out))
+				if len(out) > set.MaxInFlight {
+					t.Fatalf("%d refreshes in flight", len(out))
 				}
 			case 4:
-				for i := uint64(0); i < 40; i += 4 { // the first that is out
+				for i := uint64(0); i < 40; i += 4 { // the first range with a refresh in flight
 					if r := (Range{"v", i, i + 4}); out[r] {
-						came := rapid.Bool().Draw(t, "came")
-						if came {
+						succeeded := rapid.Bool().Draw(t, "succeeded")
+						if succeeded {
 							if err := m.Fetched(r, 1, version, nil); err != nil {
 								t.Fatal(err)
 							}
 						}
-						b.Answered(r, came, now)
+						b.Answered(r, succeeded, now)
 						delete(out, r)
 						break
 					}
 				}
 				b.Sweep(now)
 			}
-			if b.Len() > set.MostKept {
-				t.Fatalf("%d kept", b.Len())
+			if b.Len() > set.MaxGroups {
+				t.Fatalf("%d groups", b.Len())
 			}
 		}
 	})
--- a/extentmap/diff.go
+++ b/extentmap/diff.go
@@ -6,24 +6,25 @@
 	"slices"
 )
 
-// Difference is a range that two views know differently.
+// Difference is a range for which two views differ.
 type Difference struct {
 	Range
-	Was   Home   `json:"was"` // as far as known
+	Was   Home   `json:"was"` // valid if Knew; Is is valid if Knows
 	Is    Home   `json:"is"`
 	Knew  bool   `json:"knew"`
 	Knows bool   `json:"knows"`
-	WasAt uint64 `json:"was_at"` // versions
+	WasAt uint64 `json:"was_at"` // version that assigned Was, as IsAt for Is
 	IsAt  uint64 `json:"is_at"`
 }
 
-// everything is all extents of a volume.
-func everything(volume string) Range { return Range{volume, 0, math.MaxUint64} }
+// wholeVolume returns the range of all extents of a volume.
+func wholeVolume(volume string) Range { return Range{volume, 0, math.MaxUint64} }
 
-// Diff calls fn for the ranges where two views say different homes, or only one knows any, by volume in order
-// of names, until it returns false. Versions alone are no difference. Neighbours that differ alike are one.
+// Diff calls fn for each range that has different locations in two views, or is known to only one of them, until
+// fn returns false. Volumes come in the order of their names. Different versions alone are no difference. Adjacent
+// ranges with the same difference are merged into one.
 func Diff(was, is *View, fn func(Difference) bool) {
-	names := slices.Concat(was.names, is.names)
+	names := slices.Concat(was.volumeNames, is.volumeNames)
 	slices.Sort(names)
 	for _, name := range slices.Compact(names) {
 		if !diffVolume(was, is, name, fn) {
@@ -33,13 +34,13 @@
 }
 
 func diffVolume(was, is *View, name string, fn func(Difference) bool) bool {
-	a, stopA := iter.Pull(was.each(name))
+	a, stopA := iter.Pull(was.volumeRuns(name))
 	defer stopA()
-	b, stopB := iter.Pull(is.each(name))
+	b, stopB := iter.Pull(is.volumeRuns(name))
 	defer stopB()
 	x, okX := a()
 	y, okY := b()
-	var last Difference // not handed out yet
+	var last Difference // not passed to fn yet
 	emit := func(d Difference) bool {
 		if last.To == d.From && last.From < last.To && last.Knew == d.Knew && last.Knows == d.Knows && last.Was == d.Was && last.Is == d.Is {
 			last.To = d.To
@@ -54,10 +55,10 @@
 	for okX || okY {
 		d := Difference{Range: Range{name, at, math.MaxUint64}}
 		if okX {
-			d.step(&x, &d.Knew, &d.Was, &d.WasAt)
+			d.clip(&x, &d.Knew, &d.Was, &d.WasAt)
 		}
 		if okY {
-			d.step(&y, &d.Knows, &d.Is, &d.IsAt)
+			d.clip(&y, &d.Knows, &d.Is, &d.IsAt)
 		}
 		if (d.Knew || d.Knows) && (d.Knew != d.Knows || d.Was != d.Is) && !emit(d) {
 			return false
@@ -73,8 +74,9 @@
 	return last.From == last.To || fn(last)
 }
 
-// step ends the range where a run begins or ends, and notes its home if it is in the range.
-func (d *Difference) step(r *Run, knows *bool, home *Home, at *uint64) {
+// clip ends the range at the next start or end of a run, and records the run's location if the run covers the
+// range.
+func (d *Difference) clip(r *Run, knows *bool, home *Home, at *uint64) {
 	if r.From > d.From {
 		d.To = min(d.To, r.From)
 		return
@@ -83,14 +85,14 @@
 	*knows, *home, *at = true, r.Home, r.Version
 }
 
-func (v *View) each(name string) iter.Seq[Run] {
-	return func(yield func(Run) bool) { v.Runs(everything(name), yield) }
+func (v *View) volumeRuns(name string) iter.Seq[Run] {
+	return func(yield func(Run) bool) { v.Runs(wholeVolume(name), yield) }
 }
 
-// Volumes are the names of the volumes, in order.
-func (v *View) Volumes() []string { return slices.Sorted(slices.Values(v.names)) }
+// Volumes returns the names of the volumes, sorted.
+func (v *View) Volumes() []string { return slices.Sorted(slices.Values(v.volumeNames)) }
 
-// Shards sums runs and extents by home.
+// Shards returns the number of runs and extents by location.
 func (v *View) Shards() map[Home]Sum {
 	sums := map[Home]Sum{}
 	v.All(func(r Run) bool {
@@ -101,7 +103,7 @@
 	return sums
 }
 
-// Sum is how much lies somewhere.
+// Sum is the number of runs and extents at a location.
 type Sum struct {
 	Runs    uint64 `json:"runs"`
 	Extents uint64 `json:"extents"`
--- a/extentmap/diff_test.go
+++ b/extentmap/diff_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// TestDiff: what is told to differ is just what two maps say of single extents, and neighbours that differ alike
-// are one range.
+// TestDiff: the differences reported are exactly those of comparing two maps extent by extent, and adjacent ranges
+// with the same difference are merged.
 func TestDiff(t *testing.T) {
 	const space = 60
 	rapid.Check(t, func(t *rapid.T) {
 		random := func() *View {
 			m := mustNew(t, 1000)
-			if _, err := m.Snapshot(1, 0, from(nil)); err != nil {
+			if _, err := m.Snapshot(1, 0, runSource(nil)); err != nil {
 				t.Fatal(err)
 			}
 			for n := range rapid.IntRange(0, 12).Draw(t, "changes") {
@@ -51,7 +51,7 @@
 				x, okX := at(a)
 				y, okY := at(b)
 				if want := okX != okY || x != y; want != differ[fmt.Sprint(name, " ", e)] {
-					t.Fatalf("%s %d: %v %v, %v %v, told to differ: %v", name, e, x, okX, y, okY, !want)
+					t.Fatalf("%s %d: %v %v, %v %v, reported as different: %v", name, e, x, okX, y, okY, !want)
 				}
 			}
 		}
--- a/extentmap/extentmap.go
+++ b/extentmap/extentmap.go
@@ -1,14 +1,15 @@
-// Package extentmap is a gateway's cached map of extents: which shard, and which epoch of its node, holds each
-// extent of a volume, at which version of the map. It is data and decisions only: no I/O, no clock, no
-// goroutines; changes come in (Delta, Snapshot, a node's word), time is told.
+// Package extentmap implements a gateway's cached map of extents: for each extent of a volume, the shard that
+// holds it, the epoch of the shard's node, and the version of the map that this is known from. The package
+// contains data and decisions only: it does no I/O, reads no clock and starts no goroutine. Callers pass in
+// changes (Delta, snapshots, answers of nodes) and the time. Package internal/mapfeed runs it.
 //
-// A volume's extents are numbered; neighbours with one home are one run. Runs lie in a B+ tree whose nodes are
-// copied when they change (copy on write; O. Rodeh, "B-trees, shadowing, and clones", ACM TOS 2008), so a View,
-// once read, never changes: a lookup takes no lock, and an iteration sees one version of the map.
+// The extents of a volume are numbered; adjacent extents with the same location form one run. Runs are kept in a
+// B+ tree whose nodes are copied when they change (copy on write; O. Rodeh, "B-trees, shadowing, and clones", ACM
+// TOS 2008). A View therefore never changes: a lookup takes no lock, and an iteration sees one version of the map.
 //
-// The authority numbers its changes without a gap; the number up to which all have come is the watermark.
-// Each run has the version of the change that made it, so a change makes no other range stale, a change that
-// comes twice does nothing, and changes may come in any order.
+// The authority numbers its changes without gaps; the highest version up to which all changes have arrived is the
+// watermark. Each run carries the version of the change that created it, so a change does not make other ranges
+// stale, a repeated change has no effect, and changes may arrive in any order.
 package extentmap
 
 import (
@@ -17,26 +18,26 @@
 	"math"
 )
 
-// Vol is the number of a volume in one Map; it means nothing elsewhere.
-type Vol uint32
+// VolumeID identifies a volume within one Map. It has no meaning outside that Map.
+type VolumeID uint32
 
-// The ceilings.
+// Limits of a map.
 const (
-	MostVolumes = 1 << 20
-	MostRun     = math.MaxUint32 // extents in one run
-	MostAhead   = 4096           // changes of the map kept while one before them is missing
+	MaxVolumes    = 1 << 20
+	MaxRunExtents = math.MaxUint32 // maximum number of extents in a run
+	MaxPending    = 4096           // maximum number of changes kept while an earlier one is missing
 )
 
-// Nowhere is the shard of extents of which the authority says that there are none.
+// Nowhere is the shard number of extents that do not exist according to the authority.
 const Nowhere = -1
 
-// Home is where extents lie.
+// Home is the location of extents.
 type Home struct {
-	Shard int32  `json:"shard"` // Nowhere: there are none
-	Epoch uint32 `json:"epoch"` // of the shard's node: one that came back with other data has a later one
+	Shard int32  `json:"shard"` // Nowhere: the extents do not exist
+	Epoch uint32 `json:"epoch"` // of the shard's node; it increases when the node comes back with other data
 }
 
-// Range is extents of one volume, From to before To.
+// Range is a half-open range of extents of a volume: From is included, To is not.
 type Range struct {
 	Volume string `json:"volume"`
 	From   uint64 `json:"from"`
@@ -45,37 +46,37 @@
 
 func (r Range) String() string { return fmt.Sprintf("%s[%d,%d)", r.Volume, r.From, r.To) }
 
-// Run is a range with one home, as of the version of the map that put it there.
+// Run is a range whose extents have the same location, and the version of the map that assigned it.
 type Run struct {
 	Range
 	Home
 	Version uint64 `json:"version"`
 }
 
-// check names what cannot be.
-func (r *Run) check() error {
+// validate returns an error that describes the first invalid field.
+func (r *Run) validate() error {
 	switch {
 	case r.Volume == "":
-		return errors.New("a range without a volume")
+		return errors.New("range without a volume name")
 	case r.From >= r.To:
-		return fmt.Errorf("range %v: it ends before it begins", r.Range)
+		return fmt.Errorf("range %v: its end is not above its start", r.Range)
 	case r.Shard < Nowhere:
-		return fmt.Errorf("range %v: shard %d: not negative, or %d for nowhere", r.Range, r.Shard, Nowhere)
+		return fmt.Errorf("range %v: shard %d: expected a shard number, or %d for extents that do not exist", r.Range, r.Shard, Nowhere)
 	}
 	return nil
 }
 
-// Delta is one change of the map. Its runs have its version, whatever theirs say.
+// Delta is one change of the map. Its runs get the version of the change; their own Version fields are ignored.
 type Delta struct {
-	Term    uint64 // of the authority: another one after it was restored
-	Version uint64 // one more than that of the change before
+	Term    uint64 // of the authority; it changes when the authority is restored
+	Version uint64 // one above that of the preceding change
 	Runs    []Run
 }
 
-// Why a change was not taken as it is.
+// Errors of Map.Apply and Map.Fetched after which only a snapshot helps.
 var (
-	// ErrTerm: the change is of another term of the authority; only a snapshot leads there.
-	ErrTerm = errors.New("extentmap: another term of the authority: a snapshot is needed")
-	// ErrFarAhead: more changes wait for a missing one than are kept; a snapshot is needed.
-	ErrFarAhead = errors.New("extentmap: too many changes came after a missing one: a snapshot is needed")
+	// ErrTerm means that the change belongs to another term of the authority.
+	ErrTerm = errors.New("extentmap: the change has another term of the authority; a snapshot is needed")
+	// ErrTooManyPending means that the limit of changes kept behind a missing one is reached.
+	ErrTooManyPending = errors.New("extentmap: too many changes are pending behind a missing one; a snapshot is needed")
 )
--- a/extentmap/map.go
+++ b/extentmap/map.go
@@ -8,167 +8,171 @@
 	"sync/atomic"
 )
 
-// View is one version of the map. It does not change and takes no lock; whoever holds one (a running
-// transfer) has pinned it, and what it alone needs is dropped with it.
+// View is one immutable version of the map; reading it takes no lock. A caller that holds a View, such as a
+// running transfer, keeps that version alive; nodes that no other version shares are freed with it.
 type View struct {
 	Term    uint64 // of the authority
-	Mark    uint64 // the watermark: all changes up to it are in
-	Synced  bool   // a snapshot was the base
-	Extents uint64 // that have a home
-
-	root  *node
-	runs  int
-	vols  map[string]Vol
-	names []string // by Vol
+	Mark    uint64 // the watermark: all changes up to this version are applied
+	Synced  bool   // a snapshot has been applied
+	Extents uint64 // number of extents that exist
+
+	root        *node
+	runs        int
+	volumeIDs   map[string]VolumeID
+	volumeNames []string // by VolumeID
 }
 
-// Len is how many runs the view has; 32 bytes each, and up to twice that by how full leaves are.
+// Len returns the number of runs. A run takes 32 bytes, and up to twice as much in leaves that are half full.
 func (v *View) Len() int { return v.runs }
 
-// Volume is the number of a volume; false if the map has nothing of it.
-func (v *View) Volume(name string) (Vol, bool) {
-	vol, ok := v.vols[name]
+// Volume returns the VolumeID of a volume, and false if the map has no run of it.
+func (v *View) Volume(name string) (VolumeID, bool) {
+	vol, ok := v.volumeIDs[name]
 	return vol, ok
 }
 
-// Lookup says where an extent lies, as of which version. Not ok: the map does not know. Home.Shard is
-// Nowhere if the authority says that there is no such extent.
-func (v *View) Lookup(vol Vol, extent uint64) (h Home, version uint64, ok bool) {
-	r := v.root.look(key{extent, vol})
-	if r == nil || r.vol != vol || r.end() <= extent {
+// Lookup returns the location of an extent and the version that assigned it. It returns false if the map does not
+// know the extent. Home.Shard is Nowhere if the extent does not exist according to the authority.
+func (v *View) Lookup(vol VolumeID, extent uint64) (h Home, version uint64, ok bool) {
+	r := v.root.lookup(key{extent, vol})
+	if r == nil || r.volume != vol || r.end() <= extent {
 		return Home{}, 0, false
 	}
-	return r.home, r.since, true
+	return r.home, r.version, true
 }
 
-// Runs calls fn for the runs of a volume that touch a range, in order, until it returns false. Runs are
-// whole, beyond the range too.
+// Runs calls fn for each run of a volume that overlaps a range, in order, until fn returns false. Runs that extend
+// beyond the range are passed unclipped.
 func (v *View) Runs(in Range, fn func(Run) bool) {
-	vol, ok := v.vols[in.Volume]
+	vol, ok := v.volumeIDs[in.Volume]
 	if !ok || in.From >= in.To {
 		return
 	}
-	if f := v.root.floor(key{in.From, vol}); f != nil && f.vol == vol && f.ext < in.From && f.end() > in.From && !fn(v.run(f)) {
+	if f := v.root.floor(key{in.From, vol}); f != nil && f.volume == vol && f.start < in.From && f.end() > in.From && !fn(v.export(f)) {
 		return
 	}
-	v.root.ascend(key{in.From, vol}, func(r *run) bool { return r.vol == vol && r.ext < in.To && fn(v.run(r)) })
+	v.root.ascend(key{in.From, vol}, func(r *run) bool { return r.volume == vol && r.start < in.To && fn(v.export(r)) })
 }
 
-// All calls fn for all runs, volumes in the order in which they came, until it returns false.
+// All calls fn for each run, until fn returns false: volumes in the order in which the map first saw them, runs in
+// the order of their extents.
 func (v *View) All(fn func(Run) bool) {
-	v.root.ascend(key{}, func(r *run) bool { return fn(v.run(r)) })
+	v.root.ascend(key{}, func(r *run) bool { return fn(v.export(r)) })
 }
 
-func (v *View) run(r *run) Run {
-	return Run{Range{v.names[r.vol], r.ext, r.end()}, r.home, r.since}
+func (v *View) export(r *run) Run {
+	return Run{Range{v.volumeNames[r.volume], r.start, r.end()}, r.home, r.version}
 }
 
-// Map is the cache. Its changes are one caller's at a time; View may be called by anybody at any time.
+// Map is the cache of the authority's map. Calls that change it must be serialized by the caller; View may be
+// called at any time from any goroutine.
 type Map struct {
-	now     atomic.Pointer[View]
-	ahead   map[uint64]Delta // came after a missing one
-	ceiling int              // runs
-	hand    key              // where room is made next
-	evicted uint64
+	current   atomic.Pointer[View]
+	pending   map[uint64]Delta // changes that arrived before a missing earlier one, by version
+	maxRuns   int
+	clockHand key // where the next eviction starts
+	evicted   uint64
 }
 
-// New returns an empty map, which keeps so many runs at most.
-func New(ceiling int) (*Map, error) {
-	if ceiling < 2*leafRuns {
-		return nil, fmt.Errorf("extentmap: a ceiling of %d runs: at least %d", ceiling, 2*leafRuns)
+// New returns an empty map that holds at most maxRuns runs.
+func New(maxRuns int) (*Map, error) {
+	if maxRuns < 2*maxLeafRuns {
+		return nil, fmt.Errorf("extentmap: maximum of %d runs: expected at least %d", maxRuns, 2*maxLeafRuns)
 	}
-	m := &Map{ahead: map[uint64]Delta{}, ceiling: ceiling}
-	m.now.Store(&View{vols: map[string]Vol{}})
+	m := &Map{pending: map[uint64]Delta{}, maxRuns: maxRuns}
+	m.current.Store(&View{volumeIDs: map[string]VolumeID{}})
 	return m, nil
 }
 
-// View is the map as it is now.
-func (m *Map) View() *View { return m.now.Load() }
+// View returns the current version of the map.
+func (m *Map) View() *View { return m.current.Load() }
 
-// Evicted is how many runs were dropped for want of room since the start.
+// Evicted returns the number of runs evicted since the start to stay within the maximum.
 func (m *Map) Evicted() uint64 { return m.evicted }
 
-// Missing are the versions of changes that have not come though later ones have: from the one after the
-// watermark to before the first that waits. None: 0, 0.
+// Missing returns the first gap in the changes received so far: the versions from the one after the watermark up
+// to, but not including, the first pending one. It returns 0, 0 if there is no gap.
 func (m *Map) Missing() (from, to uint64) {
-	if len(m.ahead) == 0 {
+	if len(m.pending) == 0 {
 		return 0, 0
 	}
 	mark := m.View().Mark
-	first := slices.Min(slices.Collect(maps.Keys(m.ahead)))
+	first := slices.Min(slices.Collect(maps.Keys(m.pending)))
 	return mark + 1, first
 }
 
-// Taken says what became of a change.
-type Taken int
+// ApplyResult is what Apply did with a change.
+type ApplyResult int
 
-// What becomes of a change.
+// Results of Apply.
 const (
-	Applied Taken = iota // it is in
-	Repeat               // it was in before
-	Waits                // it is in, but one before it is missing; before a first snapshot it is kept for then
+	Applied   ApplyResult = iota // the change and all before it are applied
+	Duplicate                    // the change was received before
+	Pending                      // applied, but an earlier change is missing; before the first snapshot, kept to be applied after it
 )
 
-// Apply takes one change. The error says that only a snapshot helps (ErrTerm, ErrFarAhead), or what
-// cannot be in it; nothing of it is in then.
-func (m *Map) Apply(d Delta) (Taken, error) {
+// Apply applies one change. An error is either one after which only a snapshot helps (ErrTerm, ErrTooManyPending),
+// or describes invalid content; the change is not applied then.
+func (m *Map) Apply(d Delta) (ApplyResult, error) {
 	v := m.View()
 	for i := range d.Runs {
-		if err := d.Runs[i].check(); err != nil {
+		if err := d.Runs[i].validate(); err != nil {
 			return 0, fmt.Errorf("extentmap: change %d: %w", d.Version, err)
 		}
 	}
 	if v.Synced && d.Term != v.Term {
-		return 0, fmt.Errorf("%w: it has term %d, the map %d", ErrTerm, d.Term, v.Term)
+		return 0, fmt.Errorf("%w: term %d, expected %d", ErrTerm, d.Term, v.Term)
 	}
-	if w, waits := m.ahead[d.Version]; waits && w.Term == d.Term || v.Synced && d.Version <= v.Mark {
-		return Repeat, nil
+	if w, waits := m.pending[d.Version]; waits && w.Term == d.Term || v.Synced && d.Version <= v.Mark {
+		return Duplicate, nil
 	}
 	if !v.Synced || d.Version > v.Mark+1 {
-		if len(m.ahead) >= MostAhead {
-			return 0, fmt.Errorf("%w: %d wait for %d", ErrFarAhead, len(m.ahead), v.Mark+1)
+		if len(m.pending) >= MaxPending {
+			return 0, fmt.Errorf("%w: %d changes wait for version %d", ErrTooManyPending, len(m.pending), v.Mark+1)
 		}
-		m.ahead[d.Version] = d
+		m.pending[d.Version] = d
 		if !v.Synced {
-			return Waits, nil
+			return Pending, nil
 		}
 	}
-	c := change(v)
-	if err := c.delta(&d); err != nil {
-		delete(m.ahead, d.Version)
+	c := newViewBuilder(v)
+	if err := c.applyDelta(&d); err != nil {
+		delete(m.pending, d.Version)
 		return 0, err
 	}
 	if d.Version == v.Mark+1 {
 		c.view.Mark++
-		m.absorb(c)
+		m.advanceWatermark(c)
 	}
 	m.commit(c)
-	if _, waits := m.ahead[d.Version]; waits {
-		return Waits, nil
+	if _, waits := m.pending[d.Version]; waits {
+		return Pending, nil
 	}
 	return Applied, nil
 }
 
-// absorb moves the watermark over the changes that waited, which are in.
-func (m *Map) absorb(c *changing) {
+// advanceWatermark raises the watermark over pending changes, which are already applied, up to the next missing
+// one.
+func (m *Map) advanceWatermark(c *viewBuilder) {
 	for {
-		if _, ok := m.ahead[c.view.Mark+1]; !ok {
+		if _, ok := m.pending[c.view.Mark+1]; !ok {
 			return
 		}
 		c.view.Mark++
-		delete(m.ahead, c.view.Mark)
+		delete(m.pending, c.view.Mark)
 	}
 }
 
-// Snapshot takes the whole map as of a version: next returns its runs one after another, in any order, and
-// false at the end. Changes after that version which came before it are in then too; what it has no run for
-// is unknown. One that is older than the watermark, of the same term, is not taken: false.
+// Snapshot replaces the map by a snapshot as of a version. The function next returns the runs of the snapshot one
+// after another, in any order, and false at the end. Ranges without a run become unknown. Pending changes and
+// fetched ranges of later versions are kept. Snapshot returns false, and changes nothing, if the snapshot has the
+// current term and is older than the watermark.
 func (m *Map) Snapshot(term, version uint64, next func() (Run, bool, error)) (bool, error) {
 	v := m.View()
 	if v.Synced && term == v.Term && version < v.Mark {
 		return false, nil
 	}
-	c := change(&View{Term: term, Mark: version, Synced: true, vols: map[string]Vol{}})
+	c := newViewBuilder(&View{Term: term, Mark: version, Synced: true, volumeIDs: map[string]VolumeID{}})
 	for {
 		r, ok, err := next()
 		if err != nil {
@@ -177,24 +181,24 @@
 		if !ok {
 			break
 		}
-		if err := r.check(); err != nil {
+		if err := r.validate(); err != nil {
 			return false, fmt.Errorf("extentmap: snapshot %d: %w", version, err)
 		}
 		if r.Version > version {
-			return false, fmt.Errorf("extentmap: snapshot %d: range %v is of version %d", version, r.Range, r.Version)
+			return false, fmt.Errorf("extentmap: snapshot %d: range %v has the later version %d", version, r.Range, r.Version)
 		}
-		if err := c.set(&r); err != nil {
+		if err := c.setRun(&r); err != nil {
 			return false, err
 		}
-		if c.edit.runs > m.ceiling { // what is over it is fetched when it is asked for
+		if c.edit.runs > m.maxRuns { // evicted runs are fetched again when they are requested
 			m.evict(c)
 		}
 	}
-	if v.Synced && v.Term == term { // ranges fetched since stay
+	if v.Synced && v.Term == term { // keep ranges fetched at later versions
 		var err error
 		v.All(func(r Run) bool {
 			if r.Version > version {
-				err = c.set(&r)
+				err = c.setRun(&r)
 			}
 			return err == nil
 		})
@@ -203,47 +207,47 @@
 		}
 	}
 	later := map[uint64]Delta{}
-	for _, at := range slices.Sorted(maps.Keys(m.ahead)) {
-		if d := m.ahead[at]; at > version && d.Term == term {
-			if err := c.delta(&d); err != nil {
+	for _, at := range slices.Sorted(maps.Keys(m.pending)) {
+		if d := m.pending[at]; at > version && d.Term == term {
+			if err := c.applyDelta(&d); err != nil {
 				return false, err
 			}
 			later[at] = d
 		}
 	}
-	m.ahead = later
-	m.absorb(c)
+	m.pending = later
+	m.advanceWatermark(c)
 	m.commit(c)
 	return true, nil
 }
 
-// Fetched takes the authority's answer for one range as of a version: the runs in it, and nowhere between
-// them. What came later stays.
+// Fetched applies the authority's answer for one range as of a version. Extents of the range that no run covers do
+// not exist. Runs of later versions are kept.
 func (m *Map) Fetched(in Range, term, version uint64, runs []Run) error {
 	v := m.View()
 	if !v.Synced || term != v.Term {
-		return fmt.Errorf("%w: the answer has term %d, the map %d", ErrTerm, term, v.Term)
+		return fmt.Errorf("%w: the answer has term %d, expected %d", ErrTerm, term, v.Term)
 	}
-	whole := Run{in, Home{Shard: Nowhere}, version}
-	if err := whole.check(); err != nil {
+	requested := Run{in, Home{Shard: Nowhere}, version}
+	if err := requested.validate(); err != nil {
 		return fmt.Errorf("extentmap: fetched: %w", err)
 	}
 	runs = slices.SortedFunc(slices.Values(runs), func(a, b Run) int { return cmp.Compare(a.From, b.From) })
-	c := change(v)
+	c := newViewBuilder(v)
 	at := in.From
 	put := func(from, to uint64, h Home) error {
 		if from >= to {
 			return nil
 		}
-		return c.set(&Run{Range{in.Volume, from, to}, h, version})
+		return c.setRun(&Run{Range{in.Volume, from, to}, h, version})
 	}
 	for i := range runs {
 		r := &runs[i]
-		if err := r.check(); err != nil {
+		if err := r.validate(); err != nil {
 			return fmt.Errorf("extentmap: fetched %v: %w", in, err)
 		}
 		if r.Volume != in.Volume || r.From < at || r.To > in.To {
-			return fmt.Errorf("extentmap: fetched %v: %v is not in it, or there twice", in, r.Range)
+			return fmt.Errorf("extentmap: fetched %v: range %v is outside of it or overlaps another one", in, r.Range)
 		}
 		if err := put(at, r.From, Home{Shard: Nowhere}); err != nil {
 			return err
@@ -260,120 +264,121 @@
 	return nil
 }
 
-// Forget drops what the map knows of a range, so that it is asked for anew.
+// Forget removes a range from the map, so that it is fetched again when it is requested.
 func (m *Map) Forget(in Range) {
-	c := change(m.View())
-	if vol, ok := c.view.vols[in.Volume]; ok && in.From < in.To {
-		c.cut(vol, in.From, in.To, nil)
+	c := newViewBuilder(m.View())
+	if vol, ok := c.view.volumeIDs[in.Volume]; ok && in.From < in.To {
+		c.removeRange(vol, in.From, in.To, nil)
 		m.commit(c)
 	}
 }
 
-// commit makes a change the map, within the ceiling.
-func (m *Map) commit(c *changing) {
-	if c.edit.runs > m.ceiling {
+// commit publishes the new view, after evicting runs above the maximum.
+func (m *Map) commit(c *viewBuilder) {
+	if c.edit.runs > m.maxRuns {
 		m.evict(c)
 	}
 	c.view.root, c.view.runs = c.edit.root, c.edit.runs
-	c.edit.owner = nil // what it made is not its own any more
-	m.now.Store(c.view)
+	c.edit.owner = nil // published nodes must not be changed in place
+	m.current.Store(c.view)
 }
 
-// evict makes room: an eighth of the ceiling goes, leaf by leaf in order from where room was made last, but
-// for leaves looked at since (second chance: F. Corbato, "A paging experiment with the Multics system",
-// 1968). What is dropped is unknown, and asked for when it is wanted; what is nowhere goes like the rest.
-func (m *Map) evict(c *changing) {
-	chances := c.edit.runs // one for each leaf, however often they are looked at meanwhile
-	for want := c.edit.runs - m.ceiling + m.ceiling/8; want > 0 && c.edit.root != nil; {
-		leaf := c.edit.root.leafFrom(m.hand)
+// evict removes an eighth of the maximum beyond the excess, so that evictions are rare. It removes whole leaves in
+// order, starting where the last eviction stopped, and spares leaves that were read since (second chance: F.
+// Corbato, "A paging experiment with the Multics system", 1968). Evicted extents are unknown and fetched again
+// when requested; runs of extents that do not exist are evicted like any other.
+func (m *Map) evict(c *viewBuilder) {
+	chances := c.edit.runs // at most one second chance per leaf, even if readers keep setting the flag
+	for want := c.edit.runs - m.maxRuns + m.maxRuns/8; want > 0 && c.edit.root != nil; {
+		leaf := c.edit.root.leafAtOrAfter(m.clockHand)
 		if leaf == nil {
-			m.hand = key{}
+			m.clockHand = key{}
 			continue
 		}
 		last := leaf.runs[len(leaf.runs)-1]
-		m.hand = key{last.end(), last.vol}
-		if leaf.used.Swap(false) && chances > 0 {
+		m.clockHand = key{last.end(), last.volume}
+		if leaf.referenced.Swap(false) && chances > 0 {
 			chances -= len(leaf.runs)
 			continue
 		}
-		batch := slices.Clone(leaf.runs) // those before the hand too: a leaf goes whole
+		batch := slices.Clone(leaf.runs) // all runs of the leaf, including those before clockHand
 		for i := range batch {
-			c.drop(&batch[i])
+			c.removeRun(&batch[i])
 		}
 		want -= len(batch)
 		m.evicted += uint64(len(batch))
 	}
 }
 
-// changing is the next view on its way.
-type changing struct {
-	view *View
-	edit edit
-	own  bool // the volumes' names are copied
-	tmp  []run
+// viewBuilder builds the next view from the current one.
+type viewBuilder struct {
+	view        *View
+	edit        edit
+	ownsVolumes bool // volumeIDs and volumeNames are copies
+	scratch     []run
 }
 
-func change(v *View) *changing {
+func newViewBuilder(v *View) *viewBuilder {
 	next := *v
-	return &changing{view: &next, edit: edit{&owner{}, v.root, v.runs}}
+	return &viewBuilder{view: &next, edit: edit{&owner{}, v.root, v.runs}}
 }
 
-// volume is the number of a volume, a new one if need be.
-func (c *changing) volume(name string) (Vol, error) {
-	if vol, ok := c.view.vols[name]; ok {
+// volumeID returns the VolumeID of a volume and adds the volume if it is new.
+func (c *viewBuilder) volumeID(name string) (VolumeID, error) {
+	if vol, ok := c.view.volumeIDs[name]; ok {
 		return vol, nil
 	}
-	if len(c.view.names) >= MostVolumes {
-		return 0, fmt.Errorf("extentmap: volume %q: %d are there, which is the most", name, MostVolumes)
+	if len(c.view.volumeNames) >= MaxVolumes {
+		return 0, fmt.Errorf("extentmap: volume %q: the maximum of %d volumes is reached", name, MaxVolumes)
 	}
-	if !c.own {
-		c.own = true
-		c.view.vols, c.view.names = maps.Clone(c.view.vols), slices.Clone(c.view.names)
+	if !c.ownsVolumes {
+		c.ownsVolumes = true
+		c.view.volumeIDs, c.view.volumeNames = maps.Clone(c.view.volumeIDs), slices.Clone(c.view.volumeNames)
 	}
-	vol := Vol(len(c.view.names))
-	c.view.vols[name], c.view.names = vol, append(c.view.names, name)
+	vol := VolumeID(len(c.view.volumeNames))
+	c.view.volumeIDs[name], c.view.volumeNames = vol, append(c.view.volumeNames, name)
 	return vol, nil
 }
 
-// delta sets all that one change says.
-func (c *changing) delta(d *Delta) error {
+// applyDelta sets all runs of one change.
+func (c *viewBuilder) applyDelta(d *Delta) error {
 	for _, r := range d.Runs {
 		r.Version = d.Version
-		if err := c.set(&r); err != nil {
+		if err := c.setRun(&r); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// set puts a range where it says, but for parts of which something later is known.
-func (c *changing) set(r *Run) error {
-	vol, err := c.volume(r.Volume)
+// setRun sets the location of a range, except for the parts that have a later version.
+func (c *viewBuilder) setRun(r *Run) error {
+	vol, err := c.volumeID(r.Volume)
 	if err != nil {
 		return err
 	}
-	if c.follows(vol, r) {
-		c.add(run{r.From, vol, uint32(r.To - r.From), r.Home, r.Version})
+	if c.canAppend(vol, r) {
+		c.insertRun(run{r.From, vol, uint32(r.To - r.From), r.Home, r.Version})
 		return nil
 	}
-	if c.swapped(vol, r) {
+	if c.replaceInPlace(vol, r) {
 		return nil
 	}
-	later := c.cut(vol, r.From, r.To, func(old *run) bool { return old.since > r.Version })
+	later := c.removeRange(vol, r.From, r.To, func(old *run) bool { return old.version > r.Version })
 	at := r.From
 	for i := range later {
 		l := &later[i]
-		c.fill(vol, at, l.ext, r)
+		c.insertMerged(vol, at, l.start, r)
 		at = max(at, l.end())
 	}
-	c.fill(vol, at, r.To, r)
+	c.insertMerged(vol, at, r.To, r)
 	return nil
 }
 
-// follows says whether a range lies behind all that the tree has, and is not one run with the last of it: so
-// snapshots, which are in order, are read fast.
-func (c *changing) follows(vol Vol, r *Run) bool {
-	if r.To-r.From > MostRun {
+// canAppend reports whether a range lies after all runs of the tree and cannot be merged with the last one. This
+// is a fast path for snapshots, whose runs come in order.
+func (c *viewBuilder) canAppend(vol VolumeID, r *Run) bool {
+	if r.To-r.From > MaxRunExtents {
 		return false
 	}
 	n := c.edit.root
@@ -381,106 +386,106 @@
 		return true
 	}
 	for !n.leaf() {
-		n = n.kids[len(n.kids)-1]
+		n = n.children[len(n.children)-1]
 	}
 	last := &n.runs[len(n.runs)-1]
-	return last.vol < vol || last.vol == vol && (last.end() < r.From || last.end() == r.From && !c.alike(last, r))
+	return last.volume < vol || last.volume == vol && (last.end() < r.From || last.end() == r.From && !c.mergeable(last, r))
 }
 
-// swapped puts a range that is just one run elsewhere, if it stays one: so a move of a whole run costs two searches
-// and no more. Where that is not seen within the leaf, nothing is done.
-func (c *changing) swapped(vol Vol, r *Run) bool {
+// replaceInPlace changes the location of a range that is exactly one run, if the run cannot be merged with a
+// neighbour afterwards, so that moving a whole run costs only two searches. It returns false and changes nothing
+// if this cannot be decided within the leaf.
+func (c *viewBuilder) replaceInPlace(vol VolumeID, r *Run) bool {
 	if c.edit.root == nil {
 		return false
 	}
 	k := key{r.From, vol}
-	leaf := c.edit.root.home(k)
-	i := leaf.place(k) - 1
+	leaf := c.edit.root.leafFor(k)
+	i := leaf.upperBound(k) - 1
 	if i < 1 || i+1 >= len(leaf.runs) {
 		return false
 	}
 	old, left, right := &leaf.runs[i], &leaf.runs[i-1], &leaf.runs[i+1]
-	if old.key() != k || old.end() != r.To || old.since > r.Version ||
-		left.vol == vol && left.end() == r.From && c.alike(left, r) || right.vol == vol && right.ext == r.To && c.alike(right, r) {
+	if old.key() != k || old.end() != r.To || old.version > r.Version ||
+		left.volume == vol && left.end() == r.From && c.mergeable(left, r) || right.volume == vol && right.start == r.To && c.mergeable(right, r) {
 		return false
 	}
-	x := c.edit.at(k)
+	x := c.edit.mutableRun(k)
 	if x.home.Shard != Nowhere {
-		c.view.Extents -= uint64(x.n)
+		c.view.Extents -= uint64(x.length)
 	}
-	if x.home, x.since = r.Home, r.Version; x.home.Shard != Nowhere {
-		c.view.Extents += uint64(x.n)
+	if x.home, x.version = r.Home, r.Version; x.home.Shard != Nowhere {
+		c.view.Extents += uint64(x.length)
 	}
 	return true
 }
 
-// cut takes a range out of the tree, except for runs to be kept, which it returns, cut to the range. They
-// stay as they are.
-func (c *changing) cut(vol Vol, from, to uint64, keep func(*run) bool) (kept []run) {
-	c.tmp = c.edit.root.over(vol, from, to, c.tmp[:0])
-	for i := range c.tmp {
-		old := c.tmp[i]
+// removeRange removes a range from the tree. Runs for which keep returns true stay in the tree and are returned.
+func (c *viewBuilder) removeRange(vol VolumeID, from, to uint64, keep func(*run) bool) (kept []run) {
+	c.scratch = c.edit.root.overlapping(vol, from, to, c.scratch[:0])
+	for i := range c.scratch {
+		old := c.scratch[i]
 		if keep != nil && keep(&old) {
 			kept = append(kept, old)
 			continue
 		}
-		c.drop(&old)
-		if old.ext < from {
-			c.add(run{old.ext, vol, uint32(from - old.ext), old.home, old.since})
+		c.removeRun(&old)
+		if old.start < from {
+			c.insertRun(run{old.start, vol, uint32(from - old.start), old.home, old.version})
 		}
 		if old.end() > to {
-			c.add(run{to, vol, uint32(old.end() - to), old.home, old.since})
+			c.insertRun(run{to, vol, uint32(old.end() - to), old.home, old.version})
 		}
 	}
 	return kept
 }
 
-// fill puts extents from to before to, of which the tree has none, where r says, in one run with neighbours
-// that are the same.
-func (c *changing) fill(vol Vol, from, to uint64, r *Run) {
+// insertMerged inserts the location of r for the extents from from to before to, which must not be in the tree,
+// and merges them with adjacent runs where possible.
+func (c *viewBuilder) insertMerged(vol VolumeID, from, to uint64, r *Run) {
 	if from >= to {
 		return
 	}
 	since := r.Version
-	for { // what could not be one before may be by now
+	for { // several neighbours may have become mergeable since they were inserted
 		f := c.edit.root.floor(key{from, vol})
-		if f == nil || f.vol != vol || f.end() != from || !c.alike(f, r) || to-f.ext > MostRun {
+		if f == nil || f.volume != vol || f.end() != from || !c.mergeable(f, r) || to-f.start > MaxRunExtents {
 			break
 		}
 		old := *f
-		c.drop(&old)
-		from, since = old.ext, max(since, old.since)
+		c.removeRun(&old)
+		from, since = old.start, max(since, old.version)
 	}
 	for {
 		f := c.edit.root.floor(key{to, vol})
-		if f == nil || f.vol != vol || f.ext != to || !c.alike(f, r) || f.end()-from > MostRun {
+		if f == nil || f.volume != vol || f.start != to || !c.mergeable(f, r) || f.end()-from > MaxRunExtents {
 			break
 		}
 		old := *f
-		c.drop(&old)
-		to, since = old.end(), max(since, old.since)
+		c.removeRun(&old)
+		to, since = old.end(), max(since, old.version)
 	}
-	for ; from < to; from += min(to-from, MostRun) {
-		c.add(run{from, vol, uint32(min(to-from, MostRun)), r.Home, since})
+	for ; from < to; from += min(to-from, MaxRunExtents) {
+		c.insertRun(run{from, vol, uint32(min(to-from, MaxRunExtents)), r.Home, since})
 	}
 }
 
-// alike says whether a neighbour may be one run with r: it has the same home and, if their versions differ,
-// no change up to the later of them can still come.
-func (c *changing) alike(f *run, r *Run) bool {
-	return f.home == r.Home && (f.since == r.Version || c.view.Synced && max(f.since, r.Version) <= c.view.Mark+1)
+// mergeable reports whether a neighbour can be merged with r: both have the same location and, if their versions
+// differ, no change up to the later version is still missing.
+func (c *viewBuilder) mergeable(f *run, r *Run) bool {
+	return f.home == r.Home && (f.version == r.Version || c.view.Synced && max(f.version, r.Version) <= c.view.Mark+1)
 }
 
-func (c *changing) add(r run) {
-	c.edit.put(r)
+func (c *viewBuilder) insertRun(r run) {
+	c.edit.insert(r)
 	if r.home.Shard != Nowhere {
-		c.view.Extents += uint64(r.n)
+		c.view.Extents += uint64(r.length)
 	}
 }
 
-func (c *changing) drop(r *run) {
-	c.edit.drop(r.key())
+func (c *viewBuilder) removeRun(r *run) {
+	c.edit.remove(r.key())
 	if r.home.Shard != Nowhere {
-		c.view.Extents -= uint64(r.n)
+		c.view.Extents -= uint64(r.length)
 	}
 }
--- a/extentmap/map_test.go
+++ b/extentmap/map_test.go
@@ -16,17 +16,17 @@
 func mustNew(t interface {
 	Helper()
 	Fatal(...any)
-}, ceiling int) *Map {
+}, maxRuns int) *Map {
 	t.Helper()
-	m, err := New(ceiling)
+	m, err := New(maxRuns)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return m
 }
 
-// from hands out runs as a snapshot does.
-func from(runs []Run) func() (Run, bool, error) {
+// runSource returns an iterator over runs as Map.Snapshot expects it.
+func runSource(runs []Run) func() (Run, bool, error) {
 	return func() (r Run, ok bool, err error) {
 		if len(runs) > 0 {
 			r, runs, ok = runs[0], runs[1:], true
@@ -35,8 +35,8 @@
 	}
 }
 
-// whole is what is wrong with a view's tree: runs out of order or over each other, counts that do not fit.
-func whole(v *View) error {
+// checkTree returns an error if the runs of a view are out of order or overlap, or its counts are wrong.
+func checkTree(v *View) error {
 	var last Run
 	runs, extents := 0, uint64(0)
 	var err error
@@ -56,10 +56,10 @@
 	return err
 }
 
-// TestAgainstAPlainModel: an authority changes random ranges; its changes come in any order, some
-// twice, snapshots and single ranges are fetched in between. At each moment the map says of each extent what
-// the latest that came of it says; and once all have come, what the authority does.
-func TestAgainstAPlainModel(t *testing.T) {
+// TestAgainstReferenceModel compares the map with an array of locations. An authority changes random ranges; its
+// changes arrive in any order and some twice, with snapshots and fetched ranges in between. At each moment the map
+// has the latest location received for each extent, and after all changes it equals the authority's.
+func TestAgainstReferenceModel(t *testing.T) {
 	const volumes, space = 2, 300
 	type at struct {
 		Home
@@ -77,7 +77,7 @@
 			for range rapid.IntRange(1, 3).Draw(t, "ranges") {
 				v, a := rapid.IntRange(0, volumes-1).Draw(t, "volume"), rapid.IntRange(0, space-1).Draw(t, "from")
 				b := rapid.IntRange(a+1, space).Draw(t, "to")
-				if n > 0 && rapid.Bool().Draw(t, "a range again") {
+				if n > 0 && rapid.Bool().Draw(t, "repeat a range") {
 					r := deltas[rapid.IntRange(0, n-1).Draw(t, "which")].Runs[0].Range
 					v, a, b = int(r.Volume[1]-'0'), int(r.From), int(r.To)
 				}
@@ -116,8 +116,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if repeat := came[n] || synced && n+1 <= mark; repeat != (got == Repeat) {
-				t.Fatalf("change %d: %v; it came before: %v", n+1, got, repeat)
+			if repeat := came[n] || synced && n+1 <= mark; repeat != (got == Duplicate) {
+				t.Fatalf("change %d: %v; received before: %v", n+1, got, repeat)
 			}
 			came[n] = true
 			if synced {
@@ -129,7 +129,7 @@
 			for v := range volumes {
 				runs = append(runs, runsAt(version, v, 0, space)...)
 			}
-			taken, err := m.Snapshot(1, uint64(version), from(runs))
+			taken, err := m.Snapshot(1, uint64(version), runSource(runs))
 			if err != nil || taken != (!synced || version >= mark) {
 				t.Fatalf("snapshot %d at %d: %v, %v", version, mark, taken, err)
 			}
@@ -159,7 +159,7 @@
 			if view.Mark != uint64(mark) || view.Synced != synced {
 				t.Fatalf("watermark %d, want %d; synced %v", view.Mark, mark, view.Synced)
 			}
-			if err := whole(view); err != nil {
+			if err := checkTree(view); err != nil {
 				t.Fatal(err)
 			}
 			for v := range volumes {
@@ -180,7 +180,7 @@
 			}
 		})).Draw(t, "order")
 		for _, n := range order {
-			switch rapid.IntRange(0, 5).Draw(t, "besides") {
+			switch rapid.IntRange(0, 5).Draw(t, "interleaved") {
 			case 0:
 				snapshot(rapid.IntRange(0, len(deltas)).Draw(t, "as of"))
 			case 1:
@@ -211,13 +211,13 @@
 		}
 		check()
 		if from, _ := m.Missing(); from != 0 {
-			t.Fatalf("all have come, and %d is missing", from)
+			t.Fatalf("all changes have arrived, but %d is missing", from)
 		}
 	})
 }
 
-// TestManyRuns: over some levels of the tree, ranges short and long, again and anew, are where the last change put
-// them; views held meanwhile do not change.
+// TestManyRuns: in a tree of several levels, each extent is where the last of many changes of short and long
+// ranges put it, and a view taken before the changes does not change.
 func TestManyRuns(t *testing.T) {
 	const space = 40_000
 	rng := rand.New(rand.NewSource(2))
@@ -237,7 +237,7 @@
 	}
 	same := func(v *View, model []Home) {
 		t.Helper()
-		if err := whole(v); err != nil {
+		if err := checkTree(v); err != nil {
 			t.Fatal(err)
 		}
 		for e, want := range model {
@@ -266,11 +266,11 @@
 	same(held, then)
 }
 
-// TestNeighboursAreOne: extents put on one shard one by one, in any order, are one run; so are parts that were
-// elsewhere meanwhile.
-func TestNeighboursAreOne(t *testing.T) {
+// TestNeighboursMerge: extents put on one shard one by one, in any order, form one run, also after one of them was
+// on another shard for a while.
+func TestNeighboursMerge(t *testing.T) {
 	m := mustNew(t, 10_000)
-	if _, err := m.Snapshot(1, 0, from(nil)); err != nil {
+	if _, err := m.Snapshot(1, 0, runSource(nil)); err != nil {
 		t.Fatal(err)
 	}
 	version := uint64(0)
@@ -288,19 +288,20 @@
 	}
 	put(100, 2)
 	if n := m.View().Len(); n != 3 {
-		t.Errorf("one elsewhere: %d runs", n)
+		t.Errorf("after one extent moved: %d runs", n)
 	}
 	put(100, 1)
 	if n := m.View().Len(); n != 1 {
-		t.Errorf("and back: %d runs", n)
+		t.Errorf("after it moved back: %d runs", n)
 	}
 }
 
-// TestAnotherTerm: an authority that was restored counts anew. Its changes are not mixed with what is known.
-func TestAnotherTerm(t *testing.T) {
+// TestTermChange: a restored authority numbers its changes from the start in a new term. Changes and ranges of the
+// new term are rejected until a snapshot of it replaces the map.
+func TestTermChange(t *testing.T) {
 	m := mustNew(t, 1000)
 	run := func(shard int32, version uint64) Run { return Run{Range{"v", 0, 10}, Home{Shard: shard}, version} }
-	if _, err := m.Snapshot(1, 7, from([]Run{run(1, 7)})); err != nil {
+	if _, err := m.Snapshot(1, 7, runSource([]Run{run(1, 7)})); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := m.Apply(Delta{Term: 2, Version: 3, Runs: []Run{run(2, 0)}}); !errors.Is(err, ErrTerm) {
@@ -311,41 +312,41 @@
 	}
 	v := m.View()
 	if h, _, ok := v.Lookup(0, 5); !ok || h.Shard != 1 {
-		t.Errorf("it is at %v, %v", h, ok)
+		t.Errorf("location %v, %v", h, ok)
 	}
-	if taken, err := m.Snapshot(2, 2, from([]Run{run(3, 1)})); !taken || err != nil {
+	if taken, err := m.Snapshot(2, 2, runSource([]Run{run(3, 1)})); !taken || err != nil {
 		t.Fatal(taken, err)
 	}
 	if h, _, _ := m.View().Lookup(0, 5); h.Shard != 3 || m.View().Mark != 2 {
-		t.Errorf("after the new term's snapshot: %v as of %d", h, m.View().Mark)
+		t.Errorf("after the new term's snapshot: %v at version %d", h, m.View().Mark)
 	}
 	if h, _, _ := v.Lookup(0, 5); h.Shard != 1 {
-		t.Errorf("a view held from before says %v", h)
+		t.Errorf("a view taken before the snapshot has %v", h)
 	}
 }
 
-// TestCeiling: a map that may hold little drops what nobody looked at, says that it does not know it, and
-// never a wrong home.
-func TestCeiling(t *testing.T) {
-	const ceiling, runs = 1024, 20_000
-	m := mustNew(t, ceiling)
-	if _, err := m.Snapshot(1, 0, from(nil)); err != nil {
+// TestEviction: a map at its maximum evicts runs that were not read recently. Evicted extents are unknown, and
+// never have a wrong location.
+func TestEviction(t *testing.T) {
+	const maxRuns, runs = 1024, 20_000
+	m := mustNew(t, maxRuns)
+	if _, err := m.Snapshot(1, 0, runSource(nil)); err != nil {
 		t.Fatal(err)
 	}
-	hot := 0
+	found := 0
 	for i := range runs {
 		d := Delta{Term: 1, Version: uint64(i + 1), Runs: []Run{{Range{"v", uint64(i) * 2, uint64(i)*2 + 1}, Home{Shard: int32(i % 97)}, 0}}}
 		if _, err := m.Apply(d); err != nil {
 			t.Fatal(err)
 		}
 		if _, _, ok := m.View().Lookup(0, 0); ok {
-			hot++
+			found++
 		}
-		if m.View().Len() > ceiling {
+		if m.View().Len() > maxRuns {
 			t.Fatalf("%d runs", m.View().Len())
 		}
 	}
-	if err := whole(m.View()); err != nil {
+	if err := checkTree(m.View()); err != nil {
 		t.Error(err)
 	}
 	known := 0
@@ -358,38 +359,39 @@
 			known++
 		}
 	}
-	if hot < runs || known < ceiling/2 || m.Evicted() != uint64(runs-m.View().Len()) {
-		t.Errorf("one that was looked at all the time was known %d times of %d; %d known, %d evicted", hot, runs, known, m.Evicted())
+	if found < runs || known < maxRuns/2 || m.Evicted() != uint64(runs-m.View().Len()) {
+		t.Errorf("a run read after each change was known %d times of %d; %d known, %d evicted", found, runs, known, m.Evicted())
 	}
 }
 
-// TestFarAhead: changes that wait for a missing one are bounded, and a snapshot ends the waiting.
-func TestFarAhead(t *testing.T) {
+// TestPendingLimit: the number of changes kept behind a missing one is limited, and a snapshot that contains the
+// missing change applies them.
+func TestPendingLimit(t *testing.T) {
 	m := mustNew(t, 1000)
-	if _, err := m.Snapshot(1, 0, from(nil)); err != nil {
+	if _, err := m.Snapshot(1, 0, runSource(nil)); err != nil {
 		t.Fatal(err)
 	}
 	d := func(version int) Delta {
 		return Delta{Term: 1, Version: uint64(version), Runs: []Run{{Range{"v", uint64(version % 50), uint64(version%50) + 1}, Home{Shard: int32(version % 7)}, 0}}}
 	}
-	for i := range MostAhead {
+	for i := range MaxPending {
 		if _, err := m.Apply(d(i + 2)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := m.Apply(d(MostAhead + 2)); !errors.Is(err, ErrFarAhead) {
-		t.Errorf("one more: %v", err)
+	if _, err := m.Apply(d(MaxPending + 2)); !errors.Is(err, ErrTooManyPending) {
+		t.Errorf("one change above the limit: %v", err)
 	}
 	if a, b := m.Missing(); a != 1 || b != 2 {
 		t.Errorf("missing %d to %d", a, b)
 	}
-	if taken, err := m.Snapshot(1, 1, from(nil)); !taken || err != nil || m.View().Mark != MostAhead+1 {
+	if taken, err := m.Snapshot(1, 1, runSource(nil)); !taken || err != nil || m.View().Mark != MaxPending+1 {
 		t.Errorf("%v, %v, watermark %d", taken, err, m.View().Mark)
 	}
 }
 
-// layout is n extents in runs of so many neighbours.
-func layout(n, length int) func() (Run, bool, error) {
+// uniformRuns returns an iterator over n extents in runs of the given length.
+func uniformRuns(n, length int) func() (Run, bool, error) {
 	at := 0
 	return func() (Run, bool, error) {
 		if at >= n {
@@ -401,7 +403,7 @@
 	}
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	var s runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -409,18 +411,18 @@
 	return s.HeapAlloc
 }
 
-// BenchmarkStructures compares the map with plain alternatives at some sizes, runs of 64 neighbours: bytes an
-// extent, a lookup, and a change of 1,000 ranges.
+// BenchmarkStructures compares the map with simpler data structures at several sizes, with runs of 64 extents:
+// bytes per extent, the time of a lookup, and the time of a change of 1,000 ranges.
 func BenchmarkStructures(b *testing.B) {
 	const length = 64
 	for _, n := range []int{10_000, 1_000_000, 50_000_000} {
 		n -= n % length
-		before := heap()
+		before := heapBytes()
 		keep := any(nil)
 		var lookup func(e uint64) Home
 		change := func(i int) {}
 		measure := func(name string) {
-			perExtent := float64(heap()-before) / float64(n)
+			perExtent := float64(heapBytes()-before) / float64(n)
 			rng := rand.New(rand.NewSource(1))
 			b.Run(fmt.Sprintf("%s/%d/lookup", name, n), func(b *testing.B) {
 				for b.Loop() {
@@ -448,7 +450,7 @@
 		}
 
 		m := mustNew(b, 1<<30)
-		if _, err := m.Snapshot(1, 1, layout(n, length)); err != nil {
+		if _, err := m.Snapshot(1, 1, uniformRuns(n, length)); err != nil {
 			b.Fatal(err)
 		}
 		keep, lookup = m, func(e uint64) Home { h, _, _ := m.View().Lookup(0, e); return h }
@@ -460,17 +462,17 @@
 		measure("map")
 		keep, m = nil, nil
 
-		before = heap()
+		before = heapBytes()
 		var sorted []run
-		next := layout(n, length)
+		next := uniformRuns(n, length)
 		for r, ok, _ := next(); ok; r, ok, _ = next() {
 			sorted = append(sorted, run{r.From, 0, uint32(r.To - r.From), r.Home, 1})
 		}
 		find := func(e uint64) int {
 			i, ok := slices.BinarySearchFunc(sorted, e, func(r run, e uint64) int {
-				if r.ext > e {
+				if r.start > e {
 					return 1
-				} else if r.ext < e {
+				} else if r.start < e {
 					return -1
 				}
 				return 0
@@ -481,7 +483,7 @@
 			return i
 		}
 		lookup = func(e uint64) Home { return sorted[find(e)].home }
-		change = func(i int) { // a new version of the whole, so that readers need no lock
+		change = func(i int) { // copies the slice, so that readers need no lock
 			c := slices.Clone(sorted)
 			for _, r := range ranges(i) {
 				c[find(r.From)].home = r.Home
@@ -491,15 +493,15 @@
 		measure("sorted slice")
 		sorted = nil
 
-		before = heap()
-		tree := btree.NewG(32, func(a, b run) bool { return a.ext < b.ext })
-		next = layout(n, length)
+		before = heapBytes()
+		tree := btree.NewG(32, func(a, b run) bool { return a.start < b.start })
+		next = uniformRuns(n, length)
 		for r, ok, _ := next(); ok; r, ok, _ = next() {
 			tree.ReplaceOrInsert(run{r.From, 0, uint32(r.To - r.From), r.Home, 1})
 		}
 		keep = tree
 		lookup = func(e uint64) (h Home) {
-			tree.DescendLessOrEqual(run{ext: e}, func(r run) bool { h = r.home; return false })
+			tree.DescendLessOrEqual(run{start: e}, func(r run) bool { h = r.home; return false })
 			return h
 		}
 		change = func(i int) {
@@ -513,11 +515,11 @@
 		keep, tree = nil, nil
 
 		if n > 1_000_000 {
-			continue // 50 million entries of a Go map take some 2 GiB
+			continue // a Go map of 50 million entries takes about 2 GiB
 		}
-		before = heap()
+		before = heapBytes()
 		plain := map[uint64]Home{}
-		next = layout(n, length)
+		next = uniformRuns(n, length)
 		for r, ok, _ := next(); ok; r, ok, _ = next() {
 			for e := r.From; e < r.To; e++ {
 				plain[e] = r.Home
--- a/extentmap/tree.go
+++ b/extentmap/tree.go
@@ -2,56 +2,58 @@
 
 import "sync/atomic"
 
-// leafRuns and kidsTop are the most runs of a leaf and children of a branch: a leaf is 4 KiB.
+// Limits of a tree node: runs of a leaf, which then takes 4 KiB, and children of a branch.
 const (
-	leafRuns = 128
-	kidsTop  = 64
+	maxLeafRuns = 128
+	maxChildren = 64
 )
 
-// key is a place: a volume and an extent of it.
+// key is a position in the tree: an extent of a volume.
 type key struct {
-	ext uint64
-	vol Vol
+	extent uint64
+	volume VolumeID
 }
 
-func (a key) before(b key) bool { return a.vol < b.vol || a.vol == b.vol && a.ext < b.ext }
+func (a key) less(b key) bool {
+	return a.volume < b.volume || a.volume == b.volume && a.extent < b.extent
+}
 
-// run is a Run as the tree keeps it: 32 bytes.
+// run is the tree's representation of a Run, in 32 bytes.
 type run struct {
-	ext   uint64
-	vol   Vol
-	n     uint32 // extents
-	home  Home
-	since uint64 // version
+	start   uint64
+	volume  VolumeID
+	length  uint32 // number of extents
+	home    Home
+	version uint64
 }
 
-func (r *run) key() key    { return key{r.ext, r.vol} }
-func (r *run) end() uint64 { return r.ext + uint64(r.n) }
+func (r *run) key() key    { return key{r.start, r.volume} }
+func (r *run) end() uint64 { return r.start + uint64(r.length) }
 
-// node is a leaf (runs) or a branch (keys, kids); keys[i] is the first of kids[i].
+// node is a leaf (runs) or a branch (keys, children); keys[i] is the first key of children[i].
 type node struct {
-	by   *owner      // who may change it in place; anybody else copies it
-	used atomic.Bool // a leaf's: looked at since room was made last
-	runs []run
-	keys []key
-	kids []*node
+	owner      *owner      // the edit that may change the node in place; others copy it
+	referenced atomic.Bool // leaf only: read since the last eviction passed it
+	runs       []run
+	keys       []key
+	children   []*node
 }
 
-func (n *node) leaf() bool { return n.kids == nil }
+func (n *node) leaf() bool { return n.children == nil }
 
-func (n *node) first() key {
+func (n *node) firstKey() key {
 	if n.leaf() {
 		return n.runs[0].key()
 	}
 	return n.keys[0]
 }
 
-// child is the last one that begins at or before k, or the first.
-func (n *node) child(k key) int {
+// childIndex returns the index of the last child that begins at or before k, or 0 if none does.
+func (n *node) childIndex(k key) int {
 	lo, hi := 1, len(n.keys)
 	for lo < hi {
 		mid := int(uint(lo+hi) >> 1)
-		if k.before(n.keys[mid]) {
+		if k.less(n.keys[mid]) {
 			hi = mid
 		} else {
 			lo = mid + 1
@@ -60,12 +62,12 @@
 	return lo - 1
 }
 
-// place is how many runs of a leaf begin at or before k.
-func (n *node) place(k key) int {
+// upperBound returns the number of runs of a leaf that begin at or before k.
+func (n *node) upperBound(k key) int {
 	lo, hi := 0, len(n.runs)
 	for lo < hi {
 		mid := int(uint(lo+hi) >> 1)
-		if r := &n.runs[mid]; k.vol < r.vol || k.vol == r.vol && k.ext < r.ext {
+		if r := &n.runs[mid]; k.volume < r.volume || k.volume == r.volume && k.extent < r.start {
 			hi = mid
 		} else {
 			lo = mid + 1
@@ -74,64 +76,64 @@
 	return lo
 }
 
-// home is the leaf that the last run that begins at or before k is in, if there is one.
-func (n *node) home(k key) *node {
+// leafFor returns the leaf that contains the last run that begins at or before k, if there is one.
+func (n *node) leafFor(k key) *node {
 	for !n.leaf() {
-		n = n.kids[n.child(k)]
+		n = n.children[n.childIndex(k)]
 	}
 	return n
 }
 
-// floor is the last run that begins at or before k; nil if none does.
+// floor returns the last run that begins at or before k, or nil if none does.
 func (n *node) floor(k key) *run {
 	if n == nil {
 		return nil
 	}
-	n = n.home(k)
-	if i := n.place(k); i > 0 {
+	n = n.leafFor(k)
+	if i := n.upperBound(k); i > 0 {
 		return &n.runs[i-1]
 	}
 	return nil
 }
 
-// look is floor for a reader: the leaf is noted as looked at.
-func (n *node) look(k key) *run {
+// lookup is floor for readers: it also marks the leaf as referenced.
+func (n *node) lookup(k key) *run {
 	if n == nil {
 		return nil
 	}
-	n = n.home(k)
-	if !n.used.Load() { // only then: a store would take the line from all who read
-		n.used.Store(true)
+	n = n.leafFor(k)
+	if !n.referenced.Load() { // store only if needed: a store invalidates the cache line for all other readers
+		n.referenced.Store(true)
 	}
-	if i := n.place(k); i > 0 {
+	if i := n.upperBound(k); i > 0 {
 		return &n.runs[i-1]
 	}
 	return nil
 }
 
-// leafFrom is the leaf with the first run at or after k; nil if there is none.
-func (n *node) leafFrom(k key) *node {
+// leafAtOrAfter returns the leaf with the first run at or after k, or nil if there is none.
+func (n *node) leafAtOrAfter(k key) *node {
 	if n == nil || n.leaf() {
-		if n == nil || n.runs[len(n.runs)-1].key().before(k) {
+		if n == nil || n.runs[len(n.runs)-1].key().less(k) {
 			return nil
 		}
 		return n
 	}
-	for i := n.child(k); i < len(n.kids); i++ {
-		if l := n.kids[i].leafFrom(k); l != nil {
+	for i := n.childIndex(k); i < len(n.children); i++ {
+		if l := n.children[i].leafAtOrAfter(k); l != nil {
 			return l
 		}
 	}
 	return nil
 }
 
-// ascend calls fn for each run that begins at or after k, in order, until it returns false.
+// ascend calls fn for each run that begins at or after k, in order, until fn returns false.
 func (n *node) ascend(k key, fn func(*run) bool) bool {
 	if n == nil {
 		return true
 	}
 	if n.leaf() {
-		i := n.place(k)
+		i := n.upperBound(k)
 		if i > 0 && n.runs[i-1].key() == k {
 			i--
 		}
@@ -142,76 +144,78 @@
 		}
 		return true
 	}
-	for i := n.child(k); i < len(n.kids); i++ {
-		if !n.kids[i].ascend(k, fn) {
+	for i := n.childIndex(k); i < len(n.children); i++ {
+		if !n.children[i].ascend(k, fn) {
 			return false
 		}
 	}
 	return true
 }
 
-// owner is the right to change nodes in place. It is a thing of its own so that nodes keep nothing else alive.
+// owner identifies the edit that may change nodes in place. It is a separate type so that a node's reference to it
+// keeps nothing else alive.
 type owner struct{ _ byte }
 
-// edit is one change of a tree, of however many runs: each node that it touches is copied once.
+// edit is a change of a tree by any number of runs. Each node that it touches is copied once.
 type edit struct {
 	*owner
 	root *node
-	runs int // in the tree
+	runs int // number of runs in the tree
 }
 
-// own returns the node if this edit made it, else a copy.
-func (e *edit) own(n *node) *node {
-	if n.by == e.owner {
+// mutableNode returns n itself if this edit created it, else a copy.
+func (e *edit) mutableNode(n *node) *node {
+	if n.owner == e.owner {
 		return n
 	}
-	c := &node{by: e.owner}
+	c := &node{owner: e.owner}
 	if n.leaf() {
-		c.used.Store(n.used.Load())
-		c.runs = append(make([]run, 0, min(leafRuns, len(n.runs)+8)), n.runs...)
+		c.referenced.Store(n.referenced.Load())
+		c.runs = append(make([]run, 0, min(maxLeafRuns, len(n.runs)+8)), n.runs...)
 		return c
 	}
-	c.keys = append(make([]key, 0, min(kidsTop, len(n.keys)+4)), n.keys...)
-	c.kids = append(make([]*node, 0, min(kidsTop, len(n.kids)+4)), n.kids...)
+	c.keys = append(make([]key, 0, min(maxChildren, len(n.keys)+4)), n.keys...)
+	c.children = append(make([]*node, 0, min(maxChildren, len(n.children)+4)), n.children...)
 	return c
 }
 
-// put adds a run; there is none that begins where it does.
-func (e *edit) put(r run) {
+// insert adds a run. No run may begin at the same key.
+func (e *edit) insert(r run) {
 	e.runs++
 	if e.root == nil {
-		e.root = &node{by: e.owner, runs: []run{r}}
+		e.root = &node{owner: e.owner, runs: []run{r}}
 		return
 	}
-	left, right := e.insert(e.root, r)
+	left, right := e.insertInto(e.root, r)
 	if e.root = left; right != nil {
-		e.root = &node{by: e.owner, keys: []key{left.first(), right.first()}, kids: []*node{left, right}}
+		e.root = &node{owner: e.owner, keys: []key{left.firstKey(), right.firstKey()}, children: []*node{left, right}}
 	}
 }
 
-// at is the last run that begins at or before k, to be changed in place; there is one. Its place must stay.
-func (e *edit) at(k key) *run {
-	e.root = e.own(e.root)
+// mutableRun returns the last run that begins at or before k, to be changed in place. It must exist, and its key
+// must not change.
+func (e *edit) mutableRun(k key) *run {
+	e.root = e.mutableNode(e.root)
 	n := e.root
 	for !n.leaf() {
-		i := n.child(k)
-		n.kids[i] = e.own(n.kids[i])
-		n = n.kids[i]
+		i := n.childIndex(k)
+		n.children[i] = e.mutableNode(n.children[i])
+		n = n.children[i]
 	}
-	return &n.runs[n.place(k)-1]
+	return &n.runs[n.upperBound(k)-1]
 }
 
-// insert returns the node with the run, in two if it was full.
-func (e *edit) insert(n *node, r run) (left, right *node) {
-	n = e.own(n)
+// insertInto inserts the run below n. It returns the node, split in two if it was full.
+func (e *edit) insertInto(n *node, r run) (left, right *node) {
+	n = e.mutableNode(n)
 	if n.leaf() {
-		at := n.place(r.key())
-		if len(n.runs) == leafRuns {
-			half := leafRuns / 2
-			if at == leafRuns {
-				half = leafRuns * 7 / 8 // what is filled in order stays nearly full
+		at := n.upperBound(r.key())
+		if len(n.runs) == maxLeafRuns {
+			half := maxLeafRuns / 2
+			if at == maxLeafRuns {
+				half = maxLeafRuns * 7 / 8 // keeps leaves nearly full when runs are inserted in order
 			}
-			right = &node{by: e.owner, runs: append(make([]run, 0, leafRuns), n.runs[half:]...)}
+			right = &node{owner: e.owner, runs: append(make([]run, 0, maxLeafRuns), n.runs[half:]...)}
 			n.runs = n.runs[:half]
 			if at > half {
 				right.runs = insertAt(right.runs, at-half, r)
@@ -221,23 +225,23 @@
 		n.runs = insertAt(n.runs, at, r)
 		return n, right
 	}
-	i := n.child(r.key())
-	kid, more := e.insert(n.kids[i], r)
-	n.kids[i], n.keys[i] = kid, kid.first()
+	i := n.childIndex(r.key())
+	kid, more := e.insertInto(n.children[i], r)
+	n.children[i], n.keys[i] = kid, kid.firstKey()
 	if more == nil {
 		return n, nil
 	}
-	n.kids, n.keys = insertAt(n.kids, i+1, more), insertAt(n.keys, i+1, more.first())
-	if len(n.kids) <= kidsTop {
+	n.children, n.keys = insertAt(n.children, i+1, more), insertAt(n.keys, i+1, more.firstKey())
+	if len(n.children) <= maxChildren {
 		return n, nil
 	}
-	half := len(n.kids) / 2
-	if i == len(n.kids)-2 {
-		half = len(n.kids) * 7 / 8
+	half := len(n.children) / 2
+	if i == len(n.children)-2 {
+		half = len(n.children) * 7 / 8
 	}
-	right = &node{by: e.owner, kids: append([]*node(nil), n.kids[half:]...), keys: append([]key(nil), n.keys[half:]...)}
-	clear(n.kids[half:])
-	n.kids, n.keys = n.kids[:half], n.keys[:half]
+	right = &node{owner: e.owner, children: append([]*node(nil), n.children[half:]...), keys: append([]key(nil), n.keys[half:]...)}
+	clear(n.children[half:])
+	n.children, n.keys = n.children[:half], n.keys[:half]
 	return n, right
 }
 
@@ -255,61 +259,61 @@
 	return s[:len(s)-1]
 }
 
-// drop removes the run that begins at k; there is one.
-func (e *edit) drop(k key) {
+// remove removes the run that begins at k, which must exist.
+func (e *edit) remove(k key) {
 	e.runs--
-	e.root = e.remove(e.root, k)
-	for e.root != nil && !e.root.leaf() && len(e.root.kids) == 1 {
-		e.root = e.root.kids[0]
+	e.root = e.removeFrom(e.root, k)
+	for e.root != nil && !e.root.leaf() && len(e.root.children) == 1 {
+		e.root = e.root.children[0]
 	}
 }
 
-// remove returns the node without the run; nil if nothing is left.
-func (e *edit) remove(n *node, k key) *node {
-	n = e.own(n)
+// removeFrom removes the run below n. It returns the node, or nil if nothing is left in it.
+func (e *edit) removeFrom(n *node, k key) *node {
+	n = e.mutableNode(n)
 	if n.leaf() {
-		if n.runs = removeAt(n.runs, n.place(k)-1); len(n.runs) == 0 {
+		if n.runs = removeAt(n.runs, n.upperBound(k)-1); len(n.runs) == 0 {
 			return nil
 		}
 		return n
 	}
-	i := n.child(k)
-	kid := e.remove(n.kids[i], k)
+	i := n.childIndex(k)
+	kid := e.removeFrom(n.children[i], k)
 	if kid == nil {
-		n.kids, n.keys = removeAt(n.kids, i), removeAt(n.keys, i)
-		if len(n.kids) == 0 {
+		n.children, n.keys = removeAt(n.children, i), removeAt(n.keys, i)
+		if len(n.children) == 0 {
 			return nil
 		}
 		return n
 	}
-	n.kids[i], n.keys[i] = kid, kid.first()
-	if i+1 < len(n.kids) {
-		e.join(n, i)
+	n.children[i], n.keys[i] = kid, kid.firstKey()
+	if i+1 < len(n.children) {
+		e.mergeChildren(n, i)
 	} else if i > 0 {
-		e.join(n, i-1)
+		e.mergeChildren(n, i-1)
 	}
 	return n
 }
 
-// join makes one of two neighbours among a branch's children if together they fill no more than half of one.
-func (e *edit) join(n *node, i int) {
-	a, b := n.kids[i], n.kids[i+1]
-	if a.leaf() && len(a.runs)+len(b.runs) > leafRuns/2 || !a.leaf() && len(a.kids)+len(b.kids) > kidsTop/2 {
+// mergeChildren merges child i of a branch with its right neighbour if together they fill at most half a node.
+func (e *edit) mergeChildren(n *node, i int) {
+	a, b := n.children[i], n.children[i+1]
+	if a.leaf() && len(a.runs)+len(b.runs) > maxLeafRuns/2 || !a.leaf() && len(a.children)+len(b.children) > maxChildren/2 {
 		return
 	}
-	a = e.own(a)
-	a.runs, a.keys, a.kids = append(a.runs, b.runs...), append(a.keys, b.keys...), append(a.kids, b.kids...)
-	n.kids[i] = a
-	n.kids, n.keys = removeAt(n.kids, i+1), removeAt(n.keys, i+1)
+	a = e.mutableNode(a)
+	a.runs, a.keys, a.children = append(a.runs, b.runs...), append(a.keys, b.keys...), append(a.children, b.children...)
+	n.children[i] = a
+	n.children, n.keys = removeAt(n.children, i+1), removeAt(n.keys, i+1)
 }
 
-// over are the runs that touch extents from to before to of a volume, in order.
-func (n *node) over(vol Vol, from, to uint64, into []run) []run {
-	if f := n.floor(key{from, vol}); f != nil && f.vol == vol && f.ext < from && f.end() > from {
+// overlapping appends to into the runs that overlap the extents from from to before to of a volume, in order.
+func (n *node) overlapping(vol VolumeID, from, to uint64, into []run) []run {
+	if f := n.floor(key{from, vol}); f != nil && f.volume == vol && f.start < from && f.end() > from {
 		into = append(into, *f)
 	}
 	n.ascend(key{from, vol}, func(r *run) bool {
-		if r.vol != vol || r.ext >= to {
+		if r.volume != vol || r.start >= to {
 			return false
 		}
 		into = append(into, *r)
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -23,24 +23,24 @@
 
 // Settings of a feed.
 type Settings struct {
-	URL        string                 // of the stream; snapshot and range are below it
-	Gateway    string                 // told to the authority
-	Cache      string                 // file of the last map; empty: none
-	SaveEvery  time.Duration          // the cache is written so often, if the map changed
-	Silence    time.Duration          // a stream from which nothing comes for so long is dropped
-	RetryFirst time.Duration          // pause after a failure; doubled up to RetryTop, with jitter
-	RetryTop   time.Duration          //
-	Gap        time.Duration          // a missing change is waited for so long, then the stream is resumed before it
-	Answer     time.Duration          // an answer about a range that takes longer failed
-	Ceiling    int                    // runs
-	Waiting    int                    // requests that wait for refreshes at a time; any more are refused
-	Book       extentmap.BookSettings // what is asked for, and how often
+	URL        string                    // of the stream; snapshot and range are below it
+	Gateway    string                    // told to the authority
+	Cache      string                    // file of the last map; empty: none
+	SaveEvery  time.Duration             // the cache is written so often, if the map changed
+	Silence    time.Duration             // a stream from which nothing comes for so long is dropped
+	RetryFirst time.Duration             // pause after a failure; doubled up to RetryTop, with jitter
+	RetryTop   time.Duration             //
+	Gap        time.Duration             // a missing change is waited for so long, then the stream is resumed before it
+	Answer     time.Duration             // an answer about a range that takes longer failed
+	Ceiling    int                       // runs
+	Waiting    int                       // requests that wait for refreshes at a time; any more are refused
+	Book       extentmap.RefreshSettings // what is asked for, and how often
 	Seed       int64
 }
 
 // Default settings, without places.
 var Default = Settings{SaveEvery: 10 * time.Second, Silence: 10 * time.Second, RetryFirst: 100 * time.Millisecond, RetryTop: 5 * time.Second,
-	Gap: 200 * time.Millisecond, Answer: time.Second, Ceiling: 4 << 20, Waiting: 100_000, Book: extentmap.DefaultBook}
+	Gap: 200 * time.Millisecond, Answer: time.Second, Ceiling: 4 << 20, Waiting: 100_000, Book: extentmap.DefaultRefresh}
 
 // mostAnswer is the most bytes of an answer about a range.
 const mostAnswer = 64 << 20
@@ -74,7 +74,7 @@
 	m       *extentmap.Map
 
 	mu      sync.Mutex
-	book    *extentmap.Book
+	book    *extentmap.Refresher
 	waiting map[extentmap.Range][]func()
 	queued  int
 	stream  *register.Opened // nil: none
@@ -111,14 +111,14 @@
 	if err != nil {
 		return nil, err
 	}
-	book, err := extentmap.NewBook(set.Book, 0)
+	book, err := extentmap.NewRefresher(set.Book, 0)
 	if err != nil {
 		return nil, err
 	}
 	f := &Feed{set: set, log: log, m: m, book: book, began: time.Now(), kick: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
 		rng: rand.New(rand.NewSource(set.Seed)), client: &http.Client{Transport: &http.Transport{Proxy: nil, ResponseHeaderTimeout: set.Silence,
-			DisableCompression: true, MaxIdleConnsPerHost: set.Book.MostOut}}}
-	f.bare.Store(set.Book.Silence == 0)
+			DisableCompression: true, MaxIdleConnsPerHost: set.Book.MaxInFlight}}}
+	f.bare.Store(set.Book.MaxSilence == 0)
 	return f, nil
 }
 
@@ -138,24 +138,24 @@
 
 // Ask says what to do with a request for an extent whose client can wait so long. On Wait again is called
 // once, from any goroutine, when there is news: then it is to be asked again, with what is left of the patience.
-func (f *Feed) Ask(volume string, extent uint64, patience time.Duration, again func()) extentmap.Verdict {
+func (f *Feed) Ask(volume string, extent uint64, patience time.Duration, again func()) extentmap.Decision {
 	v := f.m.View()
 	if f.bare.Load() { // nobody says otherwise
 		if vol, ok := v.Volume(volume); ok {
 			if home, version, ok := v.Lookup(vol, extent); ok && home.Shard != extentmap.Nowhere {
-				return extentmap.Verdict{Do: extentmap.Use, Home: home, Version: version}
+				return extentmap.Decision{Action: extentmap.Use, Home: home, Version: version}
 			}
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	verdict := f.book.Ask(f.m.View(), volume, extent, patience, f.now())
+	verdict := f.book.Decide(f.m.View(), volume, extent, patience, f.now())
 	f.settle()
-	if verdict.Do != extentmap.Wait {
+	if verdict.Action != extentmap.Wait {
 		return verdict
 	}
 	if f.queued >= f.set.Waiting {
-		return extentmap.Verdict{Do: extentmap.Refuse, RetryAfter: f.set.Book.Retry, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.queued)}
+		return extentmap.Decision{Action: extentmap.Refuse, RetryAfter: f.set.Book.MinRetryInterval, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.queued)}
 	}
 	r := f.book.Range(volume, extent)
 	f.waiting[r] = append(f.waiting[r], again)
@@ -165,7 +165,7 @@
 }
 
 // Moved takes a node's word that an extent is not there.
-func (f *Feed) Moved(volume string, extent uint64, w extentmap.Word) (news bool) {
+func (f *Feed) Moved(volume string, extent uint64, w extentmap.MovedAnswer) (news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	news, err := f.book.Moved(f.m.View(), volume, extent, w, f.now())
@@ -178,7 +178,7 @@
 }
 
 // settle notes whether the book has anything; the lock is held.
-func (f *Feed) settle() { f.bare.Store(f.book.Len() == 0 && f.set.Book.Silence == 0) }
+func (f *Feed) settle() { f.bare.Store(f.book.Len() == 0 && f.set.Book.MaxSilence == 0) }
 
 func (f *Feed) ring() {
 	select {
@@ -284,7 +284,7 @@
 
 func (f *Feed) heard() {
 	f.mu.Lock()
-	f.book.Heard(f.now())
+	f.book.AuthoritySeen(f.now())
 	f.mu.Unlock()
 }
 
@@ -293,7 +293,7 @@
 	f.changes.Lock()
 	_, err := f.m.Apply(extentmap.Delta{Term: c.Term, Version: c.Version, Runs: c.Runs})
 	f.changes.Unlock()
-	if !errors.Is(err, extentmap.ErrTerm) && !errors.Is(err, extentmap.ErrFarAhead) {
+	if !errors.Is(err, extentmap.ErrTerm) && !errors.Is(err, extentmap.ErrTooManyPending) {
 		return err
 	}
 	f.log.Warn("map: a snapshot is fetched", "cause", err)
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -157,15 +157,15 @@
 	s.auth.Script(func(string, uint64) standin.Delivery { return standin.Delivery{Skip: true} })
 	s.auth.Slow(20 * time.Millisecond)
 	moved := s.auth.Put(at("v", 0, 64, 2))
-	if !f.Moved("v", 5, extentmap.Word{Version: moved}) {
+	if !f.Moved("v", 5, extentmap.MovedAnswer{Version: moved}) {
 		t.Fatal("the node's word is no news")
 	}
 	var wrong, came atomic.Int32
 	var ask func(extent uint64)
 	ask = func(extent uint64) {
 		switch v := f.Ask("v", extent, 10*time.Second, func() { ask(extent) }); {
-		case v.Do == extentmap.Wait:
-		case v.Do == extentmap.Use && v.Shard == 2 && v.Version == moved:
+		case v.Action == extentmap.Wait:
+		case v.Action == extentmap.Use && v.Shard == 2 && v.Version == moved:
 			came.Add(1)
 		default:
 			wrong.Add(1)
@@ -193,22 +193,22 @@
 	s.auth.Down(true)
 	s.until("the stream's end", func() bool { return !f.State().Connected })
 	moved := s.auth.Put(at("v", 0, 64, 2))
-	f.Moved("v", 5, extentmap.Word{Version: moved, Home: extentmap.Home{Shard: 2}, Known: true})
-	ask := func(extent uint64, patience time.Duration) extentmap.Verdict {
+	f.Moved("v", 5, extentmap.MovedAnswer{Version: moved, Home: extentmap.Home{Shard: 2}, Known: true})
+	ask := func(extent uint64, patience time.Duration) extentmap.Decision {
 		return f.Ask("v", extent, patience, func() {})
 	}
 	s.until("some failures", func() bool { return f.State().Failed > 2 })
-	if v := ask(5, time.Second); v.Do != extentmap.Use || v.Shard != 2 {
+	if v := ask(5, time.Second); v.Action != extentmap.Use || v.Shard != 2 {
 		t.Errorf("what a node told: %+v", v)
 	}
-	if v := ask(70, time.Second); v.Do != extentmap.Use || v.Shard != 3 {
+	if v := ask(70, time.Second); v.Action != extentmap.Use || v.Shard != 3 {
 		t.Errorf("what is known: %+v", v)
 	}
-	if v := ask(6, time.Millisecond); v.Do != extentmap.Refuse || v.RetryAfter < time.Millisecond {
+	if v := ask(6, time.Millisecond); v.Action != extentmap.Refuse || v.RetryAfter < time.Millisecond {
 		t.Errorf("what is only known to be wrong: %+v", v)
 	}
 	s.auth.Down(false)
-	s.until("the authority's word", func() bool { v := ask(6, time.Millisecond); return v.Do == extentmap.Use && v.Shard == 2 })
+	s.until("the authority's word", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
 }
 
 // TestStartsFromTheCache: a start needs no snapshot; where a block of the cache is torn only its extents are
@@ -254,11 +254,11 @@
 	for e := uint64(0); e < extents; e += 500 {
 		again := make(chan struct{}, 1)
 		v := f.Ask("v", e, 10*time.Second, func() { again <- struct{}{} })
-		if v.Do == extentmap.Wait {
+		if v.Action == extentmap.Wait {
 			<-again
 			v = f.Ask("v", e, 10*time.Second, func() {})
 		}
-		if want, _ := s.auth.Home("v", e); v.Do != extentmap.Use || v.Home != want {
+		if want, _ := s.auth.Home("v", e); v.Action != extentmap.Use || v.Home != want {
 			t.Fatalf("%d: %+v, want %v", e, v, want)
 		}
 	}
--- a/internal/mapfile/mapfile.go
+++ b/internal/mapfile/mapfile.go
@@ -234,7 +234,7 @@
 		from := at + gap - 1
 		to := from + n
 		since := version - before
-		if from < at || to <= from || n > extentmap.MostRun || before > version {
+		if from < at || to <= from || n > extentmap.MaxRunExtents || before > version {
 			return nil, wrong("run %d: %d extents from %d on, %d changes before version %d", len(runs), n, from, before, version)
 		}
 		runs = append(runs, extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Home: home, Version: since})
