--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -17,35 +17,35 @@
 
 // Settings of the collector.
 type Settings struct {
-	Every    time.Duration // between looks
-	Runs     int           // runs of garbage looked at a time
-	Atonce   int           // removals out at a time
-	Deadline time.Duration // of one removal
-	Plan     func(volume string) string
+	ScanInterval  time.Duration // between looks
+	BatchSize     int           // runs of garbage looked at a time
+	MaxConcurrent int           // removals out at a time
+	Deadline      time.Duration // of one removal
+	Plan          func(volume string) string
 }
 
 // Collector removes garbage.
 type Collector struct {
-	set    Settings
-	store  *store.Catalogue
-	host   *host.Host
-	work   extent.Work
-	log    *slog.Logger
-	shards func() []int // of the nodes that are listed
+	settings Settings
+	store    *store.Catalogue
+	host     *host.Host
+	work     extent.Work
+	log      *slog.Logger
+	shards   func() []int // of the nodes that are listed
 }
 
 // New makes a collector; Run works.
 func New(set Settings, s *store.Catalogue, h *host.Host, w extent.Work, shards func() []int, log *slog.Logger) *Collector {
-	if set.Every == 0 {
-		set.Every = 2 * time.Second
+	if set.ScanInterval == 0 {
+		set.ScanInterval = 2 * time.Second
 	}
-	if set.Runs == 0 {
-		set.Runs = 64
+	if set.BatchSize == 0 {
+		set.BatchSize = 64
 	}
-	if set.Atonce == 0 {
-		set.Atonce = 4
+	if set.MaxConcurrent == 0 {
+		set.MaxConcurrent = 4
 	}
-	return &Collector{set: set, store: s, host: h, work: w, shards: shards, log: log}
+	return &Collector{settings: set, store: s, host: h, work: w, shards: shards, log: log}
 }
 
 // Run removes garbage until ctx ends.
@@ -55,9 +55,9 @@
 		if err != nil {
 			c.log.Warn("collector: the catalogue's garbage could not be read", "err", err)
 		}
-		wait := c.set.Every
-		if n == c.set.Runs {
-			wait = c.set.Every / 20
+		wait := c.settings.ScanInterval
+		if n == c.settings.BatchSize {
+			wait = c.settings.ScanInterval / 20
 		}
 		select {
 		case <-ctx.Done():
@@ -69,7 +69,7 @@
 
 // Once looks at the oldest runs and returns how many of them are gone for good.
 func (c *Collector) Once(ctx context.Context) (gone int, err error) {
-	seqs, list, err := c.store.Collectable(c.set.Runs)
+	seqs, list, err := c.store.Collectable(c.settings.BatchSize)
 	if err != nil {
 		return 0, err
 	}
@@ -110,18 +110,18 @@
 	if len(all) == 0 {
 		return false // which shards there are is not known yet
 	}
-	answers := make(chan bool, c.set.Atonce)
+	answers := make(chan bool, c.settings.MaxConcurrent)
 	out, ok := 0, true
 	for _, t := range targets {
-		if out == c.set.Atonce {
+		if out == c.settings.MaxConcurrent {
 			ok = <-answers && ok
 			out--
 		}
 		if ctx.Err() != nil || !ok {
 			break // nodes are busy or gone: not now
 		}
-		_, err := c.host.Submit(&host.Request{Class: c.work.CollectClass, Plan: c.set.Plan(g.Volume), Volume: g.Volume,
-			Item: t.item, Shard: t.shard, Hosts: 1, Units: 1, Expires: c.set.Deadline, Op: nodewire.Delete,
+		_, err := c.host.Submit(&host.Request{Class: c.work.CollectClass, Plan: c.settings.Plan(g.Volume), Volume: g.Volume,
+			Item: t.item, Shard: t.shard, Hosts: 1, Units: 1, Expires: c.settings.Deadline, Op: nodewire.Delete,
 			Answer: func(a host.Answer) { answers <- a.Kind == host.Served }})
 		if err != nil {
 			ok = false
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -23,27 +23,27 @@
 
 // Settings of a feed.
 type Settings struct {
-	URL        string                    // of the stream; snapshot and range are below it
-	Gateway    string                    // told to the authority
-	Cache      string                    // file of the last map; empty: none
-	SaveEvery  time.Duration             // the cache is written so often, if the map changed
-	Silence    time.Duration             // a stream from which nothing comes for so long is dropped
-	RetryFirst time.Duration             // pause after a failure; doubled up to RetryTop, with jitter
-	RetryTop   time.Duration             //
-	Gap        time.Duration             // a missing change is waited for so long, then the stream is resumed before it
-	Answer     time.Duration             // an answer about a range that takes longer failed
-	Ceiling    int                       // runs
-	Waiting    int                       // requests that wait for refreshes at a time; any more are refused
-	Book       extentmap.RefreshSettings // what is asked for, and how often
-	Seed       int64
+	URL              string                    // of the stream; snapshot and range are below it
+	Gateway          string                    // told to the authority
+	CacheFile        string                    // file of the last map; empty: none
+	SaveInterval     time.Duration             // the cache is written so often, if the map changed
+	SilenceTimeout   time.Duration             // a stream from which nothing comes for so long is dropped
+	MinRetryInterval time.Duration             // pause after a failure; doubled up to RetryTop, with jitter
+	MaxRetryInterval time.Duration             //
+	GapTimeout       time.Duration             // a missing change is waited for so long, then the stream is resumed before it
+	AnswerTimeout    time.Duration             // an answer about a range that takes longer failed
+	MaxRuns          int                       // runs
+	MaxWaiting       int                       // requests that wait for refreshes at a time; any more are refused
+	Refresh          extentmap.RefreshSettings // what is asked for, and how often
+	Seed             int64
 }
 
 // Default settings, without places.
-var Default = Settings{SaveEvery: 10 * time.Second, Silence: 10 * time.Second, RetryFirst: 100 * time.Millisecond, RetryTop: 5 * time.Second,
-	Gap: 200 * time.Millisecond, Answer: time.Second, Ceiling: 4 << 20, Waiting: 100_000, Book: extentmap.DefaultRefresh}
+var Default = Settings{SaveInterval: 10 * time.Second, SilenceTimeout: 10 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 5 * time.Second,
+	GapTimeout: 200 * time.Millisecond, AnswerTimeout: time.Second, MaxRuns: 4 << 20, MaxWaiting: 100_000, Refresh: extentmap.DefaultRefresh}
 
 // mostAnswer is the most bytes of an answer about a range.
-const mostAnswer = 64 << 20
+const maxAnswerBytes = 64 << 20
 
 // Check names what cannot be.
 func (s *Settings) Check() error {
@@ -53,34 +53,34 @@
 		return fmt.Errorf("mapfeed: %w", err)
 	case u.Scheme != "http" && u.Scheme != "https" || u.Host == "":
 		return fmt.Errorf("mapfeed: url %q: expected http://HOST/PATH", s.URL)
-	case s.SaveEvery <= 0 || s.Silence <= 0 || s.RetryFirst <= 0 || s.RetryTop < s.RetryFirst || s.Gap <= 0 || s.Answer <= 0:
+	case s.SaveInterval <= 0 || s.SilenceTimeout <= 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval || s.GapTimeout <= 0 || s.AnswerTimeout <= 0:
 		return errors.New("mapfeed: times are more than 0s, the top of the pause no less than the first")
-	case s.Waiting < 1:
-		return fmt.Errorf("mapfeed: waiting = %d: at least 1", s.Waiting)
+	case s.MaxWaiting < 1:
+		return fmt.Errorf("mapfeed: waiting = %d: at least 1", s.MaxWaiting)
 	}
-	return s.Book.Check()
+	return s.Refresh.Check()
 }
 
 // Feed keeps a gateway's map.
 type Feed struct {
-	set    Settings
-	log    *slog.Logger
-	client *http.Client
-	began  time.Time
-	rng    *rand.Rand
-	kick   chan struct{} // something may be due
-
-	changes sync.Mutex // held by who changes the map; a lookup takes none
-	m       *extentmap.Map
-
-	mu      sync.Mutex
-	book    *extentmap.Refresher
-	waiting map[extentmap.Range][]func()
-	queued  int
-	stream  *register.Opened // nil: none
-	state   State
-	bare    atomic.Bool // the book is empty: what the map knows holds
-	wg      sync.WaitGroup
+	settings  Settings
+	log       *slog.Logger
+	client    *http.Client
+	startTime time.Time
+	rng       *rand.Rand
+	wake      chan struct{} // something may be due
+
+	changeMu sync.Mutex // held by who changes the map; a lookup takes none
+	extents  *extentmap.Map
+
+	mu           sync.Mutex
+	refresher    *extentmap.Refresher
+	waiting      map[extentmap.Range][]func()
+	waitingCount int
+	stream       *register.Opened // nil: none
+	state        State
+	lookupOnly   atomic.Bool // the book is empty: what the map knows holds
+	wg           sync.WaitGroup
 }
 
 // State is what an operator sees.
@@ -107,40 +107,40 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	m, err := extentmap.New(set.Ceiling)
+	m, err := extentmap.New(set.MaxRuns)
 	if err != nil {
 		return nil, err
 	}
-	book, err := extentmap.NewRefresher(set.Book, 0)
+	book, err := extentmap.NewRefresher(set.Refresh, 0)
 	if err != nil {
 		return nil, err
 	}
-	f := &Feed{set: set, log: log, m: m, book: book, began: time.Now(), kick: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
-		rng: rand.New(rand.NewSource(set.Seed)), client: &http.Client{Transport: &http.Transport{Proxy: nil, ResponseHeaderTimeout: set.Silence,
-			DisableCompression: true, MaxIdleConnsPerHost: set.Book.MaxInFlight}}}
-	f.bare.Store(set.Book.MaxSilence == 0)
+	f := &Feed{settings: set, log: log, extents: m, refresher: book, startTime: time.Now(), wake: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
+		rng: rand.New(rand.NewSource(set.Seed)), client: &http.Client{Transport: &http.Transport{Proxy: nil, ResponseHeaderTimeout: set.SilenceTimeout,
+			DisableCompression: true, MaxIdleConnsPerHost: set.Refresh.MaxInFlight}}}
+	f.lookupOnly.Store(set.Refresh.MaxSilence == 0)
 	return f, nil
 }
 
-func (f *Feed) now() time.Duration { return time.Since(f.began) }
+func (f *Feed) now() time.Duration { return time.Since(f.startTime) }
 
 // View is the map as it is now.
-func (f *Feed) View() *extentmap.View { return f.m.View() }
+func (f *Feed) View() *extentmap.View { return f.extents.View() }
 
 // State is what an operator sees.
 func (f *Feed) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	s.Connected, s.Waiting, s.Counts = f.stream != nil, f.queued, f.book.Counts()
+	s.Connected, s.Waiting, s.Counts = f.stream != nil, f.waitingCount, f.refresher.Counts()
 	return s
 }
 
 // Ask says what to do with a request for an extent whose client can wait so long. On Wait again is called
 // once, from any goroutine, when there is news: then it is to be asked again, with what is left of the patience.
-func (f *Feed) Ask(volume string, extent uint64, patience time.Duration, again func()) extentmap.Decision {
-	v := f.m.View()
-	if f.bare.Load() { // nobody says otherwise
+func (f *Feed) Decide(volume string, extent uint64, patience time.Duration, again func()) extentmap.Decision {
+	v := f.extents.View()
+	if f.lookupOnly.Load() { // nobody says otherwise
 		if vol, ok := v.Volume(volume); ok {
 			if home, version, ok := v.Lookup(vol, extent); ok && home.Shard != extentmap.Nowhere {
 				return extentmap.Decision{Action: extentmap.Use, Home: home, Version: version}
@@ -149,18 +149,18 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	verdict := f.book.Decide(f.m.View(), volume, extent, patience, f.now())
-	f.settle()
+	verdict := f.refresher.Decide(f.extents.View(), volume, extent, patience, f.now())
+	f.updateLookupOnly()
 	if verdict.Action != extentmap.Wait {
 		return verdict
 	}
-	if f.queued >= f.set.Waiting {
-		return extentmap.Decision{Action: extentmap.Refuse, RetryAfter: f.set.Book.MinRetryInterval, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.queued)}
+	if f.waitingCount >= f.settings.MaxWaiting {
+		return extentmap.Decision{Action: extentmap.Refuse, RetryAfter: f.settings.Refresh.MinRetryInterval, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.waitingCount)}
 	}
-	r := f.book.Range(volume, extent)
+	r := f.refresher.Range(volume, extent)
 	f.waiting[r] = append(f.waiting[r], again)
-	f.queued++
-	f.ring()
+	f.waitingCount++
+	f.wakeRefresh()
 	return verdict
 }
 
@@ -168,39 +168,41 @@
 func (f *Feed) Moved(volume string, extent uint64, w extentmap.MovedAnswer) (news bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	news, err := f.book.Moved(f.m.View(), volume, extent, w, f.now())
+	news, err := f.refresher.Moved(f.extents.View(), volume, extent, w, f.now())
 	if err != nil {
 		f.log.Warn("map: a node's word was not kept", "err", err)
 	}
-	f.settle()
-	f.ring()
+	f.updateLookupOnly()
+	f.wakeRefresh()
 	return news
 }
 
 // settle notes whether the book has anything; the lock is held.
-func (f *Feed) settle() { f.bare.Store(f.book.Len() == 0 && f.set.Book.MaxSilence == 0) }
+func (f *Feed) updateLookupOnly() {
+	f.lookupOnly.Store(f.refresher.Len() == 0 && f.settings.Refresh.MaxSilence == 0)
+}
 
-func (f *Feed) ring() {
+func (f *Feed) wakeRefresh() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Run starts from the cache and follows the authority until ctx ends; then the cache is written.
 func (f *Feed) Run(ctx context.Context) {
-	f.load()
+	f.loadCache()
 	f.wg.Add(2)
-	go func() { defer f.wg.Done(); f.refresh(ctx) }()
-	go func() { defer f.wg.Done(); f.keep(ctx) }()
-	pause := f.set.RetryFirst
+	go func() { defer f.wg.Done(); f.refreshLoop(ctx) }()
+	go func() { defer f.wg.Done(); f.saveLoop(ctx) }()
+	pause := f.settings.MinRetryInterval
 	for ctx.Err() == nil {
-		heard, err := f.follow(ctx)
+		heard, err := f.readStream(ctx)
 		if ctx.Err() != nil {
 			break
 		}
 		if heard {
-			pause = f.set.RetryFirst
+			pause = f.settings.MinRetryInterval
 		}
 		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // gateways come back apart
 		f.mu.Lock()
@@ -212,7 +214,7 @@
 		}
 		f.mu.Unlock()
 		f.log.Warn("map: the stream ended; the map held applies meanwhile", "err", err, "again_in", wait)
-		pause = min(2*pause, f.set.RetryTop)
+		pause = min(2*pause, f.settings.MaxRetryInterval)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -222,12 +224,12 @@
 }
 
 // follow reads one stream to its end.
-func (f *Feed) follow(ctx context.Context) (heard bool, err error) {
+func (f *Feed) readStream(ctx context.Context) (heard bool, err error) {
 	id := ""
 	if v := f.View(); v.Synced {
 		id = ID(v.Term, v.Mark)
 	}
-	s, err := register.Open(ctx, f.client, f.set.URL, f.set.Gateway, id, f.set.Silence)
+	s, err := register.Open(ctx, f.client, f.settings.URL, f.settings.Gateway, id, f.settings.SilenceTimeout)
 	if err != nil {
 		return false, err
 	}
@@ -240,7 +242,7 @@
 		f.mu.Unlock()
 		s.Close()
 	}()
-	s.Comment = f.heard
+	s.Comment = f.authoritySeen
 	var gap *time.Timer // runs while a change is missing
 	defer func() {
 		if gap != nil {
@@ -259,7 +261,7 @@
 		if err != nil {
 			return heard, fmt.Errorf("event %s: %w", m.ID, err)
 		}
-		f.heard()
+		f.authoritySeen()
 		heard = true
 		if m.Event == EventSnapshot {
 			err = f.fetchSnapshot(ctx)
@@ -269,30 +271,30 @@
 		if err != nil {
 			return heard, err
 		}
-		f.changes.Lock()
-		from, _ := f.m.Missing()
-		f.changes.Unlock()
+		f.changeMu.Lock()
+		from, _ := f.extents.Missing()
+		f.changeMu.Unlock()
 		switch {
 		case from == 0 && gap != nil:
 			gap.Stop()
 			gap = nil
 		case from != 0 && gap == nil:
-			gap = time.AfterFunc(f.set.Gap, func() { s.End(errGap) })
+			gap = time.AfterFunc(f.settings.GapTimeout, func() { s.End(errGap) })
 		}
 	}
 }
 
-func (f *Feed) heard() {
+func (f *Feed) authoritySeen() {
 	f.mu.Lock()
-	f.book.AuthoritySeen(f.now())
+	f.refresher.AuthoritySeen(f.now())
 	f.mu.Unlock()
 }
 
 // apply takes one change, or a snapshot where only that helps.
 func (f *Feed) apply(ctx context.Context, c Change) error {
-	f.changes.Lock()
-	_, err := f.m.Apply(extentmap.Delta{Term: c.Term, Version: c.Version, Runs: c.Runs})
-	f.changes.Unlock()
+	f.changeMu.Lock()
+	_, err := f.extents.Apply(extentmap.Delta{Term: c.Term, Version: c.Version, Runs: c.Runs})
+	f.changeMu.Unlock()
 	if !errors.Is(err, extentmap.ErrTerm) && !errors.Is(err, extentmap.ErrTooManyPending) {
 		return err
 	}
@@ -304,16 +306,16 @@
 var errStalled = errors.New("mapfeed: snapshot: nothing of it came for too long; it is asked for again")
 
 // awake puts a timer off with each read.
-type awake struct {
+type stallReader struct {
 	io.Reader
-	timer *time.Timer
-	after time.Duration
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-func (a *awake) Read(p []byte) (int, error) {
+func (a *stallReader) Read(p []byte) (int, error) {
 	n, err := a.Reader.Read(p)
 	if n > 0 {
-		a.timer.Reset(a.after)
+		a.timer.Reset(a.timeout)
 	}
 	return n, err
 }
@@ -322,14 +324,14 @@
 func (f *Feed) fetchSnapshot(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := time.AfterFunc(f.set.Silence, func() { cancel(errStalled) })
+	stall := time.AfterFunc(f.settings.SilenceTimeout, func() { cancel(errStalled) })
 	defer stall.Stop()
 	body, err := f.get(ctx, "snapshot", nil)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	r, err := mapfile.NewReader(bufio.NewReaderSize(&awake{body, stall, f.set.Silence}, 1<<20))
+	r, err := mapfile.NewReader(bufio.NewReaderSize(&stallReader{body, stall, f.settings.SilenceTimeout}, 1<<20))
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
@@ -337,9 +339,9 @@
 		return fmt.Errorf("mapfeed: snapshot: %w", err)
 	}
 	before := f.View()
-	f.changes.Lock()
-	taken, err := f.m.Snapshot(r.Term, r.Version, r.Next)
-	f.changes.Unlock()
+	f.changeMu.Lock()
+	taken, err := f.extents.Snapshot(r.Term, r.Version, r.Next)
+	f.changeMu.Unlock()
 	if cause := context.Cause(ctx); cause != nil && err != nil {
 		return cause
 	}
@@ -362,7 +364,7 @@
 
 // get asks the authority for something below the stream's place.
 func (f *Feed) get(ctx context.Context, what string, query url.Values) (io.ReadCloser, error) {
-	u, err := url.Parse(f.set.URL)
+	u, err := url.Parse(f.settings.URL)
 	if err != nil {
 		return nil, fmt.Errorf("mapfeed: %w", err)
 	}
@@ -384,18 +386,18 @@
 }
 
 // refresh asks for what is due until ctx ends.
-func (f *Feed) refresh(ctx context.Context) {
+func (f *Feed) refreshLoop(ctx context.Context) {
 	sweep := time.NewTicker(time.Second)
 	defer sweep.Stop()
 	for {
 		f.mu.Lock()
 		now := f.now()
-		due := f.book.Due(now)
-		next, more := f.book.Next()
+		due := f.refresher.Due(now)
+		next, more := f.refresher.Next()
 		f.mu.Unlock()
 		for _, r := range due {
 			f.wg.Add(1)
-			go func() { defer f.wg.Done(); f.answer(ctx, r) }()
+			go func() { defer f.wg.Done(); f.refreshRange(ctx, r) }()
 		}
 		var timer <-chan time.Time
 		if more { // what is due and not out waits for one that is, which rings
@@ -404,26 +406,26 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.kick:
+		case <-f.wake:
 		case <-timer:
 		case <-sweep.C:
 			f.mu.Lock()
-			f.book.Sweep(f.now())
-			f.settle()
+			f.refresher.Sweep(f.now())
+			f.updateLookupOnly()
 			f.mu.Unlock()
 		}
 	}
 }
 
 // answer asks the authority for one range, and has all who wait for it ask again.
-func (f *Feed) answer(ctx context.Context, r extentmap.Range) {
+func (f *Feed) refreshRange(ctx context.Context, r extentmap.Range) {
 	err := f.fetchRange(ctx, r)
 	f.mu.Lock()
-	f.book.Answered(r, err == nil, f.now())
+	f.refresher.Answered(r, err == nil, f.now())
 	all := f.waiting[r]
 	delete(f.waiting, r)
-	f.queued -= len(all)
-	f.settle()
+	f.waitingCount -= len(all)
+	f.updateLookupOnly()
 	if errors.Is(err, extentmap.ErrTerm) && f.stream != nil {
 		f.stream.End(errTerm)
 	}
@@ -434,41 +436,41 @@
 	for _, again := range all {
 		again()
 	}
-	f.ring()
+	f.wakeRefresh()
 }
 
 func (f *Feed) fetchRange(ctx context.Context, r extentmap.Range) error {
-	ctx, cancel := context.WithTimeout(ctx, f.set.Answer)
+	ctx, cancel := context.WithTimeout(ctx, f.settings.AnswerTimeout)
 	defer cancel()
 	body, err := f.get(ctx, "range", url.Values{"volume": {r.Volume}, "from": {strconv.FormatUint(r.From, 10)}, "to": {strconv.FormatUint(r.To, 10)}})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(body, mostAnswer+1))
+	b, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
 	if err != nil {
 		return fmt.Errorf("mapfeed: range %v: %w", r, err)
 	}
-	if len(b) > mostAnswer {
-		return fmt.Errorf("mapfeed: range %v: an answer of over %d bytes", r, mostAnswer)
+	if len(b) > maxAnswerBytes {
+		return fmt.Errorf("mapfeed: range %v: an answer of over %d bytes", r, maxAnswerBytes)
 	}
 	c, err := ParseChange(b)
 	if err != nil {
 		return err
 	}
-	f.changes.Lock()
-	defer f.changes.Unlock()
-	return f.m.Fetched(r, c.Term, c.Version, c.Runs)
+	f.changeMu.Lock()
+	defer f.changeMu.Unlock()
+	return f.extents.Fetched(r, c.Term, c.Version, c.Runs)
 }
 
 // load starts from the cache.
-func (f *Feed) load() {
-	if f.set.Cache == "" {
+func (f *Feed) loadCache() {
+	if f.settings.CacheFile == "" {
 		return
 	}
-	f.changes.Lock()
-	h, damaged, _, err := mapfile.Load(f.set.Cache, f.m)
-	f.changes.Unlock()
+	f.changeMu.Lock()
+	h, damaged, _, err := mapfile.Load(f.settings.CacheFile, f.extents)
+	f.changeMu.Unlock()
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return
@@ -485,11 +487,11 @@
 }
 
 // keep writes the cache now and then, and when ctx ends.
-func (f *Feed) keep(ctx context.Context) {
-	if f.set.Cache == "" {
+func (f *Feed) saveLoop(ctx context.Context) {
+	if f.settings.CacheFile == "" {
 		return
 	}
-	tick := time.NewTicker(f.set.SaveEvery)
+	tick := time.NewTicker(f.settings.SaveInterval)
 	defer tick.Stop()
 	var saved *extentmap.View
 	for over := false; !over; {
@@ -499,7 +501,7 @@
 			over = true
 		}
 		if v := f.View(); v.Synced && v != saved {
-			if _, err := mapfile.Save(f.set.Cache, v); err != nil {
+			if _, err := mapfile.Save(f.settings.CacheFile, v); err != nil {
 				f.log.Warn("map: it could not be cached; the next start fetches a snapshot", "err", err)
 				continue
 			}
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -19,27 +19,27 @@
 )
 
 // site is an authority with some feeds.
-type site struct {
+type testSite struct {
 	*testing.T
-	auth  *standin.Authority
-	cache string
+	authority *standin.Authority
+	cacheFile string
 }
 
-func start(t *testing.T) *site {
+func newTestSite(t *testing.T) *testSite {
 	t.Helper()
 	a, err := standin.StartAuthority()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(a.Close)
-	return &site{t, a, filepath.Join(t.TempDir(), "map")}
+	return &testSite{t, a, filepath.Join(t.TempDir(), "map")}
 }
 
 // feed starts one; the returned function ends it and waits.
-func (s *site) feed(change func(*mapfeed.Settings)) (*mapfeed.Feed, func()) {
+func (s *testSite) startFeed(change func(*mapfeed.Settings)) (*mapfeed.Feed, func()) {
 	s.Helper()
 	set := mapfeed.Default
-	set.URL, set.Gateway, set.RetryFirst, set.RetryTop, set.Gap, set.Book.Group = s.auth.URL(), "gateway-1", 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond, 64
+	set.URL, set.Gateway, set.MinRetryInterval, set.MaxRetryInterval, set.GapTimeout, set.Refresh.Group = s.authority.URL(), "gateway-1", 5*time.Millisecond, 50*time.Millisecond, 20*time.Millisecond, 64
 	if change != nil {
 		change(&set)
 	}
@@ -56,7 +56,7 @@
 	return f, stop
 }
 
-func (s *site) until(what string, ok func() bool) {
+func (s *testSite) waitUntil(what string, ok func() bool) {
 	s.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(); time.Sleep(time.Millisecond) {
 		if time.Now().After(limit) {
@@ -65,17 +65,17 @@
 	}
 }
 
-func at(volume string, from, to uint64, shard int32) extentmap.Run {
+func newRun(volume string, from, to uint64, shard int32) extentmap.Run {
 	return extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Home: extentmap.Home{Shard: shard}}
 }
 
 // same fails where a feed's map has an extent elsewhere than the authority.
-func (s *site) same(f *mapfeed.Feed, volume string, extents uint64) {
+func (s *testSite) checkEqual(f *mapfeed.Feed, volume string, extents uint64) {
 	s.Helper()
 	v := f.View()
 	vol, _ := v.Volume(volume)
 	for e := range extents {
-		want, there := s.auth.Home(volume, e)
+		want, there := s.authority.Home(volume, e)
 		got, _, ok := v.Lookup(vol, e)
 		if ok && got.Shard == extentmap.Nowhere {
 			ok = false
@@ -88,19 +88,19 @@
 
 // TestFeedThroughTrouble: changes that come out of order, twice, and not at all; a gateway that is too far behind to
 // resume; an authority that goes down, and one that was restored to an earlier version.
-func TestFeedThroughTrouble(t *testing.T) {
-	s := start(t)
+func TestFeedWithFaults(t *testing.T) {
+	s := newTestSite(t)
 	rng := rand.New(rand.NewSource(1))
 	put := func(n int) {
 		for range n {
 			from := uint64(rng.Intn(400))
-			s.auth.Put(at("v", from, from+1+uint64(rng.Intn(30)), int32(rng.Intn(5))))
+			s.authority.Put(newRun("v", from, from+1+uint64(rng.Intn(30)), int32(rng.Intn(5))))
 		}
 	}
 	put(50)
-	f, _ := s.feed(nil)
+	f, _ := s.startFeed(nil)
 	var seen sync.Map
-	s.auth.Script(func(_ string, version uint64) standin.Delivery {
+	s.authority.Script(func(_ string, version uint64) standin.Delivery {
 		if _, again := seen.LoadOrStore(version, true); again {
 			return standin.Delivery{} // resumed: it comes
 		}
@@ -114,34 +114,34 @@
 		}
 		return standin.Delivery{}
 	})
-	current := func() bool { v := f.View(); return v.Synced && int(v.Mark) == s.auth.Versions() }
+	current := func() bool { v := f.View(); return v.Synced && int(v.Mark) == s.authority.Versions() }
 	for range 10 {
 		put(30)
-		s.until("all changes", current)
-		s.same(f, "v", 450)
+		s.waitUntil("all changes", current)
+		s.checkEqual(f, "v", 450)
 	}
 	if st := f.State(); st.Resumed == 0 || st.Snapshots != 1 {
 		t.Errorf("%+v: skipped changes are resumed, not mended by a snapshot", st)
 	}
 
-	s.auth.Script(nil)
-	s.auth.Keep(5)
-	s.auth.Down(true)
-	s.until("the stream's end", func() bool { return !f.State().Connected })
+	s.authority.Script(nil)
+	s.authority.Keep(5)
+	s.authority.Down(true)
+	s.waitUntil("the stream's end", func() bool { return !f.State().Connected })
 	put(50)
-	s.auth.Down(false)
-	s.until("all changes", current)
-	s.same(f, "v", 450)
+	s.authority.Down(false)
+	s.waitUntil("all changes", current)
+	s.checkEqual(f, "v", 450)
 	if st := f.State(); st.Snapshots != 2 {
 		t.Errorf("%+v: it was too far behind to resume", st)
 	}
 
 	held := f.View()
-	s.auth.Restore(held.Mark - 60)
-	s.until("the other term", func() bool { return f.View().Term == 2 })
+	s.authority.Restore(held.Mark - 60)
+	s.waitUntil("the other term", func() bool { return f.View().Term == 2 })
 	put(3)
-	s.until("all changes", current)
-	s.same(f, "v", 450)
+	s.waitUntil("all changes", current)
+	s.checkEqual(f, "v", 450)
 	if st := f.State(); st.Terms != 1 || held.Term != 1 {
 		t.Errorf("%+v; a view held says term %d", st, held.Term)
 	}
@@ -149,21 +149,21 @@
 
 // TestOneQuestionForAThousand: a thousand requests want a range that has just moved, of which the feed brings no
 // word; one question is asked, and all go to the new home.
-func TestOneQuestionForAThousand(t *testing.T) {
-	s := start(t)
-	s.auth.Put(at("v", 0, 64, 1))
-	f, _ := s.feed(func(set *mapfeed.Settings) { set.Gap = time.Hour })
-	s.until("the map", func() bool { return f.View().Mark == 1 })
-	s.auth.Script(func(string, uint64) standin.Delivery { return standin.Delivery{Skip: true} })
-	s.auth.Slow(20 * time.Millisecond)
-	moved := s.auth.Put(at("v", 0, 64, 2))
+func TestOneRefreshForAllRequests(t *testing.T) {
+	s := newTestSite(t)
+	s.authority.Put(newRun("v", 0, 64, 1))
+	f, _ := s.startFeed(func(set *mapfeed.Settings) { set.GapTimeout = time.Hour })
+	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
+	s.authority.Script(func(string, uint64) standin.Delivery { return standin.Delivery{Skip: true} })
+	s.authority.Slow(20 * time.Millisecond)
+	moved := s.authority.Put(newRun("v", 0, 64, 2))
 	if !f.Moved("v", 5, extentmap.MovedAnswer{Version: moved}) {
 		t.Fatal("the node's word is no news")
 	}
 	var wrong, came atomic.Int32
 	var ask func(extent uint64)
 	ask = func(extent uint64) {
-		switch v := f.Ask("v", extent, 10*time.Second, func() { ask(extent) }); {
+		switch v := f.Decide("v", extent, 10*time.Second, func() { ask(extent) }); {
 		case v.Action == extentmap.Wait:
 		case v.Action == extentmap.Use && v.Shard == 2 && v.Version == moved:
 			came.Add(1)
@@ -174,9 +174,9 @@
 	for i := range 1000 {
 		go ask(uint64(i % 64))
 	}
-	s.until("all answers", func() bool { return came.Load()+wrong.Load() == 1000 })
-	if wrong.Load() > 0 || s.auth.Asked("range") != 1 {
-		t.Errorf("%d went elsewhere, %d questions were asked", wrong.Load(), s.auth.Asked("range"))
+	s.waitUntil("all answers", func() bool { return came.Load()+wrong.Load() == 1000 })
+	if wrong.Load() > 0 || s.authority.Asked("range") != 1 {
+		t.Errorf("%d went elsewhere, %d questions were asked", wrong.Load(), s.authority.Asked("range"))
 	}
 	if st := f.State(); st.Waiting != 0 {
 		t.Errorf("%+v", st)
@@ -185,19 +185,19 @@
 
 // TestCutOff: the authority is gone. What is known is used, what a node tells is used too, and what nobody
 // knows is refused with a time to come back; once it is there again, all is asked for.
-func TestCutOff(t *testing.T) {
-	s := start(t)
-	s.auth.Put(at("v", 0, 64, 1), at("v", 64, 128, 3))
-	f, _ := s.feed(nil)
-	s.until("the map", func() bool { return f.View().Mark == 1 })
-	s.auth.Down(true)
-	s.until("the stream's end", func() bool { return !f.State().Connected })
-	moved := s.auth.Put(at("v", 0, 64, 2))
+func TestAuthorityUnreachable(t *testing.T) {
+	s := newTestSite(t)
+	s.authority.Put(newRun("v", 0, 64, 1), newRun("v", 64, 128, 3))
+	f, _ := s.startFeed(nil)
+	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
+	s.authority.Down(true)
+	s.waitUntil("the stream's end", func() bool { return !f.State().Connected })
+	moved := s.authority.Put(newRun("v", 0, 64, 2))
 	f.Moved("v", 5, extentmap.MovedAnswer{Version: moved, Home: extentmap.Home{Shard: 2}, Known: true})
 	ask := func(extent uint64, patience time.Duration) extentmap.Decision {
-		return f.Ask("v", extent, patience, func() {})
+		return f.Decide("v", extent, patience, func() {})
 	}
-	s.until("some failures", func() bool { return f.State().Failed > 2 })
+	s.waitUntil("some failures", func() bool { return f.State().Failed > 2 })
 	if v := ask(5, time.Second); v.Action != extentmap.Use || v.Shard != 2 {
 		t.Errorf("what a node told: %+v", v)
 	}
@@ -207,33 +207,33 @@
 	if v := ask(6, time.Millisecond); v.Action != extentmap.Refuse || v.RetryAfter < time.Millisecond {
 		t.Errorf("what is only known to be wrong: %+v", v)
 	}
-	s.auth.Down(false)
-	s.until("the authority's word", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
+	s.authority.Down(false)
+	s.waitUntil("the authority's word", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
 }
 
 // TestStartsFromTheCache: a start needs no snapshot; where a block of the cache is torn only its extents are
 // asked for; no cache at all is a snapshot.
-func TestStartsFromTheCache(t *testing.T) {
-	s := start(t)
+func TestStartFromCache(t *testing.T) {
+	s := newTestSite(t)
 	const extents = 60_000
 	var runs []extentmap.Run
 	for e := uint64(0); e < extents; e++ {
-		runs = append(runs, at("v", e, e+1, int32(e%11)))
+		runs = append(runs, newRun("v", e, e+1, int32(e%11)))
 	}
-	s.auth.Put(runs...)
-	cached := func(set *mapfeed.Settings) { set.Cache = s.cache }
-	f, stop := s.feed(cached)
-	s.until("the map", func() bool { return f.View().Mark == 1 })
+	s.authority.Put(runs...)
+	cached := func(set *mapfeed.Settings) { set.CacheFile = s.cacheFile }
+	f, stop := s.startFeed(cached)
+	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
 	stop()
-	b, err := os.ReadFile(s.cache)
+	b, err := os.ReadFile(s.cacheFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.auth.Put(at("v", 7, 9, 50)) // while it was down
-	f, stop = s.feed(cached)
-	s.until("the change since", func() bool { return f.View().Mark == 2 })
-	if s.auth.Asked("snapshot") != 1 || f.View().Extents != extents {
-		t.Errorf("%d snapshots; %d extents", s.auth.Asked("snapshot"), f.View().Extents)
+	s.authority.Put(newRun("v", 7, 9, 50)) // while it was down
+	f, stop = s.startFeed(cached)
+	s.waitUntil("the change since", func() bool { return f.View().Mark == 2 })
+	if s.authority.Asked("snapshot") != 1 || f.View().Extents != extents {
+		t.Errorf("%d snapshots; %d extents", s.authority.Asked("snapshot"), f.View().Extents)
 	}
 	stop()
 	blocks := (len(b) - mapfile.HeaderBytes) / mapfile.BlockBytes
@@ -241,62 +241,62 @@
 		t.Fatalf("%d blocks", blocks)
 	}
 	b[mapfile.HeaderBytes+mapfile.BlockBytes+50]++ // the second
-	if err := os.WriteFile(s.cache, b, 0o644); err != nil {
+	if err := os.WriteFile(s.cacheFile, b, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	f, stop = s.feed(cached)
-	s.until("the change since", func() bool { return f.View().Mark == 2 })
+	f, stop = s.startFeed(cached)
+	s.waitUntil("the change since", func() bool { return f.View().Mark == 2 })
 	lost := uint64(extents) - f.View().Extents
-	if st := f.State(); st.Damaged != 1 || lost == 0 || lost > extents/2 || s.auth.Asked("snapshot") != 1 {
-		t.Errorf("%+v: %d extents lost, %d snapshots", st, lost, s.auth.Asked("snapshot"))
+	if st := f.State(); st.Damaged != 1 || lost == 0 || lost > extents/2 || s.authority.Asked("snapshot") != 1 {
+		t.Errorf("%+v: %d extents lost, %d snapshots", st, lost, s.authority.Asked("snapshot"))
 	}
-	before := s.auth.Asked("range")
+	before := s.authority.Asked("range")
 	for e := uint64(0); e < extents; e += 500 {
 		again := make(chan struct{}, 1)
-		v := f.Ask("v", e, 10*time.Second, func() { again <- struct{}{} })
+		v := f.Decide("v", e, 10*time.Second, func() { again <- struct{}{} })
 		if v.Action == extentmap.Wait {
 			<-again
-			v = f.Ask("v", e, 10*time.Second, func() {})
+			v = f.Decide("v", e, 10*time.Second, func() {})
 		}
-		if want, _ := s.auth.Home("v", e); v.Action != extentmap.Use || v.Home != want {
+		if want, _ := s.authority.Home("v", e); v.Action != extentmap.Use || v.Home != want {
 			t.Fatalf("%d: %+v, want %v", e, v, want)
 		}
 	}
-	if n := s.auth.Asked("range") - before; n == 0 || n > int(lost/500)+2 {
+	if n := s.authority.Asked("range") - before; n == 0 || n > int(lost/500)+2 {
 		t.Errorf("%d questions for %d lost extents", n, lost)
 	}
 	stop()
-	if err := os.WriteFile(s.cache, []byte("torn"), 0o644); err != nil {
+	if err := os.WriteFile(s.cacheFile, []byte("torn"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	f, _ = s.feed(cached)
-	s.until("the map", func() bool { return f.View().Mark == 2 })
-	if s.auth.Asked("snapshot") != 2 {
-		t.Errorf("%d snapshots", s.auth.Asked("snapshot"))
+	f, _ = s.startFeed(cached)
+	s.waitUntil("the map", func() bool { return f.View().Mark == 2 })
+	if s.authority.Asked("snapshot") != 2 {
+		t.Errorf("%d snapshots", s.authority.Asked("snapshot"))
 	}
 }
 
 // TestSnapshotStalls: one that stops in the middle is given up and asked for again, and nothing of it is taken.
 func TestSnapshotStalls(t *testing.T) {
-	s := start(t)
-	s.auth.Put(at("v", 0, 64, 1))
-	s.auth.Stall(1)
-	f, _ := s.feed(func(set *mapfeed.Settings) { set.Silence = 1500 * time.Millisecond })
-	s.until("the map", func() bool { return f.View().Mark == 1 })
-	if st := f.State(); s.auth.Asked("snapshot") < 2 || st.Snapshots != 1 || st.Damaged != 0 {
-		t.Errorf("%d asked for: %+v", s.auth.Asked("snapshot"), st)
-	}
-	s.same(f, "v", 70)
+	s := newTestSite(t)
+	s.authority.Put(newRun("v", 0, 64, 1))
+	s.authority.Stall(1)
+	f, _ := s.startFeed(func(set *mapfeed.Settings) { set.SilenceTimeout = 1500 * time.Millisecond })
+	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
+	if st := f.State(); s.authority.Asked("snapshot") < 2 || st.Snapshots != 1 || st.Damaged != 0 {
+		t.Errorf("%d asked for: %+v", s.authority.Asked("snapshot"), st)
+	}
+	s.checkEqual(f, "v", 70)
 }
 
 // TestBadSettings: what cannot be is named.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for i, change := range []func(*mapfeed.Settings){
 		func(s *mapfeed.Settings) { s.URL = "nowhere" },
-		func(s *mapfeed.Settings) { s.Waiting = 0 },
-		func(s *mapfeed.Settings) { s.Ceiling = 1 },
-		func(s *mapfeed.Settings) { s.Book.Group = 100 },
-		func(s *mapfeed.Settings) { s.Gap = 0 },
+		func(s *mapfeed.Settings) { s.MaxWaiting = 0 },
+		func(s *mapfeed.Settings) { s.MaxRuns = 1 },
+		func(s *mapfeed.Settings) { s.Refresh.Group = 100 },
+		func(s *mapfeed.Settings) { s.GapTimeout = 0 },
 	} {
 		set := mapfeed.Default
 		set.URL = "http://127.0.0.1:1/map"
@@ -323,7 +323,7 @@
 			var feeds []*mapfeed.Feed
 			for i := range gateways {
 				set := mapfeed.Default
-				set.URL, set.Gateway, set.Ceiling = a.URL(), fmt.Sprint("gateway-", i), 100_000
+				set.URL, set.Gateway, set.MaxRuns = a.URL(), fmt.Sprint("gateway-", i), 100_000
 				f, err := mapfeed.New(set, slog.New(slog.DiscardHandler))
 				if err != nil {
 					b.Fatal(err)
@@ -339,9 +339,9 @@
 					}
 				}
 			}
-			use(a.Put(at("v", 0, 64, 1)))
+			use(a.Put(newRun("v", 0, 64, 1)))
 			for i := 0; b.Loop(); i++ {
-				use(a.Put(at("v", uint64(i%1000*64), uint64(i%1000*64+64), int32(i%7))))
+				use(a.Put(newRun("v", uint64(i%1000*64), uint64(i%1000*64+64), int32(i%7))))
 			}
 		})
 	}
--- a/internal/mapfeed/message.go
+++ b/internal/mapfeed/message.go
@@ -26,7 +26,7 @@
 }
 
 // MostRuns is the most runs of one change or answer.
-const MostRuns = 1 << 20
+const MaxRuns = 1 << 20
 
 // ParseChange reads an event's data or an answer.
 func ParseChange(b []byte) (Change, error) {
@@ -34,8 +34,8 @@
 	if err := json.Unmarshal(b, &c); err != nil {
 		return c, fmt.Errorf("mapfeed: %w", err)
 	}
-	if len(c.Runs) > MostRuns {
-		return c, fmt.Errorf("mapfeed: a change of %d ranges: at most %d", len(c.Runs), MostRuns)
+	if len(c.Runs) > MaxRuns {
+		return c, fmt.Errorf("mapfeed: a change of %d ranges: at most %d", len(c.Runs), MaxRuns)
 	}
 	return c, nil
 }
--- a/internal/mapfile/columns.go
+++ b/internal/mapfile/columns.go
@@ -23,16 +23,17 @@
 	Version uint64 `parquet:"version"`
 }
 
-// The file's own metadata, by key.
+// Keys of the file's metadata.
 const (
 	keyTerm    = "eiderhold.map.term"
 	keyVersion = "eiderhold.map.version"
 )
 
-// rowsAtOnce are handed to or taken from the file together.
-const rowsAtOnce = 4096
+// rowBatchSize is the number of rows written or read at a time.
+const rowBatchSize = 4096
 
-// Export writes a view as a columnar file, a row a run, whole or not at all, and returns the rows.
+// Export writes a view to a columnar file with one row per run, and returns the number of rows. The file is
+// replaced atomically.
 func Export(path string, v *extentmap.View) (rows int, err error) {
 	f, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o644))
 	if err != nil {
@@ -41,7 +42,7 @@
 	defer func() { _ = f.Cleanup() }()
 	w := parquet.NewGenericWriter[row](f, parquet.Compression(&parquet.Zstd),
 		parquet.KeyValueMetadata(keyTerm, strconv.FormatUint(v.Term, 10)), parquet.KeyValueMetadata(keyVersion, strconv.FormatUint(v.Mark, 10)))
-	batch := make([]row, 0, rowsAtOnce)
+	batch := make([]row, 0, rowBatchSize)
 	flush := func() bool {
 		_, err = w.Write(batch)
 		rows += len(batch)
@@ -50,7 +51,7 @@
 	}
 	v.All(func(r extentmap.Run) bool {
 		batch = append(batch, row{r.Volume, r.From, r.To, r.Shard, r.Epoch, r.Version})
-		return len(batch) < rowsAtOnce || flush()
+		return len(batch) < rowBatchSize || flush()
 	})
 	if err == nil {
 		flush()
@@ -67,16 +68,16 @@
 	return rows, nil
 }
 
-// Import reads a columnar file as Export writes it into a map.
+// Import loads a columnar file written by Export into a map.
 func Import(path string, m *extentmap.Map) (err error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return fmt.Errorf("mapfile: %w", err)
 	}
 	defer func() { _ = f.Close() }()
-	defer func() { // the library panics on some files that are none of its kind
+	defer func() { // the library panics on some files that are not in Parquet format
 		if p := recover(); p != nil {
-			err = fmt.Errorf("mapfile: %s: not a columnar file that can be read: %v", path, p)
+			err = fmt.Errorf("mapfile: %s: not a readable columnar file: %v", path, p)
 		}
 	}()
 	info, err := f.Stat()
@@ -90,7 +91,7 @@
 	number := func(key string) (uint64, error) {
 		text, ok := pf.Lookup(key)
 		if !ok {
-			return 0, fmt.Errorf("mapfile: %s: its metadata lacks %s: written by eiderhold map export?", path, key)
+			return 0, fmt.Errorf("mapfile: %s: the metadata has no key %s; expected a file written by eiderhold map export", path, key)
 		}
 		n, err := strconv.ParseUint(text, 10, 64)
 		if err != nil {
@@ -108,7 +109,7 @@
 	}
 	r := parquet.NewGenericReader[row](pf)
 	defer func() { _ = r.Close() }()
-	batch := make([]row, rowsAtOnce)
+	batch := make([]row, rowBatchSize)
 	var left []row
 	at := 0
 	_, err = m.Snapshot(term, version, func() (extentmap.Run, bool, error) {
--- a/internal/mapfile/file.go
+++ b/internal/mapfile/file.go
@@ -11,14 +11,14 @@
 	"eiderhold/extentmap"
 )
 
-// Save writes a view to a file, whole or not at all: a crash leaves the one before.
+// Save writes a view to a file and replaces the file atomically: after a crash the previous file is still there.
 func Save(path string, v *extentmap.View) (Header, error) {
 	f, err := renameio.NewPendingFile(path, renameio.WithPermissions(0o644))
 	if err != nil {
 		return Header{}, fmt.Errorf("mapfile: %w", err)
 	}
-	defer func() { _ = f.Cleanup() }() // after a replacement it does nothing
-	w := &seeker{bufio.NewWriterSize(f, 1<<20), f}
+	defer func() { _ = f.Cleanup() }() // no effect after the replacement
+	w := &bufferedSeeker{bufio.NewWriterSize(f, 1<<20), f}
 	h, err := Write(w, v)
 	if err == nil {
 		err = w.Flush()
@@ -32,21 +32,21 @@
 	return h, nil
 }
 
-// seeker is a buffered writer that can go back.
-type seeker struct {
+// bufferedSeeker is a buffered writer that supports seeking.
+type bufferedSeeker struct {
 	*bufio.Writer
-	under io.Seeker
+	file io.Seeker
 }
 
-func (s *seeker) Seek(offset int64, whence int) (int64, error) {
+func (s *bufferedSeeker) Seek(offset int64, whence int) (int64, error) {
 	if err := s.Flush(); err != nil {
 		return 0, err
 	}
-	return s.under.Seek(offset, whence)
+	return s.file.Seek(offset, whence)
 }
 
-// Load reads a file into a map, as a snapshot of its term and version. Blocks that cannot be read are
-// returned: what lay in them is unknown. Not taken: the map knows more already.
+// Load reads a file into a map as a snapshot of the file's term and version. It returns the blocks that could not
+// be read, whose extents are unknown. If taken is false, the map is newer than the file and was not changed.
 func Load(path string, m *extentmap.Map) (h Header, damaged []Damage, taken bool, err error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/internal/mapfile/mapfile.go
+++ b/internal/mapfile/mapfile.go
@@ -1,10 +1,9 @@
-// Package mapfile reads and writes snapshots of the extent map: what the authority hands out, and the cache
-// that a gateway starts from. It is bytes to values and back; extentmap decides what they mean. The layout is
-// in docs/format/mapfile.md.
+// Package mapfile reads and writes snapshots of the extent map: the ones that the authority sends, and the cache
+// from which a gateway starts. It only converts between bytes and values; extentmap defines their meaning. The
+// layout is documented in docs/format/mapfile.md. Package mapfeed and the command eiderhold map use it.
 //
-// A file is a header and blocks of one size, each with a checksum and complete in itself, so that what is torn
-// or old costs its own block only: the extents of a block that cannot be read are unknown, and asked for
-// when they are wanted.
+// A file is a header followed by blocks of a fixed size. Each block has a checksum and can be read by itself, so a
+// torn or outdated block affects only its own extents: they are unknown and fetched when they are requested.
 package mapfile
 
 import (
@@ -19,27 +18,27 @@
 	"eiderhold/extentmap"
 )
 
-// The layout's numbers.
+// Constants of the layout.
 const (
-	Magic       = "EHXTMAP\n"
-	Format      = 1
-	HeaderBytes = 64
-	BlockBytes  = 64 << 10
-	blockHead   = 24
-	MostName    = 1024 // bytes of a volume's name
-	MostBlocks  = 1 << 20
+	Magic            = "EHXTMAP\n"
+	Format           = 1
+	HeaderBytes      = 64
+	BlockBytes       = 64 << 10
+	blockHeaderBytes = 24
+	MaxNameBytes     = 1024 // maximum length of a volume's name
+	MaxBlocks        = 1 << 20
 )
 
-// Header is the first 64 bytes.
+// Header is the content of the first 64 bytes.
 type Header struct {
 	Term    uint64 `json:"term"`    // of the authority
-	Version uint64 `json:"version"` // all changes up to it are in
+	Version uint64 `json:"version"` // all changes up to it are included
 	Runs    uint64 `json:"runs"`
-	Extents uint64 `json:"extents"` // that have a home
+	Extents uint64 `json:"extents"` // number of extents that exist
 	Blocks  uint32 `json:"blocks"`
 }
 
-// What may be wrong with a file as a whole.
+// Errors that concern a file as a whole.
 var (
 	ErrMagic  = errors.New("mapfile: not a snapshot of an extent map")
 	ErrHeader = errors.New("mapfile: the header is damaged")
@@ -58,13 +57,13 @@
 	return binary.LittleEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-// ParseHeader reads the first 64 bytes.
+// ParseHeader parses the first 64 bytes of a file.
 func ParseHeader(b []byte) (h Header, err error) {
 	if len(b) < len(Magic) || string(b[:len(Magic)]) != Magic {
 		return h, ErrMagic
 	}
 	if len(b) < HeaderBytes {
-		return h, fmt.Errorf("%w: %d bytes of %d", ErrHeader, len(b), HeaderBytes)
+		return h, fmt.Errorf("%w: %d bytes, expected %d", ErrHeader, len(b), HeaderBytes)
 	}
 	if sum := xxhash.Sum64(b[:HeaderBytes-8]); sum != binary.LittleEndian.Uint64(b[HeaderBytes-8:]) {
 		return h, fmt.Errorf("%w: its checksum does not fit", ErrHeader)
@@ -74,14 +73,14 @@
 	}
 	h = Header{Blocks: binary.LittleEndian.Uint32(b[12:]), Term: binary.LittleEndian.Uint64(b[16:]),
 		Version: binary.LittleEndian.Uint64(b[24:]), Runs: binary.LittleEndian.Uint64(b[32:]), Extents: binary.LittleEndian.Uint64(b[40:])}
-	if h.Blocks > MostBlocks {
-		return h, fmt.Errorf("mapfile: %d blocks: at most %d", h.Blocks, MostBlocks)
+	if h.Blocks > MaxBlocks {
+		return h, fmt.Errorf("mapfile: %d blocks, expected at most %d", h.Blocks, MaxBlocks)
 	}
 	return h, nil
 }
 
-// Write writes a view, but for runs of versions past its watermark: they stand beside gaps, and whoever reads
-// the file asks for them. The header comes last, so w must be one that can be written to at its start again.
+// Write writes a view without the runs of versions above its watermark: earlier changes may be missing around
+// them, and the reader of the file requests them anyway. The header is written last, at the start of w.
 func Write(w io.WriteSeeker, v *extentmap.View) (Header, error) {
 	h := Header{Term: v.Term, Version: v.Mark}
 	if _, err := w.Write(make([]byte, HeaderBytes)); err != nil {
@@ -90,20 +89,20 @@
 	b := newBlock(v.Mark)
 	var err error
 	flush := func() bool {
-		if h.Blocks == MostBlocks {
-			err = fmt.Errorf("mapfile: more than %d blocks", MostBlocks)
+		if h.Blocks == MaxBlocks {
+			err = fmt.Errorf("mapfile: more than %d blocks", MaxBlocks)
 			return false
 		}
 		h.Blocks++
-		if _, err = w.Write(b.seal(h.Blocks - 1)); err != nil {
+		if _, err = w.Write(b.finish(h.Blocks - 1)); err != nil {
 			err = fmt.Errorf("mapfile: block %d: %w", h.Blocks-1, err)
 		}
 		b = newBlock(v.Mark)
 		return err == nil
 	}
 	v.All(func(r extentmap.Run) bool {
-		if len(r.Volume) > MostName {
-			err = fmt.Errorf("mapfile: volume %.40q...: a name of %d bytes, at most %d", r.Volume, len(r.Volume), MostName)
+		if len(r.Volume) > MaxNameBytes {
+			err = fmt.Errorf("mapfile: volume %.40q...: name of %d bytes, expected at most %d", r.Volume, len(r.Volume), MaxNameBytes)
 			return false
 		}
 		if r.Version > v.Mark {
@@ -129,26 +128,26 @@
 	return h, nil
 }
 
-// block is one on its way out.
+// block is a block that is being written.
 type block struct {
-	bytes   []byte
-	scratch []byte
-	mark    uint64
-	runs    uint32
-	volume  string
-	end     uint64
-	home    extentmap.Home
-	any     bool // a home was written
+	bytes      []byte
+	scratch    []byte
+	watermark  uint64
+	runs       uint32
+	lastVolume string
+	lastEnd    uint64
+	lastHome   extentmap.Home
+	hasHome    bool // the block contains a location
 }
 
 func newBlock(mark uint64) *block {
-	return &block{bytes: make([]byte, blockHead, BlockBytes), mark: mark}
+	return &block{bytes: make([]byte, blockHeaderBytes, BlockBytes), watermark: mark}
 }
 
-// add appends a run; false if it does not fit. Runs come in order.
+// add appends a run and returns false if it does not fit. Runs must come in order.
 func (b *block) add(r *extentmap.Run) bool {
-	s, at, any, home := b.scratch[:0], b.end, b.any, b.home
-	if b.runs == 0 || r.Volume != b.volume {
+	s, at, hasHome, home := b.scratch[:0], b.lastEnd, b.hasHome, b.lastHome
+	if b.runs == 0 || r.Volume != b.lastVolume {
 		s = binary.AppendUvarint(s, 0)
 		s = binary.AppendUvarint(s, uint64(len(r.Volume)))
 		s = append(s, r.Volume...)
@@ -156,28 +155,28 @@
 	}
 	s = binary.AppendUvarint(s, r.From-at+1)
 	s = binary.AppendUvarint(s, r.To-r.From)
-	if any && r.Home == home {
+	if hasHome && r.Home == home {
 		s = binary.AppendUvarint(s, 0)
 	} else {
 		s = binary.AppendUvarint(s, uint64(int64(r.Shard)+2))
 		s = binary.AppendUvarint(s, uint64(r.Epoch))
 	}
-	s = binary.AppendUvarint(s, b.mark-r.Version)
+	s = binary.AppendUvarint(s, b.watermark-r.Version)
 	b.scratch = s
 	if len(b.bytes)+len(s) > BlockBytes {
 		return false
 	}
 	b.bytes = append(b.bytes, s...)
 	b.runs++
-	b.volume, b.end, b.home, b.any = r.Volume, r.To, r.Home, true
+	b.lastVolume, b.lastEnd, b.lastHome, b.hasHome = r.Volume, r.To, r.Home, true
 	return true
 }
 
-// seal is the block with its head, of its full size.
-func (b *block) seal(number uint32) []byte {
-	used := len(b.bytes) - blockHead
+// finish returns the block with its header, padded to the full size.
+func (b *block) finish(number uint32) []byte {
+	used := len(b.bytes) - blockHeaderBytes
 	full := b.bytes[:BlockBytes]
-	clear(full[blockHead+used:])
+	clear(full[blockHeaderBytes+used:])
 	binary.LittleEndian.PutUint32(full[8:], number)
 	binary.LittleEndian.PutUint32(full[12:], uint32(used))
 	binary.LittleEndian.PutUint32(full[16:], b.runs)
@@ -186,7 +185,7 @@
 	return full
 }
 
-// ParseBlock reads one block of a file: the number it should have, and the file's version.
+// ParseBlock parses a block of a file with its expected number and the version of the file.
 func ParseBlock(p []byte, number uint32, version uint64) ([]extentmap.Run, error) {
 	wrong := func(format string, args ...any) error {
 		return fmt.Errorf("mapfile: block %d: "+format, append([]any{number}, args...)...)
@@ -198,106 +197,106 @@
 		return nil, wrong("its checksum does not fit")
 	}
 	if n := binary.LittleEndian.Uint32(p[8:]); n != number {
-		return nil, wrong("it says that it is block %d", n)
+		return nil, wrong("its number is %d", n)
 	}
 	used, count := binary.LittleEndian.Uint32(p[12:]), binary.LittleEndian.Uint32(p[16:])
-	if used > BlockBytes-blockHead || count > used/4 {
+	if used > BlockBytes-blockHeaderBytes || count > used/4 {
 		return nil, wrong("%d runs in %d bytes", count, used)
 	}
-	d := decoder{left: p[blockHead : blockHead+used]}
+	d := decoder{rest: p[blockHeaderBytes : blockHeaderBytes+used]}
 	runs := make([]extentmap.Run, 0, count)
 	var volume string
 	var at uint64
 	var home extentmap.Home
 	for len(runs) < int(count) {
-		gap := d.unsigned()
+		gap := d.readUvarint()
 		if gap == 0 {
-			volume, at = d.text(), 0
-			if gap = d.unsigned(); volume == "" || gap == 0 {
-				return nil, wrong("run %d: a volume without a name or a run", len(runs))
+			volume, at = d.readName(), 0
+			if gap = d.readUvarint(); volume == "" || gap == 0 {
+				return nil, wrong("run %d: volume without a name or a run", len(runs))
 			}
 		}
-		n, shard := d.unsigned(), d.unsigned()
+		n, shard := d.readUvarint(), d.readUvarint()
 		if shard != 0 {
-			epoch := d.unsigned()
+			epoch := d.readUvarint()
 			if shard > 1<<31 || epoch > 1<<32-1 {
 				return nil, wrong("run %d: shard %d, epoch %d", len(runs), int64(shard)-2, epoch)
 			}
 			home = extentmap.Home{Shard: int32(int64(shard) - 2), Epoch: uint32(epoch)}
 		} else if len(runs) == 0 {
-			return nil, wrong("run 0: it has the home of the one before it")
+			return nil, wrong("run 0: refers to the location of the run before")
 		}
-		before := d.unsigned()
-		if d.bad || volume == "" {
-			return nil, wrong("run %d: it ends in the middle", len(runs))
+		before := d.readUvarint()
+		if d.failed || volume == "" {
+			return nil, wrong("run %d: truncated", len(runs))
 		}
 		from := at + gap - 1
 		to := from + n
 		since := version - before
 		if from < at || to <= from || n > extentmap.MaxRunExtents || before > version {
-			return nil, wrong("run %d: %d extents from %d on, %d changes before version %d", len(runs), n, from, before, version)
+			return nil, wrong("run %d: invalid: %d extents from %d on, %d changes before version %d", len(runs), n, from, before, version)
 		}
 		runs = append(runs, extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Home: home, Version: since})
 		at = to
 	}
-	if len(d.left) > 0 {
-		return nil, wrong("%d bytes after its last run", len(d.left))
+	if len(d.rest) > 0 {
+		return nil, wrong("%d bytes after the last run", len(d.rest))
 	}
 	return runs, nil
 }
 
-// decoder takes numbers off the front of a block.
+// decoder reads values from the start of a block's content.
 type decoder struct {
-	left []byte
-	bad  bool
-	name string // the last one: most are the same
+	rest     []byte
+	failed   bool
+	lastName string // reused while consecutive names are equal
 }
 
-func (d *decoder) unsigned() uint64 {
-	x, n := binary.Uvarint(d.left)
+func (d *decoder) readUvarint() uint64 {
+	x, n := binary.Uvarint(d.rest)
 	if n <= 0 {
-		d.bad, d.left = true, nil
+		d.failed, d.rest = true, nil
 		return 0
 	}
-	d.left = d.left[n:]
+	d.rest = d.rest[n:]
 	return x
 }
 
-func (d *decoder) text() string {
-	n := d.unsigned()
-	if n > MostName || n > uint64(len(d.left)) {
-		d.bad, d.left = true, nil
+func (d *decoder) readName() string {
+	n := d.readUvarint()
+	if n > MaxNameBytes || n > uint64(len(d.rest)) {
+		d.failed, d.rest = true, nil
 		return ""
 	}
-	b := d.left[:n]
-	d.left = d.left[n:]
-	if !bytes.Equal(b, []byte(d.name)) {
-		d.name = string(b)
+	b := d.rest[:n]
+	d.rest = d.rest[n:]
+	if !bytes.Equal(b, []byte(d.lastName)) {
+		d.lastName = string(b)
 	}
-	return d.name
+	return d.lastName
 }
 
-// Damage is a block that could not be read: what lay in it is unknown.
+// Damage describes a block that could not be read and whose extents are therefore unknown.
 type Damage struct {
 	Block  uint32 `json:"block"`
-	Offset int64  `json:"offset"` // bytes in the file
+	Offset int64  `json:"offset"` // in the file, in bytes
 	Why    string `json:"why"`
 }
 
-// Reader hands out the runs of a file, block by block.
+// Reader returns the runs of a file one by one and reads it block by block.
 type Reader struct {
 	Header
 	Damaged []Damage
 
-	r     io.Reader
-	buf   []byte
-	runs  []extentmap.Run
-	block uint32
-	read  uint64 // runs handed out
-	ended error
+	r         io.Reader
+	buf       []byte
+	runs      []extentmap.Run
+	nextBlock uint32
+	runsRead  uint64 // number of runs returned by Next
+	truncated error  // set when the file ended inside a block
 }
 
-// NewReader reads the header.
+// NewReader reads the header and returns a Reader for the runs.
 func NewReader(r io.Reader) (*Reader, error) {
 	head := make([]byte, HeaderBytes)
 	n, err := io.ReadFull(r, head)
@@ -311,34 +310,34 @@
 	return &Reader{Header: h, r: r, buf: make([]byte, BlockBytes)}, nil
 }
 
-// Next returns the next run, as extentmap.Map.Snapshot wants it; blocks that cannot be read are left out
-// and noted in Damaged. The error is one of reading, never one of what was read.
+// Next returns the next run, as extentmap.Map.Snapshot expects it. Blocks that cannot be parsed are skipped and
+// added to Damaged; an error means that reading itself failed.
 func (r *Reader) Next() (run extentmap.Run, ok bool, err error) {
 	for len(r.runs) == 0 {
-		if r.ended != nil || r.block == r.Blocks {
+		if r.truncated != nil || r.nextBlock == r.Blocks {
 			return run, false, nil
 		}
-		offset := HeaderBytes + int64(r.block)*BlockBytes
+		offset := HeaderBytes + int64(r.nextBlock)*BlockBytes
 		n, err := io.ReadFull(r.r, r.buf)
 		if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) {
-			r.ended = err
-			r.Damaged = append(r.Damaged, Damage{r.block, offset, fmt.Sprintf("the file ends %d bytes into block %d of %d", n, r.block, r.Blocks)})
+			r.truncated = err
+			r.Damaged = append(r.Damaged, Damage{r.nextBlock, offset, fmt.Sprintf("the file ends after %d bytes of block %d of %d", n, r.nextBlock, r.Blocks)})
 			return run, false, nil
 		}
 		if err != nil {
-			return run, false, fmt.Errorf("mapfile: block %d: %w", r.block, err)
+			return run, false, fmt.Errorf("mapfile: block %d: %w", r.nextBlock, err)
 		}
-		runs, err := ParseBlock(r.buf, r.block, r.Version)
+		runs, err := ParseBlock(r.buf, r.nextBlock, r.Version)
 		if err != nil {
-			r.Damaged = append(r.Damaged, Damage{r.block, offset, err.Error()})
+			r.Damaged = append(r.Damaged, Damage{r.nextBlock, offset, err.Error()})
 		}
 		r.runs = runs
-		r.block++
+		r.nextBlock++
 	}
 	run, r.runs = r.runs[0], r.runs[1:]
-	r.read++
+	r.runsRead++
 	return run, true, nil
 }
 
-// Missing is how many of the runs that the header states were not in what was read.
-func (r *Reader) Missing() uint64 { return r.Runs - min(r.Runs, r.read) }
+// Missing returns how many of the runs stated in the header have not been read.
+func (r *Reader) Missing() uint64 { return r.Runs - min(r.Runs, r.runsRead) }
--- a/internal/mapfile/mapfile_test.go
+++ b/internal/mapfile/mapfile_test.go
@@ -16,8 +16,8 @@
 	"eiderhold/extentmap"
 )
 
-// view is a map of some volumes with so many runs each.
-func view(t interface {
+// newView returns a view of some volumes with a number of runs each.
+func newView(t interface {
 	Helper()
 	Fatal(...any)
 }, volumes, runs int, length func(i int) uint64) *extentmap.View {
@@ -46,13 +46,13 @@
 	return m.View()
 }
 
-func list(v *extentmap.View) (runs []extentmap.Run) {
+func allRuns(v *extentmap.View) (runs []extentmap.Run) {
 	v.All(func(r extentmap.Run) bool { runs = append(runs, r); return true })
 	return runs
 }
 
-// load reads a file's bytes into a fresh map.
-func load(t interface {
+// loadView loads a file into a new map.
+func loadView(t interface {
 	Helper()
 	Fatal(...any)
 }, path string) (*extentmap.View, []Damage) {
@@ -68,30 +68,31 @@
 	return m.View(), damaged
 }
 
-// TestRoundTrip: what was saved is loaded.
+// TestRoundTrip: loading a saved view returns the same runs.
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "map")
 	rapid.Check(t, func(t *rapid.T) {
 		lengths := rapid.SliceOfN(rapid.Uint64Range(1, 1<<33), 1, 20).Draw(t, "lengths")
-		v := view(t, rapid.IntRange(0, 3).Draw(t, "volumes"), rapid.IntRange(1, 200).Draw(t, "runs"), func(i int) uint64 { return lengths[i%len(lengths)] })
+		v := newView(t, rapid.IntRange(0, 3).Draw(t, "volumes"), rapid.IntRange(1, 200).Draw(t, "runs"), func(i int) uint64 { return lengths[i%len(lengths)] })
 		h, err := Save(path, v)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, damaged := load(t, path)
+		got, damaged := loadView(t, path)
 		if len(damaged) > 0 || got.Term != 3 || got.Mark != 1000 || h.Runs != uint64(v.Len()) || h.Extents != v.Extents {
 			t.Fatalf("%+v, damaged %v, term %d, version %d", h, damaged, got.Term, got.Mark)
 		}
-		if a, b := list(v), list(got); !slices.Equal(a, b) {
-			t.Fatalf("%d runs came back as %d", len(a), len(b))
+		if a, b := allRuns(v), allRuns(got); !slices.Equal(a, b) {
+			t.Fatalf("%d runs saved, %d loaded", len(a), len(b))
 		}
 	})
 }
 
-// TestTornAtEachBlock: one damaged block costs its own runs only, wherever it is; so does a file that ends early.
-func TestTornAtEachBlock(t *testing.T) {
+// TestDamagedBlocks: a damaged block, whichever it is, loses only its own runs; a truncated file loses only the
+// runs after its end.
+func TestDamagedBlocks(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "map")
-	v := view(t, 4, 20_000, func(i int) uint64 { return uint64(1 + i%300) })
+	v := newView(t, 4, 20_000, func(i int) uint64 { return uint64(1 + i%300) })
 	h, err := Save(path, v)
 	if err != nil {
 		t.Fatal(err)
@@ -103,33 +104,33 @@
 	if h.Blocks < 6 || len(whole) != HeaderBytes+int(h.Blocks)*BlockBytes {
 		t.Fatalf("%d bytes in %d blocks", len(whole), h.Blocks)
 	}
-	all, before := list(v), 0
+	all, before := allRuns(v), 0
 	for n := range h.Blocks {
 		start := HeaderBytes + int(n)*BlockBytes
 		in, err := ParseBlock(whole[start:start+BlockBytes], n, h.Version)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, at := range []int{0, blockHead + 1} {
+		for _, at := range []int{0, blockHeaderBytes + 1} {
 			torn := slices.Clone(whole)
 			torn[start+at] ^= 0x10
 			if err := os.WriteFile(path, torn, 0o644); err != nil {
 				t.Fatal(err)
 			}
-			got, damaged := load(t, path)
+			got, damaged := loadView(t, path)
 			if len(damaged) != 1 || damaged[0].Block != n || damaged[0].Offset != int64(start) {
 				t.Fatalf("block %d, byte %d: %v", n, at, damaged)
 			}
 			want := slices.Concat(all[:before], all[before+len(in):])
-			if !slices.Equal(list(got), want) {
-				t.Fatalf("block %d: %d runs of %d are left, want %d", n, got.Len(), len(all), len(want))
+			if !slices.Equal(allRuns(got), want) {
+				t.Fatalf("block %d: %d runs of %d loaded, want %d", n, got.Len(), len(all), len(want))
 			}
 		}
 		if err := os.WriteFile(path, whole[:start+100], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if got, damaged := load(t, path); len(damaged) != 1 || damaged[0].Block != n || !slices.Equal(list(got), all[:got.Len()]) {
-			t.Fatalf("ended in block %d: %v", n, damaged)
+		if got, damaged := loadView(t, path); len(damaged) != 1 || damaged[0].Block != n || !slices.Equal(allRuns(got), all[:got.Len()]) {
+			t.Fatalf("truncated in block %d: %v", n, damaged)
 		}
 		before += len(in)
 	}
@@ -138,40 +139,40 @@
 	}
 	m, _ := extentmap.New(1000)
 	if _, _, _, err := Load(path, m); !errors.Is(err, ErrMagic) {
-		t.Errorf("no snapshot: %v", err)
+		t.Errorf("not a snapshot: %v", err)
 	}
 	whole[20]++
 	if err := os.WriteFile(path, whole, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, _, err := Load(path, m); !errors.Is(err, ErrHeader) {
-		t.Errorf("a damaged header: %v", err)
+		t.Errorf("damaged header: %v", err)
 	}
 }
 
-// BenchmarkLoad is a start from the cache: 50 million extents in runs of 64.
+// BenchmarkLoad measures a start from the cache with 50 million extents in runs of 64.
 func BenchmarkLoad(b *testing.B) {
 	const runs = 50_000_000 / 64
 	path := filepath.Join(b.TempDir(), "map")
-	h, err := Save(path, view(b, 1, runs, func(int) uint64 { return 64 }))
+	h, err := Save(path, newView(b, 1, runs, func(int) uint64 { return 64 }))
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.SetBytes(HeaderBytes + int64(h.Blocks)*BlockBytes)
 	for b.Loop() {
-		if v, damaged := load(b, path); v.Len() != runs || len(damaged) > 0 {
+		if v, damaged := loadView(b, path); v.Len() != runs || len(damaged) > 0 {
 			b.Fatalf("%d runs, damaged: %v", v.Len(), damaged)
 		}
 	}
 }
 
-// FuzzBlock: no bytes make the parser panic or give runs that a map refuses, with a checksum that fits.
+// FuzzBlock: no block content with a valid checksum makes the parser panic or return runs that a map refuses.
 func FuzzBlock(f *testing.F) {
 	var blocks [][]byte
-	v := view(f, 2, 30, func(i int) uint64 { return uint64(1 + i%7) })
+	v := newView(f, 2, 30, func(i int) uint64 { return uint64(1 + i%7) })
 	b := newBlock(v.Mark)
 	v.All(func(r extentmap.Run) bool { b.add(&r); return true })
-	blocks = append(blocks, b.seal(0)[8:8+len(b.bytes)], []byte{0, 0, 0, 0, 6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 1, 'v', 1, 255, 2, 1, 0})
+	blocks = append(blocks, b.finish(0)[8:8+len(b.bytes)], []byte{0, 0, 0, 0, 6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 1, 'v', 1, 255, 2, 1, 0})
 	for _, b := range blocks {
 		f.Add(b)
 	}
@@ -195,12 +196,12 @@
 			}
 			return r, ok, nil
 		}); err != nil {
-			t.Errorf("a map refuses it: %v", err)
+			t.Errorf("a map refuses the parsed runs: %v", err)
 		}
 	})
 }
 
-// FuzzHeader: no bytes make it panic, and what is read is what is written.
+// FuzzHeader: no header makes the parser panic, and a parsed header is written back as the same bytes.
 func FuzzHeader(f *testing.F) {
 	h := Header{Term: 1, Version: 2, Runs: 3, Extents: 4, Blocks: 5}
 	f.Add(h.marshal())
@@ -208,7 +209,7 @@
 	f.Fuzz(func(t *testing.T, p []byte) {
 		h, err := ParseHeader(p)
 		if err == nil && !bytes.Equal(h.marshal(), p[:HeaderBytes]) {
-			// the bytes between the last field and the checksum are for later formats
+			// the bytes between the last field and the checksum are reserved for later formats
 			if !bytes.Equal(h.marshal()[:48], p[:48]) {
 				t.Errorf("%+v", h)
 			}
--- a/internal/migrate/log.go
+++ b/internal/migrate/log.go
@@ -18,9 +18,9 @@
 // The log's frame: a record is 4 bytes of length, 8 of xxHash64 of the body, little endian, and the body
 // (MessagePack). What a crash cut off the end was not acted on, and is dropped.
 const (
-	logMagic   = "EHMOVES1"
-	recordHead = 12
-	mostRecord = 16 << 20
+	logMagic          = "EHMOVES1"
+	recordHeaderBytes = 12
+	maxRecordBytes    = 16 << 20
 )
 
 // logFile is the mover's log on disk.
@@ -56,14 +56,14 @@
 		return nil, 0, errors.New("it is no log of moves: remove it if none are to go on")
 	}
 	for len(rest) > 0 {
-		if len(rest) < recordHead {
+		if len(rest) < recordHeaderBytes {
 			return records, len(rest), nil
 		}
 		n := binary.LittleEndian.Uint32(rest)
-		if n > mostRecord || int(n) > len(rest)-recordHead {
+		if n > maxRecordBytes || int(n) > len(rest)-recordHeaderBytes {
 			return records, len(rest), nil
 		}
-		body := rest[recordHead : recordHead+int(n)]
+		body := rest[recordHeaderBytes : recordHeaderBytes+int(n)]
 		if xxhash.Sum64(body) != binary.LittleEndian.Uint64(rest[4:]) {
 			return records, len(rest), nil
 		}
@@ -72,19 +72,19 @@
 			return nil, 0, fmt.Errorf("record %d: %w", len(records), err)
 		}
 		records = append(records, r)
-		rest = rest[recordHead+int(n):]
+		rest = rest[recordHeaderBytes+int(n):]
 	}
 	return records, 0, nil
 }
 
-func frame(into []byte, records []mover.Record) ([]byte, error) {
+func appendRecords(into []byte, records []mover.Record) ([]byte, error) {
 	for _, r := range records {
 		body, err := msgpack.Marshal(&r)
 		if err != nil {
 			return nil, fmt.Errorf("migrate: %w", err)
 		}
-		if len(body) > mostRecord {
-			return nil, fmt.Errorf("migrate: move %d: a record of %d bytes, at most %d", r.ID, len(body), mostRecord)
+		if len(body) > maxRecordBytes {
+			return nil, fmt.Errorf("migrate: move %d: a record of %d bytes, at most %d", r.ID, len(body), maxRecordBytes)
 		}
 		into = binary.LittleEndian.AppendUint32(into, uint32(len(body)))
 		into = binary.LittleEndian.AppendUint64(into, xxhash.Sum64(body))
@@ -95,7 +95,7 @@
 
 // replace makes the log these records, whole or not at all.
 func (l *logFile) replace(records []mover.Record) error {
-	b, err := frame([]byte(logMagic), records)
+	b, err := appendRecords([]byte(logMagic), records)
 	if err != nil {
 		return err
 	}
@@ -114,7 +114,7 @@
 	if len(records) == 0 {
 		return nil
 	}
-	b, err := frame(nil, records)
+	b, err := appendRecords(nil, records)
 	if err == nil {
 		_, err = l.f.Write(b)
 	}
--- a/internal/migrate/log_test.go
+++ b/internal/migrate/log_test.go
@@ -9,21 +9,21 @@
 	"eiderhold/mover"
 )
 
-func records() []mover.Record {
+func testRecords() []mover.Record {
 	mv := &mover.Move{ID: 3, Volume: "v", Name: "base\x00path", Source: 1, Target: 2, Items: []mover.Item{{Extent: 4, Bytes: 5}}}
 	return []mover.Record{{ID: 3, Step: mover.Waiting, Move: mv}, {ID: 3, Step: mover.Copying}, {ID: 3, Step: mover.Undoing, Why: "a test"}}
 }
 
 // TestLogTorn: a log cut at any byte is read up to its last whole record, and goes on from there; one with a byte
 // changed likewise; what is no log is refused.
-func TestLogTorn(t *testing.T) {
+func TestTornLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), LogFile)
 	l, got, torn, err := openLog(path)
 	if err != nil || len(got) != 0 || torn != 0 {
 		t.Fatal(got, torn, err)
 	}
 	var ends []int // bytes after each record
-	for _, r := range records() {
+	for _, r := range testRecords() {
 		if err := l.append([]mover.Record{r}); err != nil {
 			t.Fatal(err)
 		}
@@ -47,13 +47,13 @@
 			t.Fatal(err)
 		}
 		l, got, torn, err := openLog(path)
-		if err != nil || len(got) != n || n > 0 && !reflect.DeepEqual(got, records()[:n]) {
+		if err != nil || len(got) != n || n > 0 && !reflect.DeepEqual(got, testRecords()[:n]) {
 			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
 		}
 		if whole := cut == len(logMagic) || cut == 0 || n > 0 && ends[n-1] == cut; whole != (torn == 0) {
 			t.Fatalf("cut at %d: %d bytes torn", cut, torn)
 		}
-		if err := l.append(records()[2:]); err != nil {
+		if err := l.append(testRecords()[2:]); err != nil {
 			t.Fatal(err)
 		}
 		l.close()
@@ -65,7 +65,7 @@
 			t.Fatalf("cut at %d, then one more: %d records, %d bytes torn, %v", cut, len(got), torn, err)
 		}
 	}
-	whole[ends[0]+recordHead+1]++
+	whole[ends[0]+recordHeaderBytes+1]++
 	if got, torn, err := parseLog(whole); err != nil || len(got) != 1 || torn != len(whole)-ends[0] {
 		t.Errorf("a changed byte: %d records, %d bytes torn, %v", len(got), torn, err)
 	}
@@ -79,7 +79,7 @@
 
 // FuzzLog: no bytes make the parser or a mover that is fed its records panic.
 func FuzzLog(f *testing.F) {
-	b, err := frame([]byte(logMagic), records())
+	b, err := appendRecords([]byte(logMagic), testRecords())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -27,7 +27,7 @@
 const LogFile = "moves.log"
 
 // forgetAt is how many records a log holds before it is written anew without moves that are over.
-const forgetAt = 10_000
+const compactThreshold = 10_000
 
 // Options of a runner.
 type Options struct {
@@ -43,21 +43,21 @@
 
 // Runner carries moves out.
 type Runner struct {
-	opt     Options
-	log     *logFile
-	mover   *mover.Mover
-	began   time.Time
-	next    uint64 // id of the next move
-	records int    // in the log
+	opt         Options
+	log         *logFile
+	mover       *mover.Mover
+	startTime   time.Time
+	nextID      uint64 // id of the next move
+	recordCount int    // in the log
 
-	ended    chan ended
+	ended    chan endedAction
 	commands chan func(context.Context)
 	stopped  chan struct{}
 }
 
-type ended struct {
+type endedAction struct {
 	mover.Action
-	how     mover.Outcome
+	outcome mover.Outcome
 	version uint64
 }
 
@@ -70,24 +70,24 @@
 	if torn > 0 {
 		opt.Log.Warn("migrate: the end of the log was cut by a crash; what it said was not begun", "bytes", torn)
 	}
-	r := &Runner{opt: opt, log: l, began: time.Now(), records: len(records), ended: make(chan ended, 64), commands: make(chan func(context.Context)), stopped: make(chan struct{})}
+	r := &Runner{opt: opt, log: l, startTime: time.Now(), recordCount: len(records), ended: make(chan endedAction, 64), commands: make(chan func(context.Context)), stopped: make(chan struct{})}
 	if r.mover, err = mover.New(opt.Settings, records, 0); err != nil {
 		l.close()
 		return nil, fmt.Errorf("migrate: %s: %w", l.path, err)
 	}
 	for _, x := range records {
-		r.next = max(r.next, x.ID+1)
+		r.nextID = max(r.nextID, x.ID+1)
 	}
 	return r, nil
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.began) }
+func (r *Runner) now() time.Duration { return time.Since(r.startTime) }
 
 // Run carries moves out until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	defer close(r.stopped)
 	defer r.log.close()
-	r.carry(ctx, r.mover.Tick(r.now()))
+	r.process(ctx, r.mover.Tick(r.now()))
 	for {
 		var timer <-chan time.Time
 		if at, ok := r.mover.Next(); ok {
@@ -97,17 +97,17 @@
 		case <-ctx.Done():
 			return
 		case e := <-r.ended:
-			r.carry(ctx, r.mover.Ended(e.Action, e.how, e.version, r.now()))
+			r.process(ctx, r.mover.Ended(e.Action, e.outcome, e.version, r.now()))
 		case f := <-r.commands:
 			f(ctx)
 		case <-timer:
-			r.carry(ctx, r.mover.Tick(r.now()))
+			r.process(ctx, r.mover.Tick(r.now()))
 		}
 	}
 }
 
 // carry puts the records on disk, then begins the actions. Without its log nothing more is begun.
-func (r *Runner) carry(ctx context.Context, ready mover.Ready) {
+func (r *Runner) process(ctx context.Context, ready mover.Ready) {
 	for err := r.log.append(ready.Records); err != nil; err = r.log.replace(r.mover.Log()) {
 		// a part of it may be there: from now on the log is written whole, with these records
 		r.opt.Log.Error("migrate: the log cannot be written; nothing moves until it can", "err", err)
@@ -117,48 +117,48 @@
 		case <-time.After(time.Second):
 		}
 	}
-	r.records += len(ready.Records)
+	r.recordCount += len(ready.Records)
 	for _, x := range ready.Records {
 		switch x.Step {
 		case mover.Done, mover.Undoing, mover.Undone:
 			r.opt.Log.Info("migrate: move", "id", x.ID, "is", x.Step.String(), "why", x.Why)
 		}
 	}
-	if r.records > forgetAt {
-		kept := r.mover.Forget()
+	if r.recordCount > compactThreshold {
+		kept := r.mover.Compact()
 		if err := r.log.replace(kept); err != nil {
 			r.opt.Log.Warn("migrate: the log could not be shortened", "err", err)
 		}
-		r.records = len(kept)
+		r.recordCount = len(kept)
 	}
 	for _, a := range ready.Actions {
-		r.begin(ctx, a)
+		r.startAction(ctx, a)
 	}
 }
 
 // number is what the mover knows an item by: the part's index, and the try in its name (up to 3).
-func number(part, try int) uint64 { return uint64(part)<<2 | uint64(try) }
+func extentNumber(part, try int) uint64 { return uint64(part)<<2 | uint64(try) }
 
 func partOf(extent uint64) (part, try int) { return int(extent >> 2), int(extent & 3) }
 
 // split is a move's name: base and path.
-func split(name string) (base, path string) {
+func splitName(name string) (base, path string) {
 	base, path, _ = strings.Cut(name, "\x00")
 	return base, path
 }
 
 // begin carries one action out; how it ended comes over r.ended.
-func (r *Runner) begin(ctx context.Context, a mover.Action) {
+func (r *Runner) startAction(ctx context.Context, a mover.Action) {
 	done := func(how mover.Outcome, version uint64) {
 		go func() { // host and catalogue call on their own loops, which must not wait
 			select {
-			case r.ended <- ended{a, how, version}:
+			case r.ended <- endedAction{a, how, version}:
 			case <-ctx.Done():
 			}
 		}()
 	}
 	mv := r.mover.Move(a.ID)
-	base, path := split(mv.Name)
+	base, path := splitName(mv.Name)
 	part, try := partOf(a.Extent)
 	item := store.Item(base, part, try)
 	switch a.Kind {
@@ -184,7 +184,7 @@
 			return
 		}
 		r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: a.Shard, Units: 1, Op: nodewire.Delete}, func(x host.Answer) {
-			done(outcome(x.Kind == host.Served), 0)
+			done(outcomeOf(x.Kind == host.Served), 0)
 		})
 	case mover.Copy:
 		e, ok, err := r.opt.Store.Stat(mv.Volume, path)
@@ -196,16 +196,16 @@
 			done(mover.Gone, 0)
 			return
 		}
-		r.copy(mv, item, e.Parts[part], func(err error) {
+		r.copyItem(mv, item, e.Parts[part], func(err error) {
 			if err != nil {
 				r.opt.Log.Debug("migrate: an item was not copied; it is tried again", "id", a.ID, "item", item, "err", err)
 			}
-			done(outcome(err == nil), 0)
+			done(outcomeOf(err == nil), 0)
 		})
 	}
 }
 
-func outcome(ok bool) mover.Outcome {
+func outcomeOf(ok bool) mover.Outcome {
 	if ok {
 		return mover.OK
 	}
@@ -213,7 +213,7 @@
 }
 
 // copy reads an item at the source and writes it at the target.
-func (r *Runner) copy(mv *mover.Move, item string, p store.Part, done func(error)) {
+func (r *Runner) copyItem(mv *mover.Move, item string, p store.Part, done func(error)) {
 	units := r.opt.Work.Units(p.Length)
 	r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: mv.Source, Units: units, Op: nodewire.Read, Length: p.Length}, func(x host.Answer) {
 		if x.Kind != host.Served || x.Data == nil {
@@ -290,10 +290,10 @@
 			mv := mover.Move{Volume: volume, Name: e.Base + "\x00" + path, Source: m.Shard, Target: m.To, Wave: wave[i]}
 			for k, part := range e.Parts {
 				if part.Shard == m.Shard {
-					mv.Items = append(mv.Items, mover.Item{Extent: number(k, part.Try), Bytes: int64(part.Length)})
+					mv.Items = append(mv.Items, mover.Item{Extent: extentNumber(k, part.Try), Bytes: int64(part.Length)})
 				}
 			}
-			if len(mv.Items) > 0 && len(mv.Items) <= mover.MostItems {
+			if len(mv.Items) > 0 && len(mv.Items) <= mover.MaxItems {
 				moves = append(moves, mv)
 			}
 		}
@@ -303,7 +303,7 @@
 	failed := r.do(func(ctx context.Context) {
 		bases := map[string]bool{}
 		for i := range moves {
-			base, _ := split(moves[i].Name)
+			base, _ := splitName(moves[i].Name)
 			bases[base] = true
 		}
 		var left map[string]map[int]bool
@@ -312,16 +312,16 @@
 		}
 		rest := moves[:0]
 		for _, mv := range moves {
-			if base, _ := split(mv.Name); !left[base][mv.Target] && !r.mover.Busy(mv.Volume, mv.Name) {
-				mv.ID = r.next + uint64(len(rest))
+			if base, _ := splitName(mv.Name); !left[base][mv.Target] && !r.mover.Moving(mv.Volume, mv.Name) {
+				mv.ID = r.nextID + uint64(len(rest))
 				rest = append(rest, mv)
 			}
 		}
 		var ready mover.Ready
 		if ready, err = r.mover.Add(rest, r.now()); err == nil {
-			r.next += uint64(len(rest))
+			r.nextID += uint64(len(rest))
 			started = len(rest)
-			r.carry(ctx, ready)
+			r.process(ctx, ready)
 		}
 	})
 	return started, errors.Join(failed, err)
@@ -332,7 +332,7 @@
 	failed := r.do(func(ctx context.Context) {
 		var ready mover.Ready
 		if ready, err = r.mover.Undo(id, "an operator asked for it", r.now()); err == nil {
-			r.carry(ctx, ready)
+			r.process(ctx, ready)
 		}
 	})
 	return errors.Join(failed, err)
--- a/mover/mover.go
+++ b/mover/mover.go
@@ -1,16 +1,18 @@
-// Package mover decides how data is moved between shards while it is served: which moves run, which item is
-// copied next and when, when the map is switched, when the old home is emptied, and what is done again after a
-// restart. It is no I/O, clock or goroutine: events and the time go in, records for a log and actions come
-// out, and a fresh Mover fed the log goes on where the last one was killed.
+// Package mover decides how data is moved between shards while it is served: which moves run, which item is copied
+// next and when, when the map is switched, when the source is emptied, and what is repeated after a restart. The
+// package is pure decision code: it does no I/O, reads no clock and starts no goroutine. Events and the time go
+// in; records for a log and actions come out. A new Mover that is given the log continues where the previous one
+// stopped. Package internal/migrate executes the actions.
 //
-// Items are never overwritten: another version of a file has other items. So a copy needs no catching up but for
-// items that were removed meanwhile, and a copy that is done twice is the same. A move goes through steps:
+// Items are never overwritten: another version of a file has other items. A copy therefore needs no
+// synchronization, except with the removal of items meanwhile, and repeating a copy is harmless. A move goes
+// through these steps:
 //
 //	waiting -> copying -> switching -> retiring -> done
 //	              \-> undoing -> undone
 //
-// Until switching is in the log a move can be undone; from then on the authority of the map has the last word,
-// since it may have taken a switch whose answer was lost.
+// A move can be undone until Switching is in the log. From then on only the authority of the map knows the
+// outcome, since it may have made a switch whose answer was lost.
 package mover
 
 import (
@@ -21,71 +23,71 @@
 	"time"
 )
 
-// Item is one extent's.
+// Item is the data of one extent.
 type Item struct {
 	Extent uint64
 	Bytes  int64
 }
 
-// Move is a run of extents that goes from one shard to another.
+// Move is the transfer of a run of extents from one shard to another.
 type Move struct {
-	ID             uint64 // of the plan, never used again
+	ID             uint64 // unique, never reused
 	Volume         string
-	Name           string // by which whoever carries it out finds the items; the mover does not look at it
+	Name           string // identifies the items for the executor; opaque to the mover
 	Source, Target int
-	Wave           int // moves of a wave begin when those before it are over
+	Wave           int // moves of a wave begin when all moves of lower waves are finished
 	Items          []Item
 }
 
-// check names what cannot be.
-func (m *Move) check() error {
+// validate returns an error that describes the first invalid field.
+func (m *Move) validate() error {
 	switch {
 	case m.Volume == "":
 		return fmt.Errorf("mover: move %d: no volume", m.ID)
 	case m.Source == m.Target || m.Source < 0 || m.Target < 0:
 		return fmt.Errorf("mover: move %d: from shard %d to %d", m.ID, m.Source, m.Target)
-	case len(m.Items) == 0 || len(m.Items) > MostItems:
-		return fmt.Errorf("mover: move %d: %d items: 1 to %d", m.ID, len(m.Items), MostItems)
+	case len(m.Items) == 0 || len(m.Items) > MaxItems:
+		return fmt.Errorf("mover: move %d: %d items: 1 to %d", m.ID, len(m.Items), MaxItems)
 	}
 	return nil
 }
 
-// The ceilings.
+// Limits of a mover.
 const (
-	MostItems = 1 << 16 // of one move
-	MostMoves = 1 << 20 // that are not over
-	lookAhead = 4096    // moves of a wave looked at for one that may begin
+	MaxItems  = 1 << 16 // maximum number of items of a move
+	MaxMoves  = 1 << 20 // maximum number of unfinished moves
+	lookAhead = 4096    // maximum number of waiting moves examined for ones that can start
 )
 
 // Settings of a mover.
 type Settings struct {
-	PerShard int           // moves that a shard gives or takes at a time
-	Copies   int           // items of one move that are on their way at a time
-	Rate     int64         // bytes a second that a shard gives or takes
-	Grace    time.Duration // from a switch to the first removal at the old home: what was sent there before must be over
-	Late     time.Duration // after it no copy that was out when a move was undone, or the process ended, can still come
-	Retry    time.Duration // after a failure, doubled each time ...
-	RetryTop time.Duration // ... up to this
-	Tries    int           // failures on end of one item after which a move is undone
+	PerShard         int           // maximum number of concurrent moves that a shard takes part in
+	Copies           int           // maximum number of concurrent actions of a move on its items
+	Rate             int64         // bytes per second copied from or to a shard
+	Grace            time.Duration // delay from a switch to the first removal, so that requests to the source finish
+	Late             time.Duration // maximum time until a copy in flight at an undo or a restart arrives
+	MinRetryInterval time.Duration // retry interval after the first failure; doubled after each further failure
+	MaxRetryInterval time.Duration // upper bound of the retry interval
+	Tries            int           // number of failed copies of an item after which its move is undone
 }
 
-// Default is gentle: a shard gives or takes 16 MiB a second in two moves.
-var Default = Settings{PerShard: 2, Copies: 4, Rate: 16 << 20, Grace: 10 * time.Second, Late: 5 * time.Second, Retry: 100 * time.Millisecond, RetryTop: 10 * time.Second, Tries: 20}
+// Default holds settings for a low load: a shard reads or writes 16 MiB per second, in two moves.
+var Default = Settings{PerShard: 2, Copies: 4, Rate: 16 << 20, Grace: 10 * time.Second, Late: 5 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 10 * time.Second, Tries: 20}
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
 	case s.PerShard < 1 || s.Copies < 1 || s.Tries < 1:
-		return fmt.Errorf("mover: per shard, copies, tries = %d, %d, %d: at least 1", s.PerShard, s.Copies, s.Tries)
+		return fmt.Errorf("mover: moves per shard, copies, tries = %d, %d, %d: expected at least 1", s.PerShard, s.Copies, s.Tries)
 	case s.Rate <= 0:
-		return fmt.Errorf("mover: rate = %d bytes a second: more than 0", s.Rate)
-	case s.Grace < 0 || s.Late < 0 || s.Retry <= 0 || s.RetryTop < s.Retry:
-		return fmt.Errorf("mover: grace %v and late %v not negative, retry %v more than 0s, its top %v no less", s.Grace, s.Late, s.Retry, s.RetryTop)
+		return fmt.Errorf("mover: rate = %d bytes per second: expected more than 0", s.Rate)
+	case s.Grace < 0 || s.Late < 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval:
+		return fmt.Errorf("mover: grace = %v, late = %v: expected no negative value; retry interval = %v up to %v: expected more than 0s, and a maximum that is not below the minimum", s.Grace, s.Late, s.MinRetryInterval, s.MaxRetryInterval)
 	}
 	return nil
 }
 
-// Step is where a move is.
+// Step is the state of a move.
 type Step int
 
 // The steps of a move.
@@ -103,49 +105,49 @@
 
 func (s Step) String() string { return stepNames[s] }
 
-// Over says that nothing more comes.
+// Over reports whether the move is finished: done or undone.
 func (s Step) Over() bool { return s == Done || s == Undone }
 
-// Record is one line of the log: a move is at a step. The first of a move has it whole.
+// Record is one record of the log: a move enters a step. The first record of a move contains the move.
 type Record struct {
 	ID      uint64
 	Step    Step
-	Move    *Move  // with Waiting
-	Version uint64 // of the map, with Retiring
-	Why     string // with Undoing
+	Move    *Move  // for Waiting
+	Version uint64 // for Retiring: version of the map after the switch
+	Why     string // for Undoing
 }
 
-// Kind is what an action does.
+// Kind is the kind of an action.
 type Kind int
 
-// The kinds of actions.
+// Kinds of actions.
 const (
-	Copy   Kind = iota // an item from source to target, with its checksum; as low worth, through control
-	Switch             // tell the authority that the items are at the target; it takes a move's switch once
-	Remove             // an item at Shard
+	Copy   Kind = iota // copy an item from source to target and verify its checksum, at low worth
+	Switch             // tell the authority that the items are at the target; the authority applies it once per move
+	Remove             // remove an item at Shard
 )
 
-// Action is to be carried out once the records that came with it, and before it, are on disk. How it ended is
-// told with Ended.
+// Action is an operation that the caller executes once the records returned with it, and all before them, are on
+// disk. The caller reports the result with Ended.
 type Action struct {
 	Kind
 	ID     uint64
 	Extent uint64
-	Shard  int // Remove: where
+	Shard  int // for Remove
 }
 
-// Outcome is how an action ended.
+// Outcome is the result of an action.
 type Outcome int
 
-// How actions end.
+// Results of actions.
 const (
 	OK      Outcome = iota
-	Failed          // it may have been done: it is done again
-	Gone            // Copy: the source has no such item any more; Remove: nor had this shard
-	Refused         // Switch: certainly not taken, as the items are not at the source by the map
+	Failed          // the action may have taken effect and is repeated
+	Gone            // Copy: the source no longer has the item; Remove: the shard does not have it
+	Refused         // Switch: not applied, as the items are not at the source according to the map
 )
 
-// Ready is what is to be done: first the records, then the actions.
+// Ready contains the records to write first and the actions to execute after that.
 type Ready struct {
 	Records []Record
 	Actions []Action
@@ -153,64 +155,64 @@
 
 // Mover is the state of all moves.
 type Mover struct {
-	set   Settings
-	moves map[uint64]*move
-	waits []*move // by wave and id
-	runs  []*move // held, by wave and id
-	free  bool    // another move may begin
-	busy  map[int]int
-	paid  map[int]time.Duration // until when a shard has been paid for what it gave or took
-	now   time.Duration
-	ready Ready
-}
-
-// move is one on its way.
+	settings    Settings
+	moves       map[uint64]*move
+	waiting     []*move               // sorted by wave and ID
+	active      []*move               // moves that occupy their shards, sorted by wave and ID
+	shardFreed  bool                  // waiting moves may be able to start
+	activeMoves map[int]int           // number of active moves by shard
+	nextCopy    map[int]time.Duration // earliest time of the next copy from or to a shard, by the rate
+	now         time.Duration
+	ready       Ready
+}
+
+// move is the state of one move.
 type move struct {
 	*Move
-	step    Step
-	version uint64
-	why     string
-	items   []state
-	open    int           // items not copied, or not removed
-	flying  int           // actions out
-	first   int           // all before it are over
-	front   int           // none from it on was begun
-	late    int           // copies out from before the move was undone
-	at      time.Duration // not before: a switch after a failure, a removal after the grace
-	tries   int
-}
-
-// state is an item's in the present step.
-type state struct {
-	over, out bool
-	tries     int
-	at        time.Duration // not before
-}
-
-// New returns a mover that goes on where a log ends. Of moves that were copying all items are copied again,
-// which does no harm; the grace of those that were switched begins anew.
+	step        Step
+	version     uint64
+	why         string
+	items       []itemState
+	remaining   int           // items whose copy or removal is not finished
+	inFlight    int           // actions in flight
+	firstOpen   int           // items before this index are done
+	unstarted   int           // items from this index on were not started
+	staleCopies int           // copies still in flight from before the move was undone
+	notBefore   time.Duration // earliest next action: a switch after a failure, a removal after the grace
+	failures    int
+}
+
+// itemState is the state of an item in the current step.
+type itemState struct {
+	done, inFlight bool
+	failures       int
+	notBefore      time.Duration // earliest retry
+}
+
+// New returns a mover that continues where a log ends. Moves that were being copied copy all items again, which is
+// harmless; the grace of switched moves starts anew.
 func New(set Settings, log []Record, now time.Duration) (*Mover, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	m := &Mover{set: set, moves: map[uint64]*move{}, busy: map[int]int{}, paid: map[int]time.Duration{}, now: now}
+	m := &Mover{settings: set, moves: map[uint64]*move{}, activeMoves: map[int]int{}, nextCopy: map[int]time.Duration{}, now: now}
 	for i, r := range log {
 		if r.Step < Waiting || r.Step > Undone {
-			return nil, fmt.Errorf("mover: log: record %d: step %d", i, r.Step)
+			return nil, fmt.Errorf("mover: log: record %d: unknown step %d", i, r.Step)
 		}
 		if r.Step == Waiting {
 			if r.Move == nil || r.Move.ID != r.ID || m.moves[r.ID] != nil {
-				return nil, fmt.Errorf("mover: log: record %d: move %d begins without what it is, or twice", i, r.ID)
+				return nil, fmt.Errorf("mover: log: record %d: move %d begins without its content, or twice", i, r.ID)
 			}
-			if err := r.Move.check(); err != nil {
+			if err := r.Move.validate(); err != nil {
 				return nil, fmt.Errorf("mover: log: record %d: %w", i, err)
 			}
 			m.moves[r.ID] = &move{Move: r.Move}
 			continue
 		}
 		v := m.moves[r.ID]
-		if v == nil || !leads(v.step, r.Step) {
-			return nil, fmt.Errorf("mover: log: record %d: move %d is %v after nothing that leads there", i, r.ID, r.Step)
+		if v == nil || !canFollow(v.step, r.Step) {
+			return nil, fmt.Errorf("mover: log: record %d: move %d cannot enter step %v from its current step", i, r.ID, r.Step)
 		}
 		v.step, v.version, v.why = r.Step, max(v.version, r.Version), cmp.Or(r.Why, v.why)
 	}
@@ -219,18 +221,18 @@
 			continue
 		}
 		if v.step == Waiting {
-			m.waits = append(m.waits, v)
+			m.waiting = append(m.waiting, v)
 			continue
 		}
-		m.hold(v)
-		m.enter(v, v.step)
+		m.occupyShards(v)
+		m.enterStep(v, v.step)
 	}
-	m.sort()
+	m.sortMoves()
 	return m, nil
 }
 
-// leads says whether a step can follow another.
-func leads(from, to Step) bool {
+// canFollow reports whether a move can go from one step to another.
+func canFollow(from, to Step) bool {
 	switch to {
 	case Copying:
 		return from == Waiting
@@ -241,31 +243,33 @@
 	case Done:
 		return from == Retiring
 	case Undoing:
-		return from == Waiting || from == Copying || from == Switching // refused
+		return from == Waiting || from == Copying || from == Switching // a refused switch
 	case Undone:
 		return from == Undoing
 	}
 	return false
 }
 
-func before(a, b *move) int { return cmp.Or(cmp.Compare(a.Wave, b.Wave), cmp.Compare(a.ID, b.ID)) }
+func compareMoves(a, b *move) int {
+	return cmp.Or(cmp.Compare(a.Wave, b.Wave), cmp.Compare(a.ID, b.ID))
+}
 
-func (m *Mover) sort() {
-	slices.SortFunc(m.waits, before)
-	slices.SortFunc(m.runs, before)
-	m.free = true
+func (m *Mover) sortMoves() {
+	slices.SortFunc(m.waiting, compareMoves)
+	slices.SortFunc(m.active, compareMoves)
+	m.shardFreed = true
 }
 
-// Add takes moves of a plan. None is taken if one cannot be.
+// Add adds the moves of a plan. It adds none if one is invalid.
 func (m *Mover) Add(moves []Move, now time.Duration) (Ready, error) {
 	m.now = max(m.now, now)
-	if n := len(m.waits) + len(m.runs); n+len(moves) > MostMoves {
-		return Ready{}, fmt.Errorf("mover: %d moves are not over, %d more are too many: at most %d", n, len(moves), MostMoves)
+	if n := len(m.waiting) + len(m.active); n+len(moves) > MaxMoves {
+		return Ready{}, fmt.Errorf("mover: %d moves are not over, %d more are too many: at most %d", n, len(moves), MaxMoves)
 	}
 	seen := map[uint64]bool{}
 	for i := range moves {
 		v := &moves[i]
-		if err := v.check(); err != nil {
+		if err := v.validate(); err != nil {
 			return Ready{}, err
 		}
 		if m.moves[v.ID] != nil || seen[v.ID] {
@@ -276,20 +280,20 @@
 	for i := range moves {
 		v := &move{Move: &moves[i]}
 		m.moves[v.ID] = v
-		m.waits = append(m.waits, v)
+		m.waiting = append(m.waiting, v)
 		m.ready.Records = append(m.ready.Records, Record{ID: v.ID, Step: Waiting, Move: v.Move})
 	}
-	m.sort()
-	return m.turn(), nil
+	m.sortMoves()
+	return m.advance(), nil
 }
 
-// Tick lets time pass.
+// Tick returns what has become due by now.
 func (m *Mover) Tick(now time.Duration) Ready {
 	m.now = max(m.now, now)
-	return m.turn()
+	return m.advance()
 }
 
-// Undo takes a move back, if it has not been switched.
+// Undo undoes a move that has not reached Switching.
 func (m *Mover) Undo(id uint64, why string, now time.Duration) (Ready, error) {
 	m.now = max(m.now, now)
 	v := m.moves[id]
@@ -300,133 +304,134 @@
 		return Ready{}, fmt.Errorf("mover: move %d is %v: only before it is switched can it be undone; plan one back", id, v.step)
 	}
 	m.undo(v, why)
-	return m.turn(), nil
+	return m.advance(), nil
 }
 
-// Ended takes how an action ended, with the map's version for a switch. What came too late for the step that its
-// move is in is passed over.
+// Ended records the result of an action, with the version of the map for a switch. Results that do not belong to
+// the current step of the move are ignored.
 func (m *Mover) Ended(a Action, how Outcome, version uint64, now time.Duration) Ready {
 	m.now = max(m.now, now)
 	v := m.moves[a.ID]
 	if v == nil || v.step.Over() {
-		return m.turn()
+		return m.advance()
 	}
 	switch {
-	case a.Kind == Copy && v.step == Undoing && v.late > 0:
-		v.late--
-	case a.Kind == Switch && v.step == Switching && v.flying > 0:
-		v.flying--
-		m.switched(v, how, version)
+	case a.Kind == Copy && v.step == Undoing && v.staleCopies > 0:
+		v.staleCopies--
+	case a.Kind == Switch && v.step == Switching && v.inFlight > 0:
+		v.inFlight--
+		m.switchEnded(v, how, version)
 	case a.Kind == Copy && v.step == Copying, a.Kind == Remove && (v.step == Retiring && a.Shard == v.Source || v.step == Undoing && a.Shard == v.Target):
-		if i, ok := slices.BinarySearchFunc(v.Items, a.Extent, func(x Item, e uint64) int { return cmp.Compare(x.Extent, e) }); ok && v.items[i].out {
-			v.flying--
-			m.item(v, i, how)
+		if i, ok := slices.BinarySearchFunc(v.Items, a.Extent, func(x Item, e uint64) int { return cmp.Compare(x.Extent, e) }); ok && v.items[i].inFlight {
+			v.inFlight--
+			m.itemEnded(v, i, how)
 		}
 	}
-	return m.turn()
+	return m.advance()
 }
 
-func (m *Mover) switched(v *move, how Outcome, version uint64) {
+func (m *Mover) switchEnded(v *move, how Outcome, version uint64) {
 	switch how {
 	case OK:
 		v.version = version
-		m.enter(v, Retiring)
+		m.enterStep(v, Retiring)
 		m.ready.Records = append(m.ready.Records, Record{ID: v.ID, Step: Retiring, Version: version})
 	case Refused:
 		m.undo(v, "the map has its items elsewhere than at the source")
-	default: // it may have been taken: asked again until the authority says
-		v.tries++
-		v.at = m.now + m.backoff(v.tries)
+	default: // the authority may have applied it: repeated until the authority answers
+		v.failures++
+		v.notBefore = m.now + m.backoff(v.failures)
 	}
 }
 
-// item takes how a copy or a removal ended.
-func (m *Mover) item(v *move, i int, how Outcome) {
+// itemEnded records the result of a copy or a removal.
+func (m *Mover) itemEnded(v *move, i int, how Outcome) {
 	s := &v.items[i]
-	s.out = false
+	s.inFlight = false
 	if how == OK || how == Gone {
-		s.over = true
-		v.open--
+		s.done = true
+		v.remaining--
 		return
 	}
-	s.tries++
-	s.at = m.now + m.backoff(s.tries)
-	if v.step == Copying && s.tries >= m.set.Tries {
-		m.undo(v, fmt.Sprintf("extent %d could not be copied in %d tries", v.Items[i].Extent, s.tries))
+	s.failures++
+	s.notBefore = m.now + m.backoff(s.failures)
+	if v.step == Copying && s.failures >= m.settings.Tries {
+		m.undo(v, fmt.Sprintf("extent %d could not be copied in %d tries", v.Items[i].Extent, s.failures))
 	}
 }
 
 func (m *Mover) backoff(tries int) time.Duration {
-	return min(m.set.RetryTop, m.set.Retry<<min(tries-1, 20))
+	return min(m.settings.MaxRetryInterval, m.settings.MinRetryInterval<<min(tries-1, 20))
 }
 
-// undo begins to remove what was copied. A copy that is still on its way must not come after the removal.
+// undo starts the removal of the copied items. It waits for copies in flight, which must not arrive after the
+// removal.
 func (m *Mover) undo(v *move, why string) {
 	waited := v.step == Waiting
-	v.why, v.late = why, v.flying
+	v.why, v.staleCopies = why, v.inFlight
 	m.ready.Records = append(m.ready.Records, Record{ID: v.ID, Step: Undoing, Why: why})
-	m.enter(v, Undoing)
-	if waited { // nothing was copied
-		m.waits = slices.DeleteFunc(m.waits, func(w *move) bool { return w == v })
-		m.log(v, Undone)
+	m.enterStep(v, Undoing)
+	if waited { // no item was copied
+		m.waiting = slices.DeleteFunc(m.waiting, func(w *move) bool { return w == v })
+		m.logStep(v, Undone)
 	}
 }
 
-// enter begins a step.
-func (m *Mover) enter(v *move, step Step) {
-	v.step, v.tries, v.flying, v.first, v.front, v.at = step, 0, 0, 0, 0, 0
+// enterStep initializes the state for a step.
+func (m *Mover) enterStep(v *move, step Step) {
+	v.step, v.failures, v.inFlight, v.firstOpen, v.unstarted, v.notBefore = step, 0, 0, 0, 0, 0
 	switch step {
 	case Copying, Retiring, Undoing:
 		if !slices.IsSortedFunc(v.Items, func(a, b Item) int { return cmp.Compare(a.Extent, b.Extent) }) {
 			v.Items = slices.SortedFunc(slices.Values(v.Items), func(a, b Item) int { return cmp.Compare(a.Extent, b.Extent) })
 		}
-		v.items, v.open = make([]state, len(v.Items)), len(v.Items)
+		v.items, v.remaining = make([]itemState, len(v.Items)), len(v.Items)
 	case Switching, Done, Undone:
-		v.items, v.open = nil, 0
+		v.items, v.remaining = nil, 0
 	}
 	if step == Retiring {
-		v.at = m.now + m.set.Grace
+		v.notBefore = m.now + m.settings.Grace
 	}
 	if step == Undoing {
-		v.at = m.now + m.set.Late
+		v.notBefore = m.now + m.settings.Late
 	}
 }
 
-// hold counts a move at its shards, drop does so no more.
-func (m *Mover) hold(v *move) {
-	m.busy[v.Source]++
-	m.busy[v.Target]++
-	at, _ := slices.BinarySearchFunc(m.runs, v, before)
-	m.runs = slices.Insert(m.runs, at, v)
+// occupyShards makes a move active and counts it at its shards; releaseShards reverts the count.
+func (m *Mover) occupyShards(v *move) {
+	m.activeMoves[v.Source]++
+	m.activeMoves[v.Target]++
+	at, _ := slices.BinarySearchFunc(m.active, v, compareMoves)
+	m.active = slices.Insert(m.active, at, v)
 }
 
-func (m *Mover) drop(v *move) {
+func (m *Mover) releaseShards(v *move) {
 	for _, shard := range []int{v.Source, v.Target} {
-		if m.busy[shard]--; m.busy[shard] == 0 {
-			delete(m.busy, shard)
-			if m.paid[shard] <= m.now {
-				delete(m.paid, shard)
+		if m.activeMoves[shard]--; m.activeMoves[shard] == 0 {
+			delete(m.activeMoves, shard)
+			if m.nextCopy[shard] <= m.now {
+				delete(m.nextCopy, shard)
 			}
 		}
 	}
-	m.free = true
+	m.shardFreed = true
 }
 
-// turn works out what is to be done now.
-func (m *Mover) turn() Ready {
+// advance starts what can be started now and returns the collected records and actions.
+func (m *Mover) advance() Ready {
 	for again := true; again; {
-		m.begin()
+		m.startWaiting()
 		again = false
-		m.runs = slices.DeleteFunc(m.runs, func(v *move) bool {
-			if v.step == Copying && v.open == 0 {
-				m.log(v, Switching)
+		m.active = slices.DeleteFunc(m.active, func(v *move) bool {
+			if v.step == Copying && v.remaining == 0 {
+				m.logStep(v, Switching)
 			}
-			m.act(v)
-			if v.open > 0 || v.step != Retiring && v.step != Undoing {
+			m.startActions(v)
+			if v.remaining > 0 || v.step != Retiring && v.step != Undoing {
 				return false
 			}
-			m.log(v, v.step+1)
-			m.drop(v)
+			m.logStep(v, v.step+1)
+			m.releaseShards(v)
 			again = true
 			return true
 		})
@@ -436,56 +441,56 @@
 	return r
 }
 
-// begin has moves of the first wave that is not over begin, as far as their shards have room.
-func (m *Mover) begin() {
-	if !m.free || len(m.waits) == 0 {
+// startWaiting starts waiting moves of the lowest unfinished wave, as far as the limit per shard allows.
+func (m *Mover) startWaiting() {
+	if !m.shardFreed || len(m.waiting) == 0 {
 		return
 	}
-	m.free = false
-	wave := m.waits[0].Wave
-	if len(m.runs) > 0 {
-		wave = min(wave, m.runs[0].Wave)
+	m.shardFreed = false
+	wave := m.waiting[0].Wave
+	if len(m.active) > 0 {
+		wave = min(wave, m.active[0].Wave)
 	}
-	rest := m.waits[:0]
-	for i, v := range m.waits {
-		if v.Wave != wave || i >= lookAhead || m.busy[v.Source] >= m.set.PerShard || m.busy[v.Target] >= m.set.PerShard {
+	rest := m.waiting[:0]
+	for i, v := range m.waiting {
+		if v.Wave != wave || i >= lookAhead || m.activeMoves[v.Source] >= m.settings.PerShard || m.activeMoves[v.Target] >= m.settings.PerShard {
 			rest = append(rest, v)
 			continue
 		}
-		m.hold(v)
-		m.log(v, Copying)
+		m.occupyShards(v)
+		m.logStep(v, Copying)
 	}
-	clear(m.waits[len(rest):])
-	m.waits = rest
+	clear(m.waiting[len(rest):])
+	m.waiting = rest
 }
 
-// log takes a move to its next step.
-func (m *Mover) log(v *move, step Step) {
-	m.enter(v, step)
+// logStep enters a step and adds its record.
+func (m *Mover) logStep(v *move, step Step) {
+	m.enterStep(v, step)
 	m.ready.Records = append(m.ready.Records, Record{ID: v.ID, Step: step})
 }
 
-// act starts what a move may do now.
-func (m *Mover) act(v *move) {
-	if v.at > m.now {
+// startActions starts the actions of a move that are due.
+func (m *Mover) startActions(v *move) {
+	if v.notBefore > m.now {
 		return
 	}
 	switch v.step {
 	case Switching:
-		if v.flying == 0 {
-			v.flying++
+		if v.inFlight == 0 {
+			v.inFlight++
 			m.ready.Actions = append(m.ready.Actions, Action{Kind: Switch, ID: v.ID})
 		}
 	case Copying, Retiring, Undoing:
-		if v.late > 0 {
+		if v.staleCopies > 0 {
 			return
 		}
-		for v.first < len(v.items) && v.items[v.first].over {
-			v.first++
+		for v.firstOpen < len(v.items) && v.items[v.firstOpen].done {
+			v.firstOpen++
 		}
-		for i := v.first; i < len(v.items) && v.flying < m.set.Copies; i++ {
+		for i := v.firstOpen; i < len(v.items) && v.inFlight < m.settings.Copies; i++ {
 			s := &v.items[i]
-			if s.over || s.out || s.at > m.now {
+			if s.done || s.inFlight || s.notBefore > m.now {
 				continue
 			}
 			a := Action{Kind: Remove, ID: v.ID, Extent: v.Items[i].Extent, Shard: v.Source}
@@ -493,65 +498,65 @@
 				a.Shard = v.Target
 			}
 			if v.step == Copying {
-				if max(m.paid[v.Source], m.paid[v.Target]) > m.now {
+				if max(m.nextCopy[v.Source], m.nextCopy[v.Target]) > m.now {
 					return
 				}
-				took := time.Duration(float64(v.Items[i].Bytes) / float64(m.set.Rate) * float64(time.Second))
-				m.paid[v.Source], m.paid[v.Target] = m.now+took, m.now+took
+				took := time.Duration(float64(v.Items[i].Bytes) / float64(m.settings.Rate) * float64(time.Second))
+				m.nextCopy[v.Source], m.nextCopy[v.Target] = m.now+took, m.now+took
 				a.Kind, a.Shard = Copy, 0
 			}
-			s.out = true
-			v.flying++
-			v.front = max(v.front, i+1)
+			s.inFlight = true
+			v.inFlight++
+			v.unstarted = max(v.unstarted, i+1)
 			m.ready.Actions = append(m.ready.Actions, a)
 		}
 	}
 }
 
-// Next is when there is something to do though nothing ended; not ok: never.
+// Next returns the next time at which something becomes due without a result; ok is false if there is none.
 func (m *Mover) Next() (at time.Duration, ok bool) {
 	consider := func(t time.Duration) {
 		if t > m.now && (!ok || t < at) {
 			at, ok = t, true
 		}
 	}
-	for _, v := range m.runs {
-		consider(v.at)
+	for _, v := range m.active {
+		consider(v.notBefore)
 		if v.step == Copying {
-			consider(max(m.paid[v.Source], m.paid[v.Target]))
+			consider(max(m.nextCopy[v.Source], m.nextCopy[v.Target]))
 		}
-		for i := v.first; i < v.front; i++ {
-			if s := &v.items[i]; !s.over && !s.out {
-				consider(s.at)
+		for i := v.firstOpen; i < v.unstarted; i++ {
+			if s := &v.items[i]; !s.done && !s.inFlight {
+				consider(s.notBefore)
 			}
 		}
 	}
 	return at, ok
 }
 
-// Progress is one move as an operator sees it.
+// Progress describes a move to an operator.
 type Progress struct {
 	ID      uint64 `json:"id"`
 	Step    string `json:"step"`
 	Items   int    `json:"items"`
-	Left    int    `json:"left"`              // of the present step
-	Version uint64 `json:"version,omitempty"` // of the map that has it at the target
-	Why     string `json:"why,omitempty"`     // it is undone
+	Left    int    `json:"left"`              // items whose copy or removal in the current step is not finished
+	Version uint64 `json:"version,omitempty"` // version of the map after the switch
+	Why     string `json:"why,omitempty"`     // reason for the undoing
 }
 
-// Over says that nothing more comes.
+// Over reports whether the move is finished: done or undone.
 func (p *Progress) Over() bool { return p.Step == Done.String() || p.Step == Undone.String() }
 
-// Progress lists the moves, by id.
+// Progress returns the progress of all moves, by ID.
 func (m *Mover) Progress() (list []Progress) {
 	for _, id := range slices.Sorted(maps.Keys(m.moves)) {
 		v := m.moves[id]
-		list = append(list, Progress{id, v.step.String(), len(v.Items), v.open, v.version, v.why})
+		list = append(list, Progress{id, v.step.String(), len(v.Items), v.remaining, v.version, v.why})
 	}
 	return list
 }
 
-// Move is the move of an id; nil if there is none.
+// Move returns the move with an ID, or nil if there is none.
 func (m *Mover) Move(id uint64) *Move {
 	if v := m.moves[id]; v != nil {
 		return v.Move
@@ -559,20 +564,20 @@
 	return nil
 }
 
-// Busy says whether a move of these items, by volume and name, is on its way.
-func (m *Mover) Busy(volume, name string) bool {
+// Moving reports whether a move of these items, identified by volume and name, is waiting or active.
+func (m *Mover) Moving(volume, name string) bool {
 	is := func(v *move) bool { return v.Volume == volume && v.Name == name }
-	return slices.ContainsFunc(m.waits, is) || slices.ContainsFunc(m.runs, is)
+	return slices.ContainsFunc(m.waiting, is) || slices.ContainsFunc(m.active, is)
 }
 
-// Forget drops moves that are over, and returns the log of the others.
-func (m *Mover) Forget() []Record {
+// Compact drops finished moves and returns the log of the others.
+func (m *Mover) Compact() []Record {
 	maps.DeleteFunc(m.moves, func(_ uint64, v *move) bool { return v.step.Over() })
 	return m.Log()
 }
 
-// Log is the shortest log that says the same as all records so far about moves that are not over: what a log is
-// to be replaced by when it has grown.
+// Log returns the shortest log that is equivalent to all records so far of unfinished moves. It replaces a log
+// that has grown.
 func (m *Mover) Log() (log []Record) {
 	for _, id := range slices.Sorted(maps.Keys(m.moves)) {
 		v := m.moves[id]
--- a/mover/mover_test.go
+++ b/mover/mover_test.go
@@ -10,42 +10,42 @@
 	"pgregory.net/rapid"
 )
 
-// world is what a mover acts on: items on shards, the authority's map, a log. Actions take their time, fail,
-// and may have been done though they failed. It judges what must always hold.
-type world struct {
-	t     *rapid.T
-	set   Settings
-	m     *Mover
-	now   time.Duration
-	log   []Record // on disk
-	out   []flight
-	has   map[int]map[uint64]bool // shard -> items
-	home  map[uint64]int          // the map
-	taken map[uint64]uint64       // switches by move
-	plan  map[uint64]Move
-	quiet bool // nothing fails any more
-	gone  map[uint64]bool
+// simulation is the environment of a mover: items on shards, the authority's map and the log. Actions take time,
+// fail, and may have taken effect although they failed. It checks the invariants after each step.
+type simulation struct {
+	t         *rapid.T
+	settings  Settings
+	m         *Mover
+	now       time.Duration
+	log       []Record // the log on disk
+	inFlight  []pendingAction
+	stored    map[int]map[uint64]bool // items by shard
+	location  map[uint64]int          // shard by extent, according to the map
+	switched  map[uint64]uint64       // version of the map after the switch, by move
+	plan      map[uint64]Move
+	noFaults  bool // injects no further faults
+	collected map[uint64]bool
 }
 
-type flight struct {
+type pendingAction struct {
 	Action
-	at  time.Duration
-	how Outcome
+	at      time.Duration
+	outcome Outcome
 }
 
-func (w *world) chance(name string, percent int) bool {
-	return !w.quiet && rapid.IntRange(0, 99).Draw(w.t, name) < percent
+func (w *simulation) chance(name string, percent int) bool {
+	return !w.noFaults && rapid.IntRange(0, 99).Draw(w.t, name) < percent
 }
 
-// take writes the records, then begins the actions.
-func (w *world) take(r Ready) {
+// apply writes the records, then starts the actions.
+func (w *simulation) apply(r Ready) {
 	w.log = append(w.log, r.Records...)
 	for _, a := range r.Actions {
-		f := flight{a, w.now + time.Duration(1+rapid.IntRange(0, 50).Draw(w.t, "takes"))*time.Millisecond, OK}
+		f := pendingAction{a, w.now + time.Duration(1+rapid.IntRange(0, 50).Draw(w.t, "takes"))*time.Millisecond, OK}
 		if w.chance("fails", 20) {
-			f.how = Failed
+			f.outcome = Failed
 		}
-		w.out = append(w.out, f)
+		w.inFlight = append(w.inFlight, f)
 	}
 	running := map[int]int{}
 	for _, p := range w.m.Progress() {
@@ -55,65 +55,65 @@
 		}
 	}
 	for shard, n := range running {
-		if n > w.set.PerShard {
+		if n > w.settings.PerShard {
 			w.t.Fatalf("shard %d is in %d moves", shard, n)
 		}
 	}
 }
 
-// done carries out an action, or says that it failed, perhaps though it was done.
-func (w *world) done(f flight) (how Outcome, version uint64) {
+// execute executes an action. A failed action may still take effect.
+func (w *simulation) execute(f pendingAction) (how Outcome, version uint64) {
 	move := w.plan[f.ID]
-	if f.how == Failed && w.chance("not done", 50) {
+	if f.outcome == Failed && w.chance("no effect", 50) {
 		return Failed, 0
 	}
 	switch f.Kind {
 	case Copy:
-		if w.gone[f.Extent] {
+		if w.collected[f.Extent] {
 			return Gone, 0
 		}
-		if !w.has[move.Source][f.Extent] {
-			w.t.Fatalf("move %d: extent %d is to be copied from shard %d, which has it no more", f.ID, f.Extent, move.Source)
+		if !w.stored[move.Source][f.Extent] {
+			w.t.Fatalf("move %d: extent %d is copied from shard %d, which no longer has it", f.ID, f.Extent, move.Source)
 		}
-		w.has[move.Target][f.Extent] = true
+		w.stored[move.Target][f.Extent] = true
 	case Switch:
-		if w.taken[f.ID] == 0 {
-			w.taken[f.ID] = uint64(len(w.taken) + 1)
+		if w.switched[f.ID] == 0 {
+			w.switched[f.ID] = uint64(len(w.switched) + 1)
 			for _, x := range move.Items {
-				if !w.gone[x.Extent] {
-					w.home[x.Extent] = move.Target
+				if !w.collected[x.Extent] {
+					w.location[x.Extent] = move.Target
 				}
 			}
 		}
-		version = w.taken[f.ID]
+		version = w.switched[f.ID]
 	case Remove:
-		delete(w.has[f.Shard], f.Extent)
+		delete(w.stored[f.Shard], f.Extent)
 	}
-	w.check(f)
-	if f.how == Failed {
+	w.checkMap(f)
+	if f.outcome == Failed {
 		return Failed, 0
 	}
 	return OK, version
 }
 
-// check: what the map says is where it says, at every moment.
-func (w *world) check(f flight) {
-	for e, shard := range w.home {
-		if !w.has[shard][e] && !w.gone[e] {
-			w.t.Fatalf("after %+v: the map has extent %d on shard %d, which has it not", f.Action, e, shard)
+// checkMap checks that each shard has the items that the map locates on it.
+func (w *simulation) checkMap(f pendingAction) {
+	for e, shard := range w.location {
+		if !w.stored[shard][e] && !w.collected[e] {
+			w.t.Fatalf("after %+v: the map locates extent %d on shard %d, which does not have it", f.Action, e, shard)
 		}
 	}
 }
 
-// run lets the next thing happen: something ends or time passes.
-func (w *world) run() {
-	if len(w.out) > 0 {
-		slices.SortStableFunc(w.out, func(a, b flight) int { return int(a.at - b.at) })
-		f := w.out[0]
-		w.out = w.out[1:]
+// step advances the simulation: an action ends or time passes.
+func (w *simulation) step() {
+	if len(w.inFlight) > 0 {
+		slices.SortStableFunc(w.inFlight, func(a, b pendingAction) int { return int(a.at - b.at) })
+		f := w.inFlight[0]
+		w.inFlight = w.inFlight[1:]
 		w.now = max(w.now, f.at)
-		how, version := w.done(f)
-		w.take(w.m.Ended(f.Action, how, version, w.now))
+		how, version := w.execute(f)
+		w.apply(w.m.Ended(f.Action, how, version, w.now))
 		return
 	}
 	if at, ok := w.m.Next(); ok {
@@ -121,39 +121,40 @@
 	} else {
 		w.now += time.Second
 	}
-	w.take(w.m.Tick(w.now))
+	w.apply(w.m.Tick(w.now))
 }
 
-// kill starts a fresh mover from the log. What was on its way may still be done, but nobody hears.
-func (w *world) kill() {
-	for _, f := range w.out {
-		if w.chance("done all the same", 50) {
-			w.done(f)
+// restart replaces the mover by a new one that is given the log. Actions in flight may still take effect, but
+// their results are lost.
+func (w *simulation) restart() {
+	for _, f := range w.inFlight {
+		if w.chance("takes effect", 50) {
+			w.execute(f)
 		}
 	}
-	w.out = nil
-	m, err := New(w.set, w.log, w.now)
+	w.inFlight = nil
+	m, err := New(w.settings, w.log, w.now)
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	w.m = m
-	if w.chance("a short log", 30) {
-		w.log = w.m.Forget()
+	if w.chance("compact", 30) {
+		w.log = w.m.Compact()
 	}
-	w.take(w.m.Tick(w.now))
+	w.apply(w.m.Tick(w.now))
 }
 
-// TestMovesThroughTrouble: moves of some waves between a few shards, with failures, items that are removed
-// meanwhile, kills at any moment and moves that are undone. At every moment what the map says is there; in the
-// end each item is on the one shard that the map says, and on no other.
-func TestMovesThroughTrouble(t *testing.T) {
+// TestMovesWithFaults runs moves of several waves between a few shards, with failed actions, items removed
+// meanwhile, restarts at any moment and undone moves. At each moment the shards have the items that the map
+// locates on them; at the end each item is on exactly the one shard that the map says.
+func TestMovesWithFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const shards = 4
-		w := &world{t: t, set: Settings{PerShard: rapid.IntRange(1, 2).Draw(t, "per shard"), Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Rate: 1 << 20,
-			Grace: time.Second, Late: 100 * time.Millisecond, Retry: 10 * time.Millisecond, RetryTop: 100 * time.Millisecond, Tries: rapid.IntRange(2, 6).Draw(t, "tries")},
-			has: map[int]map[uint64]bool{}, home: map[uint64]int{}, taken: map[uint64]uint64{}, plan: map[uint64]Move{}, gone: map[uint64]bool{}}
+		w := &simulation{t: t, settings: Settings{PerShard: rapid.IntRange(1, 2).Draw(t, "per shard"), Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Rate: 1 << 20,
+			Grace: time.Second, Late: 100 * time.Millisecond, MinRetryInterval: 10 * time.Millisecond, MaxRetryInterval: 100 * time.Millisecond, Tries: rapid.IntRange(2, 6).Draw(t, "tries")},
+			stored: map[int]map[uint64]bool{}, location: map[uint64]int{}, switched: map[uint64]uint64{}, plan: map[uint64]Move{}, collected: map[uint64]bool{}}
 		for s := range shards {
-			w.has[s] = map[uint64]bool{}
+			w.stored[s] = map[uint64]bool{}
 		}
 		var moves []Move
 		extent := uint64(0)
@@ -162,13 +163,13 @@
 			mv.Target = (mv.Source + rapid.IntRange(1, shards-1).Draw(t, "target")) % shards
 			for range rapid.IntRange(1, 5).Draw(t, "items") {
 				mv.Items = append(mv.Items, Item{extent, int64(rapid.IntRange(0, 1<<17).Draw(t, "bytes"))})
-				w.has[mv.Source][extent], w.home[extent] = true, mv.Source
+				w.stored[mv.Source][extent], w.location[extent] = true, mv.Source
 				extent++
 			}
 			moves = append(moves, mv)
 			w.plan[mv.ID] = mv
 		}
-		m, err := New(w.set, nil, 0)
+		m, err := New(w.settings, nil, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -177,29 +178,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.take(r)
+		w.apply(r)
 		undone := map[uint64]bool{}
 		for range rapid.IntRange(0, 150).Draw(t, "events") {
 			switch rapid.IntRange(0, 19).Draw(t, "event") {
 			case 0:
-				w.kill()
+				w.restart()
 			case 1:
 				id := uint64(rapid.IntRange(1, len(moves)).Draw(t, "undo"))
 				if r, err := w.m.Undo(id, "for a test", w.now); err == nil {
 					undone[id] = true
-					w.take(r)
+					w.apply(r)
 				}
-			case 2: // an item is collected: its home forgets it
-				if e := uint64(rapid.IntRange(0, int(extent)-1).Draw(t, "collected")); !w.gone[e] {
-					w.gone[e] = true
-					delete(w.has[w.home[e]], e)
-					delete(w.home, e)
+			case 2: // an item is collected: its shard and the map drop it
+				if e := uint64(rapid.IntRange(0, int(extent)-1).Draw(t, "collected")); !w.collected[e] {
+					w.collected[e] = true
+					delete(w.stored[w.location[e]], e)
+					delete(w.location, e)
 				}
 			default:
-				w.run()
+				w.step()
 			}
 		}
-		w.quiet = true
+		w.noFaults = true
 		for i := 0; ; i++ {
 			over := true
 			for _, p := range w.m.Progress() {
@@ -209,27 +210,28 @@
 				break
 			}
 			if i > 10_000 {
-				t.Fatalf("it does not end: %+v", w.m.Progress())
+				t.Fatalf("the moves do not finish: %+v", w.m.Progress())
 			}
-			w.run()
+			w.step()
 		}
-		for e, shard := range w.home {
-			for s, items := range w.has {
+		for e, shard := range w.location {
+			for s, items := range w.stored {
 				if items[e] != (s == shard) {
-					t.Fatalf("extent %d, which the map has on %d: on shard %d %v", e, shard, s, items[e])
+					t.Fatalf("extent %d, located on shard %d by the map: shard %d has it: %v", e, shard, s, items[e])
 				}
 			}
 		}
 		for id := range undone {
-			if w.taken[id] != 0 {
-				t.Fatalf("move %d was undone, and switched", id)
+			if w.switched[id] != 0 {
+				t.Fatalf("move %d was undone but is switched", id)
 			}
 		}
 	})
 }
 
-// TestPace: a shard gives and takes no more than its rate, and a wave begins when the one before is over.
-func TestPace(t *testing.T) {
+// TestRateAndWaves: copies from and to a shard stay within its rate, and a wave starts when the one before is
+// finished.
+func TestRateAndWaves(t *testing.T) {
 	set := Default
 	set.Rate, set.Grace = 1<<20, time.Second
 	m, err := New(set, nil, 0)
@@ -251,7 +253,7 @@
 	now, copies, waves := time.Duration(0), 0, map[int]time.Duration{}
 	for steps := 0; ; steps++ {
 		if steps > 100_000 {
-			t.Fatal("it does not end")
+			t.Fatal("the moves do not finish")
 		}
 		acts := ready.Actions
 		for _, r := range ready.Records {
@@ -259,7 +261,7 @@
 				waves[int(r.ID)/2] = now
 			}
 			if r.Step == Done && r.ID < 2 && waves[1] != 0 {
-				t.Errorf("wave 1 began at %v, before move %d was over", waves[1], r.ID)
+				t.Errorf("wave 1 started at %v, before move %d was finished", waves[1], r.ID)
 			}
 		}
 		ready = Ready{}
@@ -282,12 +284,12 @@
 		ready.Records, ready.Actions = append(ready.Records, next.Records...), append(ready.Actions, next.Actions...)
 	}
 	if least := 80 * time.Second / 4; copies != 80 || now < least || now > least+5*time.Second {
-		t.Errorf("%d copies of 256 KiB at 1 MiB a second in %v", copies, now)
+		t.Errorf("%d copies of 256 KiB at 1 MiB per second in %v", copies, now)
 	}
 }
 
-// TestBadMovesAndLogs: what cannot be is refused, and nothing of it is taken.
-func TestBadMovesAndLogs(t *testing.T) {
+// TestInvalidMovesAndLogs: invalid moves and logs are refused as a whole.
+func TestInvalidMovesAndLogs(t *testing.T) {
 	good := Move{ID: 1, Volume: "v", Source: 0, Target: 1, Items: []Item{{1, 1}}}
 	m, err := New(Default, nil, 0)
 	if err != nil {
@@ -300,7 +302,7 @@
 		bad.ID = 2
 		change(&bad)
 		if _, err := m.Add([]Move{good, bad}, 0); err == nil {
-			t.Errorf("move %d is taken", i)
+			t.Errorf("invalid move %d is accepted", i)
 		}
 	}
 	if len(m.Progress()) != 0 {
@@ -309,7 +311,7 @@
 	begin := Record{ID: 1, Step: Waiting, Move: &good}
 	for i, log := range [][]Record{{{ID: 1, Step: Copying}}, {begin, begin}, {begin, {ID: 1, Step: Retiring}}, {begin, {ID: 1, Step: 99}}, {{ID: 1, Step: Waiting}}} {
 		if _, err := New(Default, log, 0); err == nil {
-			t.Error(fmt.Sprint("log ", i, " is taken"))
+			t.Error(fmt.Sprint("invalid log ", i, " is accepted"))
 		}
 	}
 	if got := slices.Collect(maps.Keys(m.moves)); len(got) != 0 {
