--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -23,29 +23,29 @@
 
 // Settings of a feed.
 type Settings struct {
-	URL              string                    // of the stream; snapshot and range are below it
-	Gateway          string                    // told to the authority
-	CacheFile        string                    // file of the last map; empty: none
-	SaveInterval     time.Duration             // the cache is written so often, if the map changed
-	SilenceTimeout   time.Duration             // a stream from which nothing comes for so long is dropped
-	MinRetryInterval time.Duration             // pause after a failure; doubled up to RetryTop, with jitter
-	MaxRetryInterval time.Duration             //
-	GapTimeout       time.Duration             // a missing change is waited for so long, then the stream is resumed before it
-	AnswerTimeout    time.Duration             // an answer about a range that takes longer failed
-	MaxRuns          int                       // runs
-	MaxWaiting       int                       // requests that wait for refreshes at a time; any more are refused
-	Refresh          extentmap.RefreshSettings // what is asked for, and how often
+	URL              string                    // of the stream; the paths of snapshots and ranges are below it
+	Gateway          string                    // name of the gateway, sent to the authority
+	CacheFile        string                    // file that caches the map; empty: no cache
+	SaveInterval     time.Duration             // interval at which a changed map is written to the cache
+	SilenceTimeout   time.Duration             // a stream or snapshot without data for this long is closed
+	MinRetryInterval time.Duration             // retry interval after the first failure; doubled after each further one, with jitter
+	MaxRetryInterval time.Duration             // upper bound of the retry interval
+	GapTimeout       time.Duration             // time to wait for a missing change before the stream is resumed before it
+	AnswerTimeout    time.Duration             // timeout of a request for a range
+	MaxRuns          int                       // maximum number of runs in the map
+	MaxWaiting       int                       // maximum number of requests that wait for refreshes; further ones are refused
+	Refresh          extentmap.RefreshSettings // when ranges are refreshed
 	Seed             int64
 }
 
-// Default settings, without places.
+// Default holds the default settings; URL, Gateway and CacheFile are empty.
 var Default = Settings{SaveInterval: 10 * time.Second, SilenceTimeout: 10 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 5 * time.Second,
 	GapTimeout: 200 * time.Millisecond, AnswerTimeout: time.Second, MaxRuns: 4 << 20, MaxWaiting: 100_000, Refresh: extentmap.DefaultRefresh}
 
-// mostAnswer is the most bytes of an answer about a range.
+// maxAnswerBytes is the maximum size of an answer to a request for a range.
 const maxAnswerBytes = 64 << 20
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	u, err := url.Parse(s.URL)
 	switch {
@@ -54,55 +54,55 @@
 	case u.Scheme != "http" && u.Scheme != "https" || u.Host == "":
 		return fmt.Errorf("mapfeed: url %q: expected http://HOST/PATH", s.URL)
 	case s.SaveInterval <= 0 || s.SilenceTimeout <= 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval || s.GapTimeout <= 0 || s.AnswerTimeout <= 0:
-		return errors.New("mapfeed: times are more than 0s, the top of the pause no less than the first")
+		return errors.New("mapfeed: expected intervals and timeouts above 0s, and a maximum retry interval that is not below the minimum")
 	case s.MaxWaiting < 1:
-		return fmt.Errorf("mapfeed: waiting = %d: at least 1", s.MaxWaiting)
+		return fmt.Errorf("mapfeed: maximum of waiting requests = %d: expected at least 1", s.MaxWaiting)
 	}
 	return s.Refresh.Check()
 }
 
-// Feed keeps a gateway's map.
+// Feed keeps a gateway's map up to date.
 type Feed struct {
 	settings  Settings
 	log       *slog.Logger
 	client    *http.Client
 	startTime time.Time
 	rng       *rand.Rand
-	wake      chan struct{} // something may be due
+	wake      chan struct{} // a refresh may be due
 
-	changeMu sync.Mutex // held by who changes the map; a lookup takes none
+	changeMu sync.Mutex // serializes changes of the map; lookups do not take it
 	extents  *extentmap.Map
 
 	mu           sync.Mutex
 	refresher    *extentmap.Refresher
 	waiting      map[extentmap.Range][]func()
 	waitingCount int
-	stream       *register.Opened // nil: none
+	stream       *register.Opened // nil while disconnected
 	state        State
-	lookupOnly   atomic.Bool // the book is empty: what the map knows holds
+	lookupOnly   atomic.Bool // the refresher has no groups, so a lookup in the map suffices
 	wg           sync.WaitGroup
 }
 
-// State is what an operator sees.
+// State describes the feed to an operator.
 type State struct {
 	Connected bool
-	Snapshots uint64 // fetched
-	Resumed   uint64 // streams dropped for a gap
-	Terms     uint64 // changes of the authority's term
-	Damaged   uint64 // blocks of snapshots and the cache that could not be read
-	Failures  uint64 // of streams and snapshots
-	Waiting   int    // requests
-	Err       string // the last one
+	Snapshots uint64 // snapshots fetched
+	Resumed   uint64 // streams closed and resumed because a change was missing
+	Terms     uint64 // number of changes of the authority's term
+	Damaged   uint64 // number of blocks of snapshots and the cache that could not be read
+	Failures  uint64 // number of failed streams and snapshots
+	Waiting   int    // number of waiting requests
+	Err       string // error of the last failure
 	extentmap.Counts
 }
 
-// errGap ends a stream to be resumed where changes are missing.
-var errGap = errors.New("a change is missing: asking for it again")
+// errGap is the reason for closing a stream that is resumed before a missing change.
+var errGap = errors.New("a change is missing; the stream is resumed before it")
 
-// errTerm ends a stream of an authority that was restored.
-var errTerm = errors.New("the authority has another term")
+// errTerm is the reason for closing a stream of an authority that was restored.
+var errTerm = errors.New("the term of the authority has changed")
 
-// New makes a feed; Run follows.
+// New returns a feed. Run starts it.
 func New(set Settings, log *slog.Logger) (*Feed, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -111,11 +111,11 @@
 	if err != nil {
 		return nil, err
 	}
-	book, err := extentmap.NewRefresher(set.Refresh, 0)
+	refresher, err := extentmap.NewRefresher(set.Refresh, 0)
 	if err != nil {
 		return nil, err
 	}
-	f := &Feed{settings: set, log: log, extents: m, refresher: book, startTime: time.Now(), wake: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
+	f := &Feed{settings: set, log: log, extents: m, refresher: refresher, startTime: time.Now(), wake: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
 		rng: rand.New(rand.NewSource(set.Seed)), client: &http.Client{Transport: &http.Transport{Proxy: nil, ResponseHeaderTimeout: set.SilenceTimeout,
 			DisableCompression: true, MaxIdleConnsPerHost: set.Refresh.MaxInFlight}}}
 	f.lookupOnly.Store(set.Refresh.MaxSilence == 0)
@@ -124,10 +124,10 @@
 
 func (f *Feed) now() time.Duration { return time.Since(f.startTime) }
 
-// View is the map as it is now.
+// View returns the current version of the map.
 func (f *Feed) View() *extentmap.View { return f.extents.View() }
 
-// State is what an operator sees.
+// State returns the state of the feed.
 func (f *Feed) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -136,11 +136,12 @@
 	return s
 }
 
-// Ask says what to do with a request for an extent whose client can wait so long. On Wait again is called
-// once, from any goroutine, when there is news: then it is to be asked again, with what is left of the patience.
+// Decide returns what to do with a request for an extent whose client waits for at most patience. If the action is
+// Wait, again is called once, from any goroutine, when the request can proceed: the caller then calls Decide again
+// with the remaining patience.
 func (f *Feed) Decide(volume string, extent uint64, patience time.Duration, again func()) extentmap.Decision {
 	v := f.extents.View()
-	if f.lookupOnly.Load() { // nobody says otherwise
+	if f.lookupOnly.Load() { // no part of the map is stale
 		if vol, ok := v.Volume(volume); ok {
 			if home, version, ok := v.Lookup(vol, extent); ok && home.Shard != extentmap.Nowhere {
 				return extentmap.Decision{Action: extentmap.Use, Home: home, Version: version}
@@ -164,20 +165,20 @@
 	return verdict
 }
 
-// Moved takes a node's word that an extent is not there.
-func (f *Feed) Moved(volume string, extent uint64, w extentmap.MovedAnswer) (news bool) {
+// Moved records a node's answer that an extent has moved, and reports whether it is newer than the map.
+func (f *Feed) Moved(volume string, extent uint64, w extentmap.MovedAnswer) (newer bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	news, err := f.refresher.Moved(f.extents.View(), volume, extent, w, f.now())
+	newer, err := f.refresher.Moved(f.extents.View(), volume, extent, w, f.now())
 	if err != nil {
-		f.log.Warn("map: a node's word was not kept", "err", err)
+		f.log.Warn("map: a node's answer about a moved extent was dropped", "err", err)
 	}
 	f.updateLookupOnly()
 	f.wakeRefresh()
-	return news
+	return newer
 }
 
-// settle notes whether the book has anything; the lock is held.
+// updateLookupOnly sets lookupOnly. The caller holds mu.
 func (f *Feed) updateLookupOnly() {
 	f.lookupOnly.Store(f.refresher.Len() == 0 && f.settings.Refresh.MaxSilence == 0)
 }
@@ -189,7 +190,7 @@
 	}
 }
 
-// Run starts from the cache and follows the authority until ctx ends; then the cache is written.
+// Run loads the cache and follows the authority until ctx ends, then writes the cache.
 func (f *Feed) Run(ctx context.Context) {
 	f.loadCache()
 	f.wg.Add(2)
@@ -197,14 +198,14 @@
 	go func() { defer f.wg.Done(); f.saveLoop(ctx) }()
 	pause := f.settings.MinRetryInterval
 	for ctx.Err() == nil {
-		heard, err := f.readStream(ctx)
+		received, err := f.readStream(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		if heard {
+		if received {
 			pause = f.settings.MinRetryInterval
 		}
-		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // gateways come back apart
+		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // jitter keeps gateways from reconnecting at the same time
 		f.mu.Lock()
 		f.state.Failures++
 		f.state.Err = err.Error()
@@ -223,8 +224,8 @@
 	f.wg.Wait()
 }
 
-// follow reads one stream to its end.
-func (f *Feed) readStream(ctx context.Context) (heard bool, err error) {
+// readStream opens one stream and reads it to its end.
+func (f *Feed) readStream(ctx context.Context) (received bool, err error) {
 	id := ""
 	if v := f.View(); v.Synced {
 		id = ID(v.Term, v.Mark)
@@ -243,7 +244,7 @@
 		s.Close()
 	}()
 	s.Comment = f.authoritySeen
-	var gap *time.Timer // runs while a change is missing
+	var gap *time.Timer // active while a change is missing
 	defer func() {
 		if gap != nil {
 			gap.Stop()
@@ -252,24 +253,24 @@
 	for {
 		m, err := s.Next()
 		if err != nil {
-			return heard, s.Ended(err)
+			return received, s.Ended(err)
 		}
 		if m.Event != EventChange && m.Event != EventSnapshot {
 			continue
 		}
 		c, err := ParseChange([]byte(m.Data))
 		if err != nil {
-			return heard, fmt.Errorf("event %s: %w", m.ID, err)
+			return received, fmt.Errorf("event %s: %w", m.ID, err)
 		}
 		f.authoritySeen()
-		heard = true
+		received = true
 		if m.Event == EventSnapshot {
 			err = f.fetchSnapshot(ctx)
 		} else {
 			err = f.apply(ctx, c)
 		}
 		if err != nil {
-			return heard, err
+			return received, err
 		}
 		f.changeMu.Lock()
 		from, _ := f.extents.Missing()
@@ -290,7 +291,7 @@
 	f.mu.Unlock()
 }
 
-// apply takes one change, or a snapshot where only that helps.
+// apply applies one change, or fetches a snapshot if the change cannot be applied without one.
 func (f *Feed) apply(ctx context.Context, c Change) error {
 	f.changeMu.Lock()
 	_, err := f.extents.Apply(extentmap.Delta{Term: c.Term, Version: c.Version, Runs: c.Runs})
@@ -302,10 +303,10 @@
 	return f.fetchSnapshot(ctx)
 }
 
-// errStalled ends a snapshot of which nothing comes.
-var errStalled = errors.New("mapfeed: snapshot: nothing of it came for too long; it is asked for again")
+// errStalled is the reason for aborting a snapshot that no longer makes progress.
+var errStalled = errors.New("mapfeed: snapshot: no data within the timeout; it is requested again")
 
-// awake puts a timer off with each read.
+// stallReader resets a timer whenever data is read.
 type stallReader struct {
 	io.Reader
 	timer   *time.Timer
@@ -320,7 +321,7 @@
 	return n, err
 }
 
-// fetchSnapshot asks for the whole map. One that stalls is given up: what came of it is not taken.
+// fetchSnapshot fetches and applies a snapshot. A snapshot that stalls is aborted and not applied.
 func (f *Feed) fetchSnapshot(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -356,13 +357,13 @@
 	}
 	f.mu.Unlock()
 	if len(r.Damaged) > 0 {
-		f.log.Warn("map: parts of the snapshot could not be read; they are asked for when they are wanted", "blocks", len(r.Damaged), "first", r.Damaged[0].Why)
+		f.log.Warn("map: parts of the snapshot could not be read; they are fetched when they are requested", "blocks", len(r.Damaged), "first", r.Damaged[0].Why)
 	}
-	f.log.Info("map: snapshot", "taken", taken, "term", r.Term, "version", r.Version, "runs", f.View().Len())
+	f.log.Info("map: snapshot fetched", "taken", taken, "term", r.Term, "version", r.Version, "runs", f.View().Len())
 	return nil
 }
 
-// get asks the authority for something below the stream's place.
+// get requests a resource below the stream's URL from the authority.
 func (f *Feed) get(ctx context.Context, what string, query url.Values) (io.ReadCloser, error) {
 	u, err := url.Parse(f.settings.URL)
 	if err != nil {
@@ -380,12 +381,12 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("mapfeed: %s: %s answers %s", what, u.Host, resp.Status)
+		return nil, fmt.Errorf("mapfeed: %s: %s answered %s", what, u.Host, resp.Status)
 	}
 	return resp.Body, nil
 }
 
-// refresh asks for what is due until ctx ends.
+// refreshLoop starts the refreshes that are due until ctx ends.
 func (f *Feed) refreshLoop(ctx context.Context) {
 	sweep := time.NewTicker(time.Second)
 	defer sweep.Stop()
@@ -400,7 +401,7 @@
 			go func() { defer f.wg.Done(); f.refreshRange(ctx, r) }()
 		}
 		var timer <-chan time.Time
-		if more { // what is due and not out waits for one that is, which rings
+		if more { // a due range above the limit waits for a refresh in flight, whose end wakes the loop
 			timer = time.After(max(next-now, 5*time.Millisecond))
 		}
 		select {
@@ -417,7 +418,7 @@
 	}
 }
 
-// answer asks the authority for one range, and has all who wait for it ask again.
+// refreshRange fetches one range and lets all requests that wait for it proceed.
 func (f *Feed) refreshRange(ctx context.Context, r extentmap.Range) {
 	err := f.fetchRange(ctx, r)
 	f.mu.Lock()
@@ -431,7 +432,7 @@
 	}
 	f.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
-		f.log.Warn("map: a range could not be asked for", "range", r.String(), "err", err)
+		f.log.Warn("map: a range could not be fetched", "range", r.String(), "err", err)
 	}
 	for _, again := range all {
 		again()
@@ -452,7 +453,7 @@
 		return fmt.Errorf("mapfeed: range %v: %w", r, err)
 	}
 	if len(b) > maxAnswerBytes {
-		return fmt.Errorf("mapfeed: range %v: an answer of over %d bytes", r, maxAnswerBytes)
+		return fmt.Errorf("mapfeed: range %v: the answer exceeds %d bytes", r, maxAnswerBytes)
 	}
 	c, err := ParseChange(b)
 	if err != nil {
@@ -463,7 +464,7 @@
 	return f.extents.Fetched(r, c.Term, c.Version, c.Runs)
 }
 
-// load starts from the cache.
+// loadCache loads the map from the cache, if there is one.
 func (f *Feed) loadCache() {
 	if f.settings.CacheFile == "" {
 		return
@@ -483,10 +484,10 @@
 	f.mu.Lock()
 	f.state.Damaged += uint64(len(damaged))
 	f.mu.Unlock()
-	f.log.Info("map: started from the cache", "term", h.Term, "version", h.Version, "runs", f.View().Len())
+	f.log.Info("map: loaded from the cache", "term", h.Term, "version", h.Version, "runs", f.View().Len())
 }
 
-// keep writes the cache now and then, and when ctx ends.
+// saveLoop writes the cache periodically if the map has changed, and when ctx ends.
 func (f *Feed) saveLoop(ctx context.Context) {
 	if f.settings.CacheFile == "" {
 		return
@@ -502,7 +503,7 @@
 		}
 		if v := f.View(); v.Synced && v != saved {
 			if _, err := mapfile.Save(f.settings.CacheFile, v); err != nil {
-				f.log.Warn("map: it could not be cached; the next start fetches a snapshot", "err", err)
+				f.log.Warn("map: the cache could not be written; the next start fetches a snapshot", "err", err)
 				continue
 			}
 			saved = v
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -18,7 +18,7 @@
 	"eiderhold/internal/standin"
 )
 
-// site is an authority with some feeds.
+// testSite is an authority and its feeds.
 type testSite struct {
 	*testing.T
 	authority *standin.Authority
@@ -35,7 +35,7 @@
 	return &testSite{t, a, filepath.Join(t.TempDir(), "map")}
 }
 
-// feed starts one; the returned function ends it and waits.
+// startFeed starts a feed; the returned function stops it and waits for its end.
 func (s *testSite) startFeed(change func(*mapfeed.Settings)) (*mapfeed.Feed, func()) {
 	s.Helper()
 	set := mapfeed.Default
@@ -69,7 +69,7 @@
 	return extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Home: extentmap.Home{Shard: shard}}
 }
 
-// same fails where a feed's map has an extent elsewhere than the authority.
+// checkEqual fails if a feed's map differs from the authority's in the first extents of a volume.
 func (s *testSite) checkEqual(f *mapfeed.Feed, volume string, extents uint64) {
 	s.Helper()
 	v := f.View()
@@ -81,13 +81,13 @@
 			ok = false
 		}
 		if ok != there || got != want && ok {
-			s.Fatalf("%s %d: %v, %v; the authority has it at %v, %v", volume, e, got, ok, want, there)
+			s.Fatalf("%s %d: %v, %v; the authority has %v, %v", volume, e, got, ok, want, there)
 		}
 	}
 }
 
-// TestFeedThroughTrouble: changes that come out of order, twice, and not at all; a gateway that is too far behind to
-// resume; an authority that goes down, and one that was restored to an earlier version.
+// TestFeedWithFaults: changes arrive out of order, twice, or not at all; a gateway is too far behind to resume; an
+// authority goes down; and an authority is restored to an earlier version.
 func TestFeedWithFaults(t *testing.T) {
 	s := newTestSite(t)
 	rng := rand.New(rand.NewSource(1))
@@ -102,7 +102,7 @@
 	var seen sync.Map
 	s.authority.Script(func(_ string, version uint64) standin.Delivery {
 		if _, again := seen.LoadOrStore(version, true); again {
-			return standin.Delivery{} // resumed: it comes
+			return standin.Delivery{} // delivered when the stream is resumed
 		}
 		switch version % 7 {
 		case 0:
@@ -121,7 +121,7 @@
 		s.checkEqual(f, "v", 450)
 	}
 	if st := f.State(); st.Resumed == 0 || st.Snapshots != 1 {
-		t.Errorf("%+v: skipped changes are resumed, not mended by a snapshot", st)
+		t.Errorf("%+v: expected skipped changes to be recovered by resuming the stream, without a further snapshot", st)
 	}
 
 	s.authority.Script(nil)
@@ -133,22 +133,22 @@
 	s.waitUntil("all changes", current)
 	s.checkEqual(f, "v", 450)
 	if st := f.State(); st.Snapshots != 2 {
-		t.Errorf("%+v: it was too far behind to resume", st)
+		t.Errorf("%+v: expected a snapshot, as the gateway was too far behind to resume", st)
 	}
 
-	held := f.View()
-	s.authority.Restore(held.Mark - 60)
+	old := f.View()
+	s.authority.Restore(old.Mark - 60)
 	s.waitUntil("the other term", func() bool { return f.View().Term == 2 })
 	put(3)
 	s.waitUntil("all changes", current)
 	s.checkEqual(f, "v", 450)
-	if st := f.State(); st.Terms != 1 || held.Term != 1 {
-		t.Errorf("%+v; a view held says term %d", st, held.Term)
+	if st := f.State(); st.Terms != 1 || old.Term != 1 {
+		t.Errorf("%+v; a view taken before has term %d", st, old.Term)
 	}
 }
 
-// TestOneQuestionForAThousand: a thousand requests want a range that has just moved, of which the feed brings no
-// word; one question is asked, and all go to the new home.
+// TestOneRefreshForAllRequests: a range has moved and the feed has not received the change. A thousand requests
+// for it cause one refresh, and all get the new location.
 func TestOneRefreshForAllRequests(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1))
@@ -158,15 +158,15 @@
 	s.authority.Slow(20 * time.Millisecond)
 	moved := s.authority.Put(newRun("v", 0, 64, 2))
 	if !f.Moved("v", 5, extentmap.MovedAnswer{Version: moved}) {
-		t.Fatal("the node's word is no news")
+		t.Fatal("the node's answer is not newer than the map")
 	}
-	var wrong, came atomic.Int32
+	var wrong, used atomic.Int32
 	var ask func(extent uint64)
 	ask = func(extent uint64) {
 		switch v := f.Decide("v", extent, 10*time.Second, func() { ask(extent) }); {
 		case v.Action == extentmap.Wait:
 		case v.Action == extentmap.Use && v.Shard == 2 && v.Version == moved:
-			came.Add(1)
+			used.Add(1)
 		default:
 			wrong.Add(1)
 		}
@@ -174,17 +174,17 @@
 	for i := range 1000 {
 		go ask(uint64(i % 64))
 	}
-	s.waitUntil("all answers", func() bool { return came.Load()+wrong.Load() == 1000 })
+	s.waitUntil("all answers", func() bool { return used.Load()+wrong.Load() == 1000 })
 	if wrong.Load() > 0 || s.authority.Asked("range") != 1 {
-		t.Errorf("%d went elsewhere, %d questions were asked", wrong.Load(), s.authority.Asked("range"))
+		t.Errorf("%d requests got another location; %d refreshes", wrong.Load(), s.authority.Asked("range"))
 	}
 	if st := f.State(); st.Waiting != 0 {
 		t.Errorf("%+v", st)
 	}
 }
 
-// TestCutOff: the authority is gone. What is known is used, what a node tells is used too, and what nobody
-// knows is refused with a time to come back; once it is there again, all is asked for.
+// TestAuthorityUnreachable: while the authority is down, known extents and locations reported by nodes are used,
+// and requests for unknown ones are refused with a retry time. When it is back, the ranges are refreshed.
 func TestAuthorityUnreachable(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1), newRun("v", 64, 128, 3))
@@ -199,20 +199,20 @@
 	}
 	s.waitUntil("some failures", func() bool { return f.State().Failed > 2 })
 	if v := ask(5, time.Second); v.Action != extentmap.Use || v.Shard != 2 {
-		t.Errorf("what a node told: %+v", v)
+		t.Errorf("extent with a hint: %+v", v)
 	}
 	if v := ask(70, time.Second); v.Action != extentmap.Use || v.Shard != 3 {
-		t.Errorf("what is known: %+v", v)
+		t.Errorf("known extent: %+v", v)
 	}
 	if v := ask(6, time.Millisecond); v.Action != extentmap.Refuse || v.RetryAfter < time.Millisecond {
-		t.Errorf("what is only known to be wrong: %+v", v)
+		t.Errorf("stale extent without a hint: %+v", v)
 	}
 	s.authority.Down(false)
-	s.waitUntil("the authority's word", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
+	s.waitUntil("the refreshed range", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
 }
 
-// TestStartsFromTheCache: a start needs no snapshot; where a block of the cache is torn only its extents are
-// asked for; no cache at all is a snapshot.
+// TestStartFromCache: a start from the cache needs no snapshot; if a block of the cache is damaged, only its
+// extents are fetched; without a usable cache a snapshot is fetched.
 func TestStartFromCache(t *testing.T) {
 	s := newTestSite(t)
 	const extents = 60_000
@@ -229,7 +229,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.authority.Put(newRun("v", 7, 9, 50)) // while it was down
+	s.authority.Put(newRun("v", 7, 9, 50)) // while the feed was stopped
 	f, stop = s.startFeed(cached)
 	s.waitUntil("the change since", func() bool { return f.View().Mark == 2 })
 	if s.authority.Asked("snapshot") != 1 || f.View().Extents != extents {
@@ -240,7 +240,7 @@
 	if blocks < 3 {
 		t.Fatalf("%d blocks", blocks)
 	}
-	b[mapfile.HeaderBytes+mapfile.BlockBytes+50]++ // the second
+	b[mapfile.HeaderBytes+mapfile.BlockBytes+50]++ // in the second block
 	if err := os.WriteFile(s.cacheFile, b, 0o644); err != nil {
 		t.Fatal(err)
 	}
@@ -263,7 +263,7 @@
 		}
 	}
 	if n := s.authority.Asked("range") - before; n == 0 || n > int(lost/500)+2 {
-		t.Errorf("%d questions for %d lost extents", n, lost)
+		t.Errorf("%d refreshes for %d lost extents", n, lost)
 	}
 	stop()
 	if err := os.WriteFile(s.cacheFile, []byte("torn"), 0o644); err != nil {
@@ -276,7 +276,7 @@
 	}
 }
 
-// TestSnapshotStalls: one that stops in the middle is given up and asked for again, and nothing of it is taken.
+// TestSnapshotStalls: a snapshot that stalls is aborted and requested again, and no part of it is applied.
 func TestSnapshotStalls(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1))
@@ -284,12 +284,12 @@
 	f, _ := s.startFeed(func(set *mapfeed.Settings) { set.SilenceTimeout = 1500 * time.Millisecond })
 	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
 	if st := f.State(); s.authority.Asked("snapshot") < 2 || st.Snapshots != 1 || st.Damaged != 0 {
-		t.Errorf("%d asked for: %+v", s.authority.Asked("snapshot"), st)
+		t.Errorf("%d snapshots requested: %+v", s.authority.Asked("snapshot"), st)
 	}
 	s.checkEqual(f, "v", 70)
 }
 
-// TestBadSettings: what cannot be is named.
+// TestInvalidSettings: invalid settings are refused.
 func TestInvalidSettings(t *testing.T) {
 	for i, change := range []func(*mapfeed.Settings){
 		func(s *mapfeed.Settings) { s.URL = "nowhere" },
@@ -302,12 +302,13 @@
 		set.URL = "http://127.0.0.1:1/map"
 		change(&set)
 		if _, err := mapfeed.New(set, slog.New(slog.DiscardHandler)); err == nil {
-			t.Error(fmt.Sprint(i, ": taken"))
+			t.Error(fmt.Sprint("invalid settings ", i, " are accepted"))
 		}
 	}
 }
 
-// BenchmarkChangeToUse is the time from a change at the authority to its use at the last of so many gateways.
+// BenchmarkChangeToUse measures the time from a change at the authority until the last of a number of gateways
+// uses it.
 func BenchmarkChangeToUse(b *testing.B) {
 	for _, gateways := range []int{1, 50, 150} {
 		b.Run(fmt.Sprint(gateways), func(b *testing.B) {
@@ -347,7 +348,7 @@
 	}
 }
 
-// FuzzChange: no bytes make the parser panic, and what it takes an empty map can judge.
+// FuzzChange: no data makes the parser panic, and a map either refuses a parsed change or stays valid.
 func FuzzChange(f *testing.F) {
 	f.Add([]byte(`{"term":1,"version":1,"runs":[{"volume":"v","from":0,"to":9,"shard":3,"epoch":1}]}`))
 	f.Add([]byte(`{"term":1,"version":1,"runs":[{"volume":"","from":9,"to":0,"shard":-3}]}`))
