--- a/extentmap/extentmap.go
+++ b/extentmap/extentmap.go
@@ -75,8 +75,8 @@
 
 // Errors of Map.Apply and Map.Fetched after which only a snapshot helps.
 var (
-	// ErrTerm means that the change belongs to another term of the authority.
-	ErrTerm = errors.New("extentmap: the change has another term of the authority; a snapshot is needed")
+	// ErrTerm means that the change or the answer belongs to another term of the authority.
+	ErrTerm = errors.New("extentmap: the term of the authority differs; a snapshot is needed")
 	// ErrTooManyPending means that the limit of changes kept behind a missing one is reached.
 	ErrTooManyPending = errors.New("extentmap: too many changes are pending behind a missing one; a snapshot is needed")
 )
--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -1,7 +1,6 @@
-// Package collect removes items that nothing refers to any more: those of replaced
-// files and of pushes that broke off. It asks for each removal through the module, as
-// a request of a class of low worth, few at a time, so that it yields to everything
-// else. cmd/eiderhold runs it.
+// Package collect removes items that no file refers to any more: those of replaced files and of aborted pushes.
+// Each removal is a request of a class of low worth, and only a few run at a time, so that they yield to all other
+// requests. The gateway runs it.
 package collect
 
 import (
@@ -17,10 +16,10 @@
 
 // Settings of the collector.
 type Settings struct {
-	ScanInterval  time.Duration // between looks
-	BatchSize     int           // runs of garbage looked at a time
-	MaxConcurrent int           // removals out at a time
-	Deadline      time.Duration // of one removal
+	ScanInterval  time.Duration // interval between scans for garbage
+	BatchSize     int           // maximum number of garbage runs per scan
+	MaxConcurrent int           // maximum number of concurrent removals
+	Deadline      time.Duration // deadline of a removal
 	Plan          func(volume string) string
 }
 
@@ -31,10 +30,10 @@
 	host     *host.Host
 	work     extent.Work
 	log      *slog.Logger
-	shards   func() []int // of the nodes that are listed
+	shards   func() []int // returns the shards of the listed nodes
 }
 
-// New makes a collector; Run works.
+// New returns a collector. Run starts it.
 func New(set Settings, s *store.Catalogue, h *host.Host, w extent.Work, shards func() []int, log *slog.Logger) *Collector {
 	if set.ScanInterval == 0 {
 		set.ScanInterval = 2 * time.Second
@@ -67,7 +66,7 @@
 	}
 }
 
-// Once looks at the oldest runs and returns how many of them are gone for good.
+// Once processes the oldest garbage runs and returns how many of them were removed completely.
 func (c *Collector) Once(ctx context.Context) (gone int, err error) {
 	seqs, list, err := c.store.Collectable(c.settings.BatchSize)
 	if err != nil {
@@ -78,7 +77,7 @@
 			return gone, nil
 		}
 		if !c.remove(ctx, &list[i]) {
-			continue // again later
+			continue // retried by a later scan
 		}
 		ended := make(chan error, 1)
 		c.store.Collected(seqs[i], func(err error) { ended <- err })
@@ -90,7 +89,7 @@
 	return gone, nil
 }
 
-// remove asks for the removal of a run's items, and reports whether all are gone.
+// remove removes the items of a garbage run and reports whether all of them are gone.
 func (c *Collector) remove(ctx context.Context, g *store.Garbage) bool {
 	type target struct {
 		item  string
@@ -108,7 +107,7 @@
 		}
 	})
 	if len(all) == 0 {
-		return false // which shards there are is not known yet
+		return false // the list of shards is not known yet
 	}
 	answers := make(chan bool, c.settings.MaxConcurrent)
 	out, ok := 0, true
@@ -118,7 +117,7 @@
 			out--
 		}
 		if ctx.Err() != nil || !ok {
-			break // nodes are busy or gone: not now
+			break // nodes are overloaded or unreachable, so a later scan retries
 		}
 		_, err := c.host.Submit(&host.Request{Class: c.work.CollectClass, Plan: c.settings.Plan(g.Volume), Volume: g.Volume,
 			Item: t.item, Shard: t.shard, Hosts: 1, Units: 1, Expires: c.settings.Deadline, Op: nodewire.Delete,
--- a/internal/extent/extent.go
+++ b/internal/extent/extent.go
@@ -1,7 +1,7 @@
-// Package extent says where the bytes of a file lie: the narrow way from a path
-// and a range to extents and their shards. Today the host's own catalogue answers
-// (internal/store); a cached, versioned extent map will. The package also holds the
-// one place that turns bytes into units and operations into classes.
+// Package extent defines where the bytes of a file are stored: it maps a path and a range to extents and their
+// shards. The gateway's catalogue (internal/store) implements the mapping. The package also contains the only
+// place that converts bytes to units and operations to classes. The catalogue, the rsync front, the mover's runner
+// and the collector use it.
 package extent
 
 import (
@@ -11,24 +11,23 @@
 	"eiderhold/control"
 )
 
-// Extent is a run of a file's bytes that one item of one shard holds. Items are
-// never overwritten: another version of a file has other items.
+// Extent is a contiguous part of a file that one item of one shard holds. Items are never overwritten: another
+// version of a file has other items.
 type Extent struct {
-	Item   string // name at the node
-	Shard  int    // the shard that took it
-	Offset int64  // of its first byte in the file
+	Item   string // name of the item at the node
+	Shard  int    // shard that stores the item
+	Offset int64  // of the first byte in the file
 	Length int    // bytes
-	Sum    uint64 // xxhash64 of its bytes
+	Sum    uint64 // xxHash64 of the data
 }
 
-// Resolver finds the extents that hold a range of a file, in order of offset. The
-// first and the last may reach beyond the range.
+// Resolver finds the extents that contain a range of a file, in order of offset. The first and the last may extend
+// beyond the range.
 type Resolver interface {
 	Resolve(volume, path string, offset, length int64) ([]Extent, error)
 }
 
-// Within returns the extents of a file's list, which is in order, that touch the
-// range.
+// Within returns the extents of a file, given in order of offset, that overlap a range.
 func Within(all []Extent, offset, length int64) []Extent {
 	lo := Index(all, offset)
 	end := lo
@@ -38,25 +37,25 @@
 	return all[lo:end]
 }
 
-// Index is the place in a file's list, which is in order, of the first extent that
-// ends behind the offset; len(all) if there is none.
+// Index returns the index of the first extent, given in order of offset, that ends after the offset, or len(all)
+// if there is none.
 func Index(all []Extent, offset int64) int {
 	return sort.Search(len(all), func(i int) bool { return all[i].Offset+int64(all[i].Length) > offset })
 }
 
-// Work says what an operation costs and which class it has. It is the only place
-// that converts bytes to units or names a class for an operation.
+// Work determines the cost and the class of an operation. It is the only place that converts bytes to units or
+// chooses the class of an operation.
 type Work struct {
-	UnitBytes    int     // bytes that count as one unit
-	Most         float64 // units of the largest request
-	ReadClass    string  // a read of a file below Bulk bytes
-	BulkClass    string  // a read of a larger one
+	UnitBytes    int     // bytes per unit
+	Most         float64 // maximum number of units of a request; 0: no maximum
+	ReadClass    string  // class of reads of files up to Bulk bytes
+	BulkClass    string  // class of reads of larger files
 	Bulk         int64
 	WriteClass   string
-	CollectClass string // removing what nothing refers to
+	CollectClass string // class of the removal of garbage
 }
 
-// Units is the size of a request of n bytes: at least one unit.
+// Units returns the size of a request of n bytes, which is at least one unit.
 func (w Work) Units(n int) float64 {
 	u := float64(n) / float64(w.UnitBytes)
 	if w.Most > 0 {
@@ -65,7 +64,7 @@
 	return max(1, u)
 }
 
-// Read is the class of a read that is part of a transfer of so many bytes.
+// Read returns the class of a read that belongs to a transfer of total bytes.
 func (w Work) Read(total int64) string {
 	if total > w.Bulk {
 		return w.BulkClass
@@ -73,10 +72,10 @@
 	return w.ReadClass
 }
 
-// Check names the first class that the settings of the controller lack.
+// Check returns an error if a setting is invalid or a class does not exist.
 func (w Work) Check(classes []control.Class) error {
 	if w.UnitBytes <= 0 {
-		return fmt.Errorf("unit of %d bytes: must be positive", w.UnitBytes)
+		return fmt.Errorf("unit of %d bytes: expected a positive number", w.UnitBytes)
 	}
 	for _, name := range []string{w.ReadClass, w.BulkClass, w.WriteClass, w.CollectClass} {
 		found := false
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -205,7 +205,7 @@
 		if received {
 			pause = f.settings.MinRetryInterval
 		}
-		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // jitter keeps gateways from reconnecting at the same time
+		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // jitter spreads the reconnects of gateways
 		f.mu.Lock()
 		f.state.Failures++
 		f.state.Err = err.Error()
--- a/internal/migrate/log.go
+++ b/internal/migrate/log.go
@@ -15,8 +15,8 @@
 	"eiderhold/mover"
 )
 
-// The log's frame: a record is 4 bytes of length, 8 of xxHash64 of the body, little endian, and the body
-// (MessagePack). What a crash cut off the end was not acted on, and is dropped.
+// Format of the log: a record is 4 bytes of length, 8 bytes of xxHash64 of the body, both little endian, and the
+// body in MessagePack. A record that a crash truncated at the end is dropped: it was not acted on yet.
 const (
 	logMagic          = "EHMOVES1"
 	recordHeaderBytes = 12
@@ -29,7 +29,7 @@
 	f    *os.File
 }
 
-// openLog reads a log, and how many bytes at its end are no whole record.
+// openLog reads a log and rewrites it without an incomplete record at its end, whose size it returns in torn.
 func openLog(path string) (l *logFile, records []mover.Record, torn int, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -44,7 +44,7 @@
 	return l, records, torn, l.replace(records)
 }
 
-// parseLog reads a log's bytes.
+// parseLog parses the content of a log.
 func parseLog(b []byte) (records []mover.Record, torn int, err error) {
 	if len(b) < len(logMagic) {
 		if bytes.HasPrefix([]byte(logMagic), b) {
@@ -84,7 +84,7 @@
 			return nil, fmt.Errorf("migrate: %w", err)
 		}
 		if len(body) > maxRecordBytes {
-			return nil, fmt.Errorf("migrate: move %d: a record of %d bytes, at most %d", r.ID, len(body), maxRecordBytes)
+			return nil, fmt.Errorf("migrate: move %d: record of %d bytes, expected at most %d", r.ID, len(body), maxRecordBytes)
 		}
 		into = binary.LittleEndian.AppendUint32(into, uint32(len(body)))
 		into = binary.LittleEndian.AppendUint64(into, xxhash.Sum64(body))
@@ -93,7 +93,7 @@
 	return into, nil
 }
 
-// replace makes the log these records, whole or not at all.
+// replace atomically replaces the log by these records.
 func (l *logFile) replace(records []mover.Record) error {
 	b, err := appendRecords([]byte(logMagic), records)
 	if err != nil {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// append puts records on disk; they are there when it returns.
+// append appends records. They are on disk when it returns without an error.
 func (l *logFile) append(records []mover.Record) error {
 	if len(records) == 0 {
 		return nil
--- a/internal/migrate/log_test.go
+++ b/internal/migrate/log_test.go
@@ -14,8 +14,8 @@
 	return []mover.Record{{ID: 3, Step: mover.Waiting, Move: mv}, {ID: 3, Step: mover.Copying}, {ID: 3, Step: mover.Undoing, Why: "a test"}}
 }
 
-// TestLogTorn: a log cut at any byte is read up to its last whole record, and goes on from there; one with a byte
-// changed likewise; what is no log is refused.
+// TestTornLog: a log truncated at any byte is read up to its last complete record and can be appended to, a log
+// with a changed byte is read up to the damaged record, and a file of another format is refused.
 func TestTornLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), LogFile)
 	l, got, torn, err := openLog(path)
@@ -62,7 +62,7 @@
 			t.Fatal(err)
 		}
 		if got, torn, err := parseLog(again); err != nil || torn != 0 || len(got) != n+1 {
-			t.Fatalf("cut at %d, then one more: %d records, %d bytes torn, %v", cut, len(got), torn, err)
+			t.Fatalf("cut at %d, then one record appended: %d records, %d bytes torn, %v", cut, len(got), torn, err)
 		}
 	}
 	whole[ends[0]+recordHeaderBytes+1]++
@@ -73,11 +73,11 @@
 		t.Fatal(err)
 	}
 	if _, _, _, err := openLog(path); err == nil {
-		t.Error("something else is taken for a log")
+		t.Error("a file of another format is accepted")
 	}
 }
 
-// FuzzLog: no bytes make the parser or a mover that is fed its records panic.
+// FuzzLog: no content makes the parser panic, nor a mover that is given the parsed records.
 func FuzzLog(f *testing.F) {
 	b, err := appendRecords([]byte(logMagic), testRecords())
 	if err != nil {
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,6 +1,6 @@
-// Package migrate carries moves of data between shards out, as package mover decides: it reads and writes items as
-// requests of low worth through the module, so that they yield to everything else, switches them in the
-// catalogue, and keeps the mover's log on disk. It decides nothing about a move. The gateway runs it.
+// Package migrate executes moves of data between shards as package mover decides them. It reads and writes items
+// through the module as requests of low worth, which yield to all other requests, switches moved items in the
+// catalogue, and keeps the mover's log on disk. The gateway runs it.
 package migrate
 
 import (
@@ -23,32 +23,32 @@
 	"eiderhold/rebalance"
 )
 
-// LogFile is the mover's log in a gateway's folder.
+// LogFile is the name of the mover's log in a gateway's folder.
 const LogFile = "moves.log"
 
-// forgetAt is how many records a log holds before it is written anew without moves that are over.
+// compactThreshold is the number of records at which the log is rewritten without finished moves.
 const compactThreshold = 10_000
 
 // Options of a runner.
 type Options struct {
-	Dir      string // of the log
+	Dir      string // folder of the log
 	Settings mover.Settings
 	Store    *store.Catalogue
 	Host     *host.Host
 	Work     extent.Work
 	Plan     func(volume string) string
-	Deadline time.Duration // of one request
+	Deadline time.Duration // deadline of a request
 	Log      *slog.Logger
 }
 
-// Runner carries moves out.
+// Runner executes moves.
 type Runner struct {
 	opt         Options
 	log         *logFile
 	mover       *mover.Mover
 	startTime   time.Time
-	nextID      uint64 // id of the next move
-	recordCount int    // in the log
+	nextID      uint64 // ID of the next move
+	recordCount int    // number of records in the log
 
 	ended    chan endedAction
 	commands chan func(context.Context)
@@ -61,7 +61,7 @@
 	version uint64
 }
 
-// New opens the log. Run goes on with what is in it.
+// New opens the log and returns a runner. Run continues the moves in the log.
 func New(opt Options) (*Runner, error) {
 	l, records, torn, err := openLog(filepath.Join(opt.Dir, LogFile))
 	if err != nil {
@@ -83,7 +83,7 @@
 
 func (r *Runner) now() time.Duration { return time.Since(r.startTime) }
 
-// Run carries moves out until ctx ends.
+// Run executes moves until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	defer close(r.stopped)
 	defer r.log.close()
@@ -106,10 +106,10 @@
 	}
 }
 
-// carry puts the records on disk, then begins the actions. Without its log nothing more is begun.
+// process writes the records to the log, then starts the actions. It blocks while the log cannot be written.
 func (r *Runner) process(ctx context.Context, ready mover.Ready) {
 	for err := r.log.append(ready.Records); err != nil; err = r.log.replace(r.mover.Log()) {
-		// a part of it may be there: from now on the log is written whole, with these records
+		// records may be partly written, so retries rewrite the whole log, which includes them
 		r.opt.Log.Error("migrate: the log cannot be written; nothing moves until it can", "err", err)
 		select {
 		case <-ctx.Done():
@@ -127,7 +127,7 @@
 	if r.recordCount > compactThreshold {
 		kept := r.mover.Compact()
 		if err := r.log.replace(kept); err != nil {
-			r.opt.Log.Warn("migrate: the log could not be shortened", "err", err)
+			r.opt.Log.Warn("migrate: the log could not be compacted", "err", err)
 		}
 		r.recordCount = len(kept)
 	}
@@ -136,21 +136,22 @@
 	}
 }
 
-// number is what the mover knows an item by: the part's index, and the try in its name (up to 3).
+// extentNumber returns the number that identifies an item to the mover: the part's index and the try in its name
+// (at most 3).
 func extentNumber(part, try int) uint64 { return uint64(part)<<2 | uint64(try) }
 
 func partOf(extent uint64) (part, try int) { return int(extent >> 2), int(extent & 3) }
 
-// split is a move's name: base and path.
+// splitName splits the name of a move into base and path.
 func splitName(name string) (base, path string) {
 	base, path, _ = strings.Cut(name, "\x00")
 	return base, path
 }
 
-// begin carries one action out; how it ended comes over r.ended.
+// startAction starts an action, whose result is sent to r.ended.
 func (r *Runner) startAction(ctx context.Context, a mover.Action) {
 	done := func(how mover.Outcome, version uint64) {
-		go func() { // host and catalogue call on their own loops, which must not wait
+		go func() { // host and catalogue call this from their loops, which must not block
 			select {
 			case r.ended <- endedAction{a, how, version}:
 			case <-ctx.Done():
@@ -174,12 +175,12 @@
 			case errors.Is(err, store.ErrElsewhere):
 				done(mover.Refused, 0)
 			default:
-				r.opt.Log.Warn("migrate: a move could not be switched; it is tried again", "id", a.ID, "err", err)
+				r.opt.Log.Warn("migrate: a move could not be switched; the switch is retried", "id", a.ID, "err", err)
 				done(mover.Failed, 0)
 			}
 		})
 	case mover.Remove:
-		if a.Shard == mv.Source { // the switch made it garbage, which is collected once nobody reads it
+		if a.Shard == mv.Source { // garbage since the switch; collected once no transfer reads it
 			done(mover.OK, 0)
 			return
 		}
@@ -192,13 +193,13 @@
 			done(mover.Failed, 0)
 			return
 		}
-		if !ok || e.Base != base || part >= len(e.Parts) { // replaced or removed meanwhile
+		if !ok || e.Base != base || part >= len(e.Parts) { // the file was replaced or removed
 			done(mover.Gone, 0)
 			return
 		}
 		r.copyItem(mv, item, e.Parts[part], func(err error) {
 			if err != nil {
-				r.opt.Log.Debug("migrate: an item was not copied; it is tried again", "id", a.ID, "item", item, "err", err)
+				r.opt.Log.Debug("migrate: an item could not be copied; the copy is retried", "id", a.ID, "item", item, "err", err)
 			}
 			done(outcomeOf(err == nil), 0)
 		})
@@ -212,7 +213,7 @@
 	return mover.Failed
 }
 
-// copy reads an item at the source and writes it at the target.
+// copyItem reads an item at the source and writes it at the target.
 func (r *Runner) copyItem(mv *mover.Move, item string, p store.Part, done func(error)) {
 	units := r.opt.Work.Units(p.Length)
 	r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: mv.Source, Units: units, Op: nodewire.Read, Length: p.Length}, func(x host.Answer) {
@@ -225,13 +226,13 @@
 		}
 		if len(x.Data.B) != p.Length || xxhash.Sum64(x.Data.B) != p.Sum {
 			x.Data.Release()
-			done(fmt.Errorf("shard %d holds other bytes than were written", mv.Source))
+			done(fmt.Errorf("shard %d returned data with another length or checksum than written", mv.Source))
 			return
 		}
 		data := x.Data
 		r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: mv.Target, Units: units, Op: nodewire.Write, Key: item, Payload: data.B}, func(y host.Answer) {
 			if y.Kind == host.Served {
-				data.Release() // else an attempt that waits may still use it
+				data.Release() // otherwise a waiting attempt may still use the data
 				done(nil)
 				return
 			}
@@ -240,7 +241,8 @@
 	})
 }
 
-// submit asks the host for a request of the lowest worth. The answer comes on the host's loop.
+// submit submits a request of the collector's class, which has the lowest worth. The answer comes on the host's
+// loop.
 func (r *Runner) submit(q *host.Request, answer func(host.Answer)) {
 	q.Class, q.Plan, q.Hosts, q.Expires, q.Answer = r.opt.Work.CollectClass, r.opt.Plan(q.Volume), 1, r.opt.Deadline, answer
 	if _, err := r.opt.Host.Submit(q); err != nil {
@@ -248,10 +250,10 @@
 	}
 }
 
-// ErrStopped says that the gateway is ending.
+// ErrStopped is returned when the gateway is shutting down.
 var ErrStopped = errors.New("migrate: the gateway is ending")
 
-// do runs f between two events, with the runner's own context: what f begins goes on when the asker is gone.
+// do runs f on the loop of Run, with Run's context, so that what f starts does not depend on the caller's context.
 func (r *Runner) do(f func(context.Context)) error {
 	done := make(chan struct{})
 	select {
@@ -263,9 +265,9 @@
 	}
 }
 
-// Start takes a plan's moves and returns how many. Left out are those of file versions that another move is on its
-// way for, and those back to where items of the version still wait to be collected: what comes there would be
-// removed with them.
+// Start starts the moves of a plan and returns their number. It skips moves of file versions that another move is
+// waiting or active for, and moves to a shard where items of the version are still to be collected as garbage: the
+// collection would remove the items copied there.
 func (r *Runner) Start(p *rebalance.Plan) (started int, err error) {
 	wave := make([]int, len(p.Moves))
 	for w, list := range p.Waves {
@@ -327,7 +329,7 @@
 	return started, errors.Join(failed, err)
 }
 
-// Undo takes a move back.
+// Undo undoes a move.
 func (r *Runner) Undo(id uint64) (err error) {
 	failed := r.do(func(ctx context.Context) {
 		var ready mover.Ready
@@ -338,7 +340,7 @@
 	return errors.Join(failed, err)
 }
 
-// Progress lists the moves.
+// Progress returns the progress of all moves.
 func (r *Runner) Progress() (list []mover.Progress, err error) {
 	err = r.do(func(context.Context) { list = r.mover.Progress() })
 	return list, err
