--- a/extentmap/book.go
+++ b/extentmap/book.go
@@ -13,10 +13,10 @@
 type RefreshSettings struct {
 	Group            uint64        // number of extents refreshed together, aligned; a power of two
 	MaxInFlight      int           // maximum number of concurrent refreshes
-	MaxGroups        int           // maximum number of stale or unknown groups; requests for further ones are refused
-	HintDuration     time.Duration // time a location reported by a node is used while the authority does not confirm it
-	AbsenceDuration  time.Duration // time after a refresh for which an extent that it did not contain counts as absent
-	MaxSilence       time.Duration // time since the last contact with the authority after which the map is not used; 0: no limit
+	MaxGroups        int           // maximum number of stale or unknown groups; requests for others are refused
+	HintDuration     time.Duration // time for which a location reported by a node is used without confirmation
+	AbsenceDuration  time.Duration // time after a refresh for which extents missing from it count as absent
+	MaxSilence       time.Duration // time without contact with the authority after which the map is not used; 0: no limit
 	MinRetryInterval time.Duration // retry interval after the first failed refresh; doubled after each further failure
 	MaxRetryInterval time.Duration // upper bound of the retry interval
 }
@@ -89,7 +89,7 @@
 	Disputed  uint64 // answers of nodes that contradict a completed refresh
 	Refreshes uint64 // refreshes started
 	Failed    uint64 // refreshes that failed
-	Waited    uint64 // requests that were told to wait
+	Waited    uint64 // requests that had to wait for a refresh
 	Refused   uint64
 }
 
--- a/extentmap/book_test.go
+++ b/extentmap/book_test.go
@@ -183,13 +183,13 @@
 	}
 }
 
-// TestRefresherProperties: under random events at most MaxInFlight refreshes run, at most one per group; each
-// waiting request has a refresh in flight or scheduled; and a refused request gets a retry time that exceeds its
-// patience.
+// TestRefresherProperties: under random events at most MaxInFlight refreshes run, at most one per group. Each
+// waiting request has a refresh in flight or scheduled. A refused request gets a retry time of at least its
+// patience, unless the maximum of groups is reached.
 func TestRefresherProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultRefresh
-		set.Group, set.MaxInFlight, set.MaxGroups = 4, rapid.IntRange(1, 3).Draw(t, "out"), rapid.IntRange(3, 8).Draw(t, "kept")
+		set.Group, set.MaxInFlight, set.MaxGroups = 4, rapid.IntRange(1, 3).Draw(t, "in flight"), rapid.IntRange(3, 8).Draw(t, "groups")
 		b, err := NewRefresher(set, 0)
 		if err != nil {
 			t.Fatal(err)
@@ -199,7 +199,7 @@
 			t.Fatal(err)
 		}
 		now, version := time.Duration(0), uint64(1)
-		out := map[Range]bool{}
+		inFlight := map[Range]bool{}
 		for range rapid.IntRange(1, 80).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * ms
 			e := uint64(rapid.IntRange(0, 39).Draw(t, "extent"))
@@ -212,7 +212,7 @@
 						t.Fatalf("patience %v: %+v", patience, v)
 					}
 				case Wait:
-					if at, ok := b.Next(); !out[b.Range("v", e)] && (!ok || at > now+set.MaxRetryInterval) {
+					if at, ok := b.Next(); !inFlight[b.Range("v", e)] && (!ok || at > now+set.MaxRetryInterval) {
 						t.Fatalf("a request waits for %v, which has no refresh in flight or scheduled", b.Range("v", e))
 					}
 				}
@@ -221,17 +221,17 @@
 				_, _ = b.Moved(m.View(), "v", e, MovedAnswer{Version: version, Home: Home{Shard: 3}, Known: rapid.Bool().Draw(t, "known")}, now)
 			case 3:
 				for _, r := range b.Due(now) {
-					if out[r] {
+					if inFlight[r] {
 						t.Fatalf("two refreshes of %v are in flight", r)
 					}
-					out[r] = true
+					inFlight[r] = true
 				}
-				if len(out) > set.MaxInFlight {
-					t.Fatalf("%d refreshes in flight", len(out))
+				if len(inFlight) > set.MaxInFlight {
+					t.Fatalf("%d refreshes in flight", len(inFlight))
 				}
 			case 4:
 				for i := uint64(0); i < 40; i += 4 { // the first range with a refresh in flight
-					if r := (Range{"v", i, i + 4}); out[r] {
+					if r := (Range{"v", i, i + 4}); inFlight[r] {
 						succeeded := rapid.Bool().Draw(t, "succeeded")
 						if succeeded {
 							if err := m.Fetched(r, 1, version, nil); err != nil {
@@ -239,7 +239,7 @@
 							}
 						}
 						b.Answered(r, succeeded, now)
-						delete(out, r)
+						delete(inFlight, r)
 						break
 					}
 				}
--- a/extentmap/map.go
+++ b/extentmap/map.go
@@ -25,7 +25,7 @@
 // Len returns the number of runs. A run takes 32 bytes, and up to twice as much in leaves that are half full.
 func (v *View) Len() int { return v.runs }
 
-// Volume returns the VolumeID of a volume, and false if the map has no run of it.
+// Volume returns the VolumeID of a volume, and false if the map does not know the volume.
 func (v *View) Volume(name string) (VolumeID, bool) {
 	vol, ok := v.volumeIDs[name]
 	return vol, ok
@@ -108,7 +108,7 @@
 const (
 	Applied   ApplyResult = iota // the change and all before it are applied
 	Duplicate                    // the change was received before
-	Pending                      // applied, but an earlier change is missing; before the first snapshot, kept to be applied after it
+	Pending                      // applied behind a missing change, or kept until the first snapshot
 )
 
 // Apply applies one change. An error is either one after which only a snapshot helps (ErrTerm, ErrTooManyPending),
--- a/internal/extent/extent.go
+++ b/internal/extent/extent.go
@@ -1,7 +1,8 @@
 // Package extent defines where the bytes of a file are stored: it maps a path and a range to extents and their
-// shards. The gateway's catalogue (internal/store) implements the mapping. The package also contains the only
-// place that converts bytes to units and operations to classes. The catalogue, the rsync front, the mover's runner
-// and the collector use it.
+// shards. The gateway's catalogue (internal/store) implements the mapping; behind the interface Resolver, a cached
+// and versioned extent map (package extentmap) can take its place. The package also contains the only place that
+// converts bytes to units and operations to classes. The catalogue, the rsync front, package migrate and package
+// collect use it.
 package extent
 
 import (
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -28,12 +28,12 @@
 	CacheFile        string                    // file that caches the map; empty: no cache
 	SaveInterval     time.Duration             // interval at which a changed map is written to the cache
 	SilenceTimeout   time.Duration             // a stream or snapshot without data for this long is closed
-	MinRetryInterval time.Duration             // retry interval after the first failure; doubled after each further one, with jitter
-	MaxRetryInterval time.Duration             // upper bound of the retry interval
+	MinRetryInterval time.Duration             // retry interval after the first failure; doubled after each further failure
+	MaxRetryInterval time.Duration             // upper bound of the retry interval; jitter is applied to both
 	GapTimeout       time.Duration             // time to wait for a missing change before the stream is resumed before it
 	AnswerTimeout    time.Duration             // timeout of a request for a range
 	MaxRuns          int                       // maximum number of runs in the map
-	MaxWaiting       int                       // maximum number of requests that wait for refreshes; further ones are refused
+	MaxWaiting       int                       // maximum number of requests that wait for refreshes; others are refused
 	Refresh          extentmap.RefreshSettings // when ranges are refreshed
 	Seed             int64
 }
--- a/internal/mapfeed/message.go
+++ b/internal/mapfeed/message.go
@@ -1,7 +1,7 @@
 // Package mapfeed keeps a gateway's extent map up to date with the authority of the map. It receives changes over
 // Server-Sent Events, fetches snapshots and single ranges over HTTP, and caches the map on disk for the next
 // start. Package extentmap decides what a change means and which ranges to fetch. The wire format is documented in
-// docs/format/mapfeed.md.
+// docs/format/mapfeed.md. Package standin uses the message types; the gateway does not run a feed.
 package mapfeed
 
 import (
--- a/mover/mover.go
+++ b/mover/mover.go
@@ -56,7 +56,7 @@
 const (
 	MaxItems  = 1 << 16 // maximum number of items of a move
 	MaxMoves  = 1 << 20 // maximum number of unfinished moves
-	lookAhead = 4096    // maximum number of waiting moves examined for ones that can start
+	lookAhead = 4096    // maximum number of waiting moves examined for moves that can start
 )
 
 // Settings of a mover.
@@ -123,7 +123,7 @@
 // Kinds of actions.
 const (
 	Copy   Kind = iota // copy an item from source to target and verify its checksum, at low worth
-	Switch             // tell the authority that the items are at the target; the authority applies it once per move
+	Switch             // set the items' location to the target at the authority, which applies it once per move
 	Remove             // remove an item at Shard
 )
 
@@ -190,7 +190,7 @@
 }
 
 // New returns a mover that continues where a log ends. Moves that were being copied copy all items again, which is
-// harmless; the grace of switched moves starts anew.
+// harmless; the grace of switched moves starts again.
 func New(set Settings, log []Record, now time.Duration) (*Mover, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -513,7 +513,7 @@
 	}
 }
 
-// Next returns the next time at which something becomes due without a result; ok is false if there is none.
+// Next returns the next time at which something is due even if no action ends before; ok is false if nothing is.
 func (m *Mover) Next() (at time.Duration, ok bool) {
 	consider := func(t time.Duration) {
 		if t > m.now && (!ok || t < at) {
