--- a/extentmap/map.go
+++ b/extentmap/map.go
@@ -393,8 +393,8 @@
 }
 
 // replaceInPlace changes the location of a range that is exactly one run, if the run cannot be merged with a
-// neighbour afterwards, so that moving a whole run costs only two searches. It returns false and changes nothing
-// if this cannot be decided within the leaf.
+// neighbour afterwards, so that moving a whole run costs only two searches. Otherwise, or if this cannot be
+// decided within the leaf, it returns false and changes nothing.
 func (c *viewBuilder) replaceInPlace(vol VolumeID, r *Run) bool {
 	if c.edit.root == nil {
 		return false
