--- a/connpool/connpool_test.go
+++ b/connpool/connpool_test.go
@@ -10,9 +10,9 @@
 
 const ms = time.Millisecond
 
-// TestRest: what has just carried an answer carries nothing at once; a second attempt has one opened, a
-// third that comes while two will be there waits for them.
-func TestRest(t *testing.T) {
+// TestReuseDelay checks that a connection is not reused right after an answer, that a second attempt meanwhile opens
+// another, that a third waits while connections for both are on their way, and that Excess extends the delay.
+func TestReuseDelay(t *testing.T) {
 	p := New[int](Settings{Total: 10, Idle: time.Second})
 	expect := func(now time.Duration, waiting int, conn int, want Verdict) {
 		t.Helper()
@@ -22,26 +22,26 @@
 	}
 	expect(0, 0, 0, Open)
 	p.Opened(1*ms, "n", 1)
-	expect(1*ms, 0, 1, Use) // a new one need not rest
+	expect(1*ms, 0, 1, Use) // a new connection need not rest
 	p.Done(2*ms, "n", 1)
 	expect(2*ms, 0, 0, Resume)
 	expect(2*ms, 1, 0, Open)
 	expect(2*ms, 1, 0, Resume)
-	if at, ok := p.Due("n"); !ok || at != 2*ms+rest {
+	if at, ok := p.Due("n"); !ok || at != 2*ms+reuseDelay {
 		t.Fatalf("due at %v, %v", at, ok)
 	}
-	expect(2*ms+rest, 0, 1, Use)
-	p.Excess(3 * ms) // something came on its own
+	expect(2*ms+reuseDelay, 0, 1, Use)
+	p.Excess(3 * ms) // excess bytes arrived
 	p.Done(4*ms, "n", 1)
-	expect(4*ms+rest, 0, 0, Resume)
-	expect(4*ms+restLong, 0, 1, Use)
-	p.Done(3*ms+restAfter, "n", 1)
-	expect(3*ms+restAfter+rest, 0, 1, Use)
+	expect(4*ms+reuseDelay, 0, 0, Resume)
+	expect(4*ms+longReuseDelay, 0, 1, Use)
+	p.Done(3*ms+longDelayDuration, "n", 1)
+	expect(3*ms+longDelayDuration+reuseDelay, 0, 1, Use)
 }
 
-// TestLatestFirst: the connection that idled least is used, the others grow old and are closed before the
-// node would.
-func TestLatestFirst(t *testing.T) {
+// TestMostRecentlyUsedFirst checks that the connection that has idled least is used, and that the others are closed
+// before the node's idle timeout.
+func TestMostRecentlyUsedFirst(t *testing.T) {
 	p := New[int](Settings{Total: 10, Idle: time.Second})
 	for i := 1; i <= 3; i++ {
 		p.Take(0, "n", i-1)
@@ -55,19 +55,19 @@
 	p.Done(900*ms, "n", 3)
 	wanted := func(string) bool { return true }
 	if old := p.Old(699*ms, wanted); len(old) != 0 {
-		t.Fatalf("%v are old too early", old)
+		t.Fatalf("%v were removed before the idle timeout", old)
 	}
 	if old := p.Old(702*ms, wanted); len(old) != 2 || old[0] != 1 || old[1] != 2 {
 		t.Fatalf("old: %v, expected 1 and 2", old)
 	}
 	if old := p.Old(902*ms, func(string) bool { return false }); len(old) != 1 || p.Total() != 0 {
-		t.Fatalf("of a node that is not wanted: %v, %d left", old, p.Total())
+		t.Fatalf("removed of an unwanted node: %v, %d connections left", old, p.Total())
 	}
 }
 
-// TestCeiling: at the ceiling the one that idled longest at another node goes; if there is none, the
-// attempt waits.
-func TestCeiling(t *testing.T) {
+// TestMaxConnections checks that at the maximum the connection that has idled longest at another node is evicted, and
+// that the attempt waits if there is none.
+func TestMaxConnections(t *testing.T) {
 	p := New[int](Settings{Total: 2})
 	p.Take(0, "a", 0)
 	p.Opened(1*ms, "a", 1)
@@ -84,21 +84,21 @@
 	}
 	p.Failed("c")
 	if _, v := p.Take(4*ms, "b", 0); v != Open {
-		t.Fatalf("a dial that failed gives its place back: verdict %d", v)
+		t.Fatalf("after a failed dial: verdict %d, expected Open", v)
 	}
 }
 
-// TestBooks plays any order of what can happen against plain books: the ceiling holds, a connection is
-// never in two places, and nodes without connections are forgotten.
-func TestBooks(t *testing.T) {
+// TestRandomOperations runs random operations against a simple model: the maximum holds, a connection is never in two
+// states, and nodes without connections are removed.
+func TestRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(1, 6).Draw(t, "total")
 		p := New[int](Settings{Total: total, Idle: 100 * ms})
-		type place struct {
+		type connState struct {
 			node string
 			busy bool
 		}
-		conns, opening, next, now := map[int]place{}, []string{}, 0, time.Duration(0)
+		conns, opening, next, now := map[int]connState{}, []string{}, 0, time.Duration(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms
 			id := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "node"))
@@ -110,7 +110,7 @@
 					if conns[c].busy || conns[c].node != id {
 						t.Fatalf("connection %d of %+v is used for %s", c, conns[c], id)
 					}
-					conns[c] = place{id, true}
+					conns[c] = connState{id, true}
 				case Evict:
 					if conns[c].busy || conns[c].node == id {
 						t.Fatalf("connection %d of %+v makes room for %s", c, conns[c], id)
@@ -126,7 +126,7 @@
 					if rapid.Bool().Draw(t, "up") {
 						next++
 						p.Opened(now, id, next)
-						conns[next] = place{id, false}
+						conns[next] = connState{id, false}
 					} else {
 						p.Failed(id)
 					}
@@ -136,7 +136,7 @@
 					if w, ok := conns[c]; ok && w.busy {
 						if rapid.Bool().Draw(t, "again") {
 							p.Done(now, w.node, c)
-							conns[c] = place{w.node, false}
+							conns[c] = connState{w.node, false}
 						} else {
 							p.Ended(w.node)
 							delete(conns, c)
@@ -147,13 +147,13 @@
 			case 4:
 				for _, c := range p.Old(now, func(n string) bool { return n != id }) {
 					if conns[c].busy {
-						t.Fatalf("connection %d is old and in use", c)
+						t.Fatalf("connection %d was removed as idle while in use", c)
 					}
 					delete(conns, c)
 				}
 			}
 			if p.Total() != len(conns)+len(opening) || p.Total() > total {
-				t.Fatalf("%d in the books, %d and %d opening, %d allowed", p.Total(), len(conns), len(opening), total)
+				t.Fatalf("the pool counts %d, the model %d and %d opening; the maximum is %d", p.Total(), len(conns), len(opening), total)
 			}
 		}
 		for c, w := range conns {
@@ -172,8 +172,9 @@
 	})
 }
 
-// TestForEver: 100,000 nodes, each with connections of its own, come and go and leave nothing behind.
-func TestForEver(t *testing.T) {
+// TestNodeTurnover checks that 100,000 nodes which appear and disappear, each with its own connections, leave no state
+// behind.
+func TestNodeTurnover(t *testing.T) {
 	p := New[int](Settings{Total: 50, Idle: time.Second})
 	now, next := time.Duration(0), 0
 	for i := range 100_000 {
