--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -1,7 +1,6 @@
-// Package collect removes items that nothing refers to any more: those of replaced
-// files and of pushes that broke off. It asks for each removal through the module, as
-// a request of a class of low worth, few at a time, so that it yields to everything
-// else. cmd/eiderhold runs it.
+// Package collect removes items that no file refers to any more: those of replaced files and of aborted pushes.
+// Each removal is a request of a class of low worth, and only a few run at a time, so that they yield to all other
+// requests. The gateway runs it.
 package collect
 
 import (
@@ -17,35 +16,35 @@
 
 // Settings of the collector.
 type Settings struct {
-	Every    time.Duration // between looks
-	Runs     int           // runs of garbage looked at a time
-	Atonce   int           // removals out at a time
-	Deadline time.Duration // of one removal
-	Plan     func(volume string) string
+	ScanInterval  time.Duration // interval between scans for garbage
+	BatchSize     int           // maximum number of garbage runs per scan
+	MaxConcurrent int           // maximum number of concurrent removals
+	Deadline      time.Duration // deadline of a removal
+	Plan          func(volume string) string
 }
 
 // Collector removes garbage.
 type Collector struct {
-	set    Settings
-	store  *store.Catalogue
-	host   *host.Host
-	work   extent.Work
-	log    *slog.Logger
-	shards func() []int // of the nodes that are listed
+	settings Settings
+	store    *store.Catalogue
+	host     *host.Host
+	work     extent.Work
+	log      *slog.Logger
+	shards   func() []int // returns the shards of the listed nodes
 }
 
-// New makes a collector; Run works.
+// New returns a collector. Run starts it.
 func New(set Settings, s *store.Catalogue, h *host.Host, w extent.Work, shards func() []int, log *slog.Logger) *Collector {
-	if set.Every == 0 {
-		set.Every = 2 * time.Second
+	if set.ScanInterval == 0 {
+		set.ScanInterval = 2 * time.Second
 	}
-	if set.Runs == 0 {
-		set.Runs = 64
+	if set.BatchSize == 0 {
+		set.BatchSize = 64
 	}
-	if set.Atonce == 0 {
-		set.Atonce = 4
+	if set.MaxConcurrent == 0 {
+		set.MaxConcurrent = 4
 	}
-	return &Collector{set: set, store: s, host: h, work: w, shards: shards, log: log}
+	return &Collector{settings: set, store: s, host: h, work: w, shards: shards, log: log}
 }
 
 // Run removes garbage until ctx ends.
@@ -55,9 +54,9 @@
 		if err != nil {
 			c.log.Warn("collector: the catalogue's garbage could not be read", "err", err)
 		}
-		wait := c.set.Every
-		if n == c.set.Runs {
-			wait = c.set.Every / 20
+		wait := c.settings.ScanInterval
+		if n == c.settings.BatchSize {
+			wait = c.settings.ScanInterval / 20
 		}
 		select {
 		case <-ctx.Done():
@@ -67,9 +66,9 @@
 	}
 }
 
-// Once looks at the oldest runs and returns how many of them are gone for good.
+// Once processes the oldest garbage runs and returns how many of them were removed completely.
 func (c *Collector) Once(ctx context.Context) (gone int, err error) {
-	seqs, list, err := c.store.Collectable(c.set.Runs)
+	seqs, list, err := c.store.Collectable(c.settings.BatchSize)
 	if err != nil {
 		return 0, err
 	}
@@ -78,7 +77,7 @@
 			return gone, nil
 		}
 		if !c.remove(ctx, &list[i]) {
-			continue // again later
+			continue // retried by a later scan
 		}
 		ended := make(chan error, 1)
 		c.store.Collected(seqs[i], func(err error) { ended <- err })
@@ -90,7 +89,7 @@
 	return gone, nil
 }
 
-// remove asks for the removal of a run's items, and reports whether all are gone.
+// remove removes the items of a garbage run and reports whether all of them are gone.
 func (c *Collector) remove(ctx context.Context, g *store.Garbage) bool {
 	type target struct {
 		item  string
@@ -108,20 +107,20 @@
 		}
 	})
 	if len(all) == 0 {
-		return false // which shards there are is not known yet
+		return false // the list of shards is not known yet
 	}
-	answers := make(chan bool, c.set.Atonce)
+	answers := make(chan bool, c.settings.MaxConcurrent)
 	out, ok := 0, true
 	for _, t := range targets {
-		if out == c.set.Atonce {
+		if out == c.settings.MaxConcurrent {
 			ok = <-answers && ok
 			out--
 		}
 		if ctx.Err() != nil || !ok {
-			break // nodes are busy or gone: not now
+			break // nodes are overloaded or unreachable, so a later scan retries
 		}
-		_, err := c.host.Submit(&host.Request{Class: c.work.CollectClass, Plan: c.set.Plan(g.Volume), Volume: g.Volume,
-			Item: t.item, Shard: t.shard, Hosts: 1, Units: 1, Expires: c.set.Deadline, Op: nodewire.Delete,
+		_, err := c.host.Submit(&host.Request{Class: c.work.CollectClass, Plan: c.settings.Plan(g.Volume), Volume: g.Volume,
+			Item: t.item, Shard: t.shard, Hosts: 1, Units: 1, Expires: c.settings.Deadline, Op: nodewire.Delete,
 			Answer: func(a host.Answer) { answers <- a.Kind == host.Served }})
 		if err != nil {
 			ok = false
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -23,29 +23,29 @@
 
 // Settings of a feed.
 type Settings struct {
-	URL        string                 // of the stream; snapshot and range are below it
-	Gateway    string                 // told to the authority
-	Cache      string                 // file of the last map; empty: none
-	SaveEvery  time.Duration          // the cache is written so often, if the map changed
-	Silence    time.Duration          // a stream from which nothing comes for so long is dropped
-	RetryFirst time.Duration          // pause after a failure; doubled up to RetryTop, with jitter
-	RetryTop   time.Duration          //
-	Gap        time.Duration          // a missing change is waited for so long, then the stream is resumed before it
-	Answer     time.Duration          // an answer about a range that takes longer failed
-	Ceiling    int                    // runs
-	Waiting    int                    // requests that wait for refreshes at a time; any more are refused
-	Book       extentmap.BookSettings // what is asked for, and how often
-	Seed       int64
+	URL              string                    // of the stream; the paths of snapshots and ranges are below it
+	Gateway          string                    // name of the gateway, sent to the authority
+	CacheFile        string                    // file that caches the map; empty: no cache
+	SaveInterval     time.Duration             // interval at which a changed map is written to the cache
+	SilenceTimeout   time.Duration             // a stream or snapshot without data for this long is closed
+	MinRetryInterval time.Duration             // retry interval after the first failure; doubled after each further failure
+	MaxRetryInterval time.Duration             // upper bound of the retry interval; jitter is applied to both
+	GapTimeout       time.Duration             // time to wait for a missing change before the stream is resumed before it
+	AnswerTimeout    time.Duration             // timeout of a request for a range
+	MaxRuns          int                       // maximum number of runs in the map
+	MaxWaiting       int                       // maximum number of requests that wait for refreshes; others are refused
+	Refresh          extentmap.RefreshSettings // when ranges are refreshed
+	Seed             int64
 }
 
-// Default settings, without places.
-var Default = Settings{SaveEvery: 10 * time.Second, Silence: 10 * time.Second, RetryFirst: 100 * time.Millisecond, RetryTop: 5 * time.Second,
-	Gap: 200 * time.Millisecond, Answer: time.Second, Ceiling: 4 << 20, Waiting: 100_000, Book: extentmap.DefaultBook}
+// Default holds the default settings; URL, Gateway and CacheFile are empty.
+var Default = Settings{SaveInterval: 10 * time.Second, SilenceTimeout: 10 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 5 * time.Second,
+	GapTimeout: 200 * time.Millisecond, AnswerTimeout: time.Second, MaxRuns: 4 << 20, MaxWaiting: 100_000, Refresh: extentmap.DefaultRefresh}
 
-// mostAnswer is the most bytes of an answer about a range.
-const mostAnswer = 64 << 20
+// maxAnswerBytes is the maximum size of an answer to a request for a range.
+const maxAnswerBytes = 64 << 20
 
-// Check names what cannot be.
+// Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	u, err := url.Parse(s.URL)
 	switch {
@@ -53,156 +53,159 @@
 		return fmt.Errorf("mapfeed: %w", err)
 	case u.Scheme != "http" && u.Scheme != "https" || u.Host == "":
 		return fmt.Errorf("mapfeed: url %q: expected http://HOST/PATH", s.URL)
-	case s.SaveEvery <= 0 || s.Silence <= 0 || s.RetryFirst <= 0 || s.RetryTop < s.RetryFirst || s.Gap <= 0 || s.Answer <= 0:
-		return errors.New("mapfeed: times are more than 0s, the top of the pause no less than the first")
-	case s.Waiting < 1:
-		return fmt.Errorf("mapfeed: waiting = %d: at least 1", s.Waiting)
+	case s.SaveInterval <= 0 || s.SilenceTimeout <= 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval || s.GapTimeout <= 0 || s.AnswerTimeout <= 0:
+		return errors.New("mapfeed: expected intervals and timeouts above 0s, and a maximum retry interval that is not below the minimum")
+	case s.MaxWaiting < 1:
+		return fmt.Errorf("mapfeed: maximum of waiting requests = %d: expected at least 1", s.MaxWaiting)
 	}
-	return s.Book.Check()
+	return s.Refresh.Check()
 }
 
-// Feed keeps a gateway's map.
+// Feed keeps a gateway's map up to date.
 type Feed struct {
-	set    Settings
-	log    *slog.Logger
-	client *http.Client
-	began  time.Time
-	rng    *rand.Rand
-	kick   chan struct{} // something may be due
-
-	changes sync.Mutex // held by who changes the map; a lookup takes none
-	m       *extentmap.Map
-
-	mu      sync.Mutex
-	book    *extentmap.Book
-	waiting map[extentmap.Range][]func()
-	queued  int
-	stream  *register.Opened // nil: none
-	state   State
-	bare    atomic.Bool // the book is empty: what the map knows holds
-	wg      sync.WaitGroup
+	settings  Settings
+	log       *slog.Logger
+	client    *http.Client
+	startTime time.Time
+	rng       *rand.Rand
+	wake      chan struct{} // a refresh may be due
+
+	changeMu sync.Mutex // serializes changes of the map; lookups do not take it
+	extents  *extentmap.Map
+
+	mu           sync.Mutex
+	refresher    *extentmap.Refresher
+	waiting      map[extentmap.Range][]func()
+	waitingCount int
+	stream       *register.Opened // nil while disconnected
+	state        State
+	lookupOnly   atomic.Bool // the refresher has no groups, so a lookup in the map suffices
+	wg           sync.WaitGroup
 }
 
-// State is what an operator sees.
+// State describes the feed to an operator.
 type State struct {
 	Connected bool
-	Snapshots uint64 // fetched
-	Resumed   uint64 // streams dropped for a gap
-	Terms     uint64 // changes of the authority's term
-	Damaged   uint64 // blocks of snapshots and the cache that could not be read
-	Failures  uint64 // of streams and snapshots
-	Waiting   int    // requests
-	Err       string // the last one
+	Snapshots uint64 // snapshots fetched
+	Resumed   uint64 // streams closed and resumed because a change was missing
+	Terms     uint64 // number of changes of the authority's term
+	Damaged   uint64 // number of blocks of snapshots and the cache that could not be read
+	Failures  uint64 // number of failed streams and snapshots
+	Waiting   int    // number of waiting requests
+	Err       string // error of the last failure
 	extentmap.Counts
 }
 
-// errGap ends a stream to be resumed where changes are missing.
-var errGap = errors.New("a change is missing: asking for it again")
+// errGap is the reason for closing a stream that is resumed before a missing change.
+var errGap = errors.New("a change is missing; the stream is resumed before it")
 
-// errTerm ends a stream of an authority that was restored.
-var errTerm = errors.New("the authority has another term")
+// errTerm is the reason for closing a stream of an authority that was restored.
+var errTerm = errors.New("the term of the authority has changed")
 
-// New makes a feed; Run follows.
+// New returns a feed. Run starts it.
 func New(set Settings, log *slog.Logger) (*Feed, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	m, err := extentmap.New(set.Ceiling)
+	m, err := extentmap.New(set.MaxRuns)
 	if err != nil {
 		return nil, err
 	}
-	book, err := extentmap.NewBook(set.Book, 0)
+	refresher, err := extentmap.NewRefresher(set.Refresh, 0)
 	if err != nil {
 		return nil, err
 	}
-	f := &Feed{set: set, log: log, m: m, book: book, began: time.Now(), kick: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
-		rng: rand.New(rand.NewSource(set.Seed)), client: &http.Client{Transport: &http.Transport{Proxy: nil, ResponseHeaderTimeout: set.Silence,
-			DisableCompression: true, MaxIdleConnsPerHost: set.Book.MostOut}}}
-	f.bare.Store(set.Book.Silence == 0)
+	f := &Feed{settings: set, log: log, extents: m, refresher: refresher, startTime: time.Now(), wake: make(chan struct{}, 1), waiting: map[extentmap.Range][]func(){},
+		rng: rand.New(rand.NewSource(set.Seed)), client: &http.Client{Transport: &http.Transport{Proxy: nil, ResponseHeaderTimeout: set.SilenceTimeout,
+			DisableCompression: true, MaxIdleConnsPerHost: set.Refresh.MaxInFlight}}}
+	f.lookupOnly.Store(set.Refresh.MaxSilence == 0)
 	return f, nil
 }
 
-func (f *Feed) now() time.Duration { return time.Since(f.began) }
+func (f *Feed) now() time.Duration { return time.Since(f.startTime) }
 
-// View is the map as it is now.
-func (f *Feed) View() *extentmap.View { return f.m.View() }
+// View returns the current version of the map.
+func (f *Feed) View() *extentmap.View { return f.extents.View() }
 
-// State is what an operator sees.
+// State returns the state of the feed.
 func (f *Feed) State() State {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.state
-	s.Connected, s.Waiting, s.Counts = f.stream != nil, f.queued, f.book.Counts()
+	s.Connected, s.Waiting, s.Counts = f.stream != nil, f.waitingCount, f.refresher.Counts()
 	return s
 }
 
-// Ask says what to do with a request for an extent whose client can wait so long. On Wait again is called
-// once, from any goroutine, when there is news: then it is to be asked again, with what is left of the patience.
-func (f *Feed) Ask(volume string, extent uint64, patience time.Duration, again func()) extentmap.Verdict {
-	v := f.m.View()
-	if f.bare.Load() { // nobody says otherwise
+// Decide returns what to do with a request for an extent whose client waits for at most patience. If the action is
+// Wait, again is called once, from any goroutine, when the request can proceed: the caller then calls Decide again
+// with the remaining patience.
+func (f *Feed) Decide(volume string, extent uint64, patience time.Duration, again func()) extentmap.Decision {
+	v := f.extents.View()
+	if f.lookupOnly.Load() { // no part of the map is stale
 		if vol, ok := v.Volume(volume); ok {
 			if home, version, ok := v.Lookup(vol, extent); ok && home.Shard != extentmap.Nowhere {
-				return extentmap.Verdict{Do: extentmap.Use, Home: home, Version: version}
+				return extentmap.Decision{Action: extentmap.Use, Home: home, Version: version}
 			}
 		}
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	verdict := f.book.Ask(f.m.View(), volume, extent, patience, f.now())
-	f.settle()
-	if verdict.Do != extentmap.Wait {
+	verdict := f.refresher.Decide(f.extents.View(), volume, extent, patience, f.now())
+	f.updateLookupOnly()
+	if verdict.Action != extentmap.Wait {
 		return verdict
 	}
-	if f.queued >= f.set.Waiting {
-		return extentmap.Verdict{Do: extentmap.Refuse, RetryAfter: f.set.Book.Retry, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.queued)}
+	if f.waitingCount >= f.settings.MaxWaiting {
+		return extentmap.Decision{Action: extentmap.Refuse, RetryAfter: f.settings.Refresh.MinRetryInterval, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.waitingCount)}
 	}
-	r := f.book.Range(volume, extent)
+	r := f.refresher.Range(volume, extent)
 	f.waiting[r] = append(f.waiting[r], again)
-	f.queued++
-	f.ring()
+	f.waitingCount++
+	f.wakeRefresh()
 	return verdict
 }
 
-// Moved takes a node's word that an extent is not there.
-func (f *Feed) Moved(volume string, extent uint64, w extentmap.Word) (news bool) {
+// Moved records a node's answer that an extent has moved, and reports whether it is newer than the map.
+func (f *Feed) Moved(volume string, extent uint64, w extentmap.MovedAnswer) (newer bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	news, err := f.book.Moved(f.m.View(), volume, extent, w, f.now())
+	newer, err := f.refresher.Moved(f.extents.View(), volume, extent, w, f.now())
 	if err != nil {
-		f.log.Warn("map: a node's word was not kept", "err", err)
+		f.log.Warn("map: a node's answer about a moved extent was dropped", "err", err)
 	}
-	f.settle()
-	f.ring()
-	return news
+	f.updateLookupOnly()
+	f.wakeRefresh()
+	return newer
 }
 
-// settle notes whether the book has anything; the lock is held.
-func (f *Feed) settle() { f.bare.Store(f.book.Len() == 0 && f.set.Book.Silence == 0) }
+// updateLookupOnly sets lookupOnly. The caller holds mu.
+func (f *Feed) updateLookupOnly() {
+	f.lookupOnly.Store(f.refresher.Len() == 0 && f.settings.Refresh.MaxSilence == 0)
+}
 
-func (f *Feed) ring() {
+func (f *Feed) wakeRefresh() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Run starts from the cache and follows the authority until ctx ends; then the cache is written.
+// Run loads the cache and follows the authority until ctx ends, then writes the cache.
 func (f *Feed) Run(ctx context.Context) {
-	f.load()
+	f.loadCache()
 	f.wg.Add(2)
-	go func() { defer f.wg.Done(); f.refresh(ctx) }()
-	go func() { defer f.wg.Done(); f.keep(ctx) }()
-	pause := f.set.RetryFirst
+	go func() { defer f.wg.Done(); f.refreshLoop(ctx) }()
+	go func() { defer f.wg.Done(); f.saveLoop(ctx) }()
+	pause := f.settings.MinRetryInterval
 	for ctx.Err() == nil {
-		heard, err := f.follow(ctx)
+		received, err := f.readStream(ctx)
 		if ctx.Err() != nil {
 			break
 		}
-		if heard {
-			pause = f.set.RetryFirst
+		if received {
+			pause = f.settings.MinRetryInterval
 		}
-		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // gateways come back apart
+		wait := time.Duration((0.5 + f.rng.Float64()) * float64(pause)) // jitter spreads the reconnects of gateways
 		f.mu.Lock()
 		f.state.Failures++
 		f.state.Err = err.Error()
@@ -212,7 +215,7 @@
 		}
 		f.mu.Unlock()
 		f.log.Warn("map: the stream ended; the map held applies meanwhile", "err", err, "again_in", wait)
-		pause = min(2*pause, f.set.RetryTop)
+		pause = min(2*pause, f.settings.MaxRetryInterval)
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -221,13 +224,13 @@
 	f.wg.Wait()
 }
 
-// follow reads one stream to its end.
-func (f *Feed) follow(ctx context.Context) (heard bool, err error) {
+// readStream opens one stream and reads it to its end.
+func (f *Feed) readStream(ctx context.Context) (received bool, err error) {
 	id := ""
 	if v := f.View(); v.Synced {
 		id = ID(v.Term, v.Mark)
 	}
-	s, err := register.Open(ctx, f.client, f.set.URL, f.set.Gateway, id, f.set.Silence)
+	s, err := register.Open(ctx, f.client, f.settings.URL, f.settings.Gateway, id, f.settings.SilenceTimeout)
 	if err != nil {
 		return false, err
 	}
@@ -240,8 +243,8 @@
 		f.mu.Unlock()
 		s.Close()
 	}()
-	s.Comment = f.heard
-	var gap *time.Timer // runs while a change is missing
+	s.Comment = f.authoritySeen
+	var gap *time.Timer // active while a change is missing
 	defer func() {
 		if gap != nil {
 			gap.Stop()
@@ -250,86 +253,86 @@
 	for {
 		m, err := s.Next()
 		if err != nil {
-			return heard, s.Ended(err)
+			return received, s.Ended(err)
 		}
 		if m.Event != EventChange && m.Event != EventSnapshot {
 			continue
 		}
 		c, err := ParseChange([]byte(m.Data))
 		if err != nil {
-			return heard, fmt.Errorf("event %s: %w", m.ID, err)
+			return received, fmt.Errorf("event %s: %w", m.ID, err)
 		}
-		f.heard()
-		heard = true
+		f.authoritySeen()
+		received = true
 		if m.Event == EventSnapshot {
 			err = f.fetchSnapshot(ctx)
 		} else {
 			err = f.apply(ctx, c)
 		}
 		if err != nil {
-			return heard, err
+			return received, err
 		}
-		f.changes.Lock()
-		from, _ := f.m.Missing()
-		f.changes.Unlock()
+		f.changeMu.Lock()
+		from, _ := f.extents.Missing()
+		f.changeMu.Unlock()
 		switch {
 		case from == 0 && gap != nil:
 			gap.Stop()
 			gap = nil
 		case from != 0 && gap == nil:
-			gap = time.AfterFunc(f.set.Gap, func() { s.End(errGap) })
+			gap = time.AfterFunc(f.settings.GapTimeout, func() { s.End(errGap) })
 		}
 	}
 }
 
-func (f *Feed) heard() {
+func (f *Feed) authoritySeen() {
 	f.mu.Lock()
-	f.book.Heard(f.now())
+	f.refresher.AuthoritySeen(f.now())
 	f.mu.Unlock()
 }
 
-// apply takes one change, or a snapshot where only that helps.
+// apply applies one change, or fetches a snapshot if the change cannot be applied without one.
 func (f *Feed) apply(ctx context.Context, c Change) error {
-	f.changes.Lock()
-	_, err := f.m.Apply(extentmap.Delta{Term: c.Term, Version: c.Version, Runs: c.Runs})
-	f.changes.Unlock()
-	if !errors.Is(err, extentmap.ErrTerm) && !errors.Is(err, extentmap.ErrFarAhead) {
+	f.changeMu.Lock()
+	_, err := f.extents.Apply(extentmap.Delta{Term: c.Term, Version: c.Version, Runs: c.Runs})
+	f.changeMu.Unlock()
+	if !errors.Is(err, extentmap.ErrTerm) && !errors.Is(err, extentmap.ErrTooManyPending) {
 		return err
 	}
 	f.log.Warn("map: a snapshot is fetched", "cause", err)
 	return f.fetchSnapshot(ctx)
 }
 
-// errStalled ends a snapshot of which nothing comes.
-var errStalled = errors.New("mapfeed: snapshot: nothing of it came for too long; it is asked for again")
+// errStalled is the reason for aborting a snapshot that no longer makes progress.
+var errStalled = errors.New("mapfeed: snapshot: no data within the timeout; it is requested again")
 
-// awake puts a timer off with each read.
-type awake struct {
+// stallReader resets a timer whenever data is read.
+type stallReader struct {
 	io.Reader
-	timer *time.Timer
-	after time.Duration
+	timer   *time.Timer
+	timeout time.Duration
 }
 
-func (a *awake) Read(p []byte) (int, error) {
+func (a *stallReader) Read(p []byte) (int, error) {
 	n, err := a.Reader.Read(p)
 	if n > 0 {
-		a.timer.Reset(a.after)
+		a.timer.Reset(a.timeout)
 	}
 	return n, err
 }
 
-// fetchSnapshot asks for the whole map. One that stalls is given up: what came of it is not taken.
+// fetchSnapshot fetches and applies a snapshot. A snapshot that stalls is aborted and not applied.
 func (f *Feed) fetchSnapshot(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	stall := time.AfterFunc(f.set.Silence, func() { cancel(errStalled) })
+	stall := time.AfterFunc(f.settings.SilenceTimeout, func() { cancel(errStalled) })
 	defer stall.Stop()
 	body, err := f.get(ctx, "snapshot", nil)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	r, err := mapfile.NewReader(bufio.NewReaderSize(&awake{body, stall, f.set.Silence}, 1<<20))
+	r, err := mapfile.NewReader(bufio.NewReaderSize(&stallReader{body, stall, f.settings.SilenceTimeout}, 1<<20))
 	if cause := context.Cause(ctx); cause != nil {
 		return cause
 	}
@@ -337,9 +340,9 @@
 		return fmt.Errorf("mapfeed: snapshot: %w", err)
 	}
 	before := f.View()
-	f.changes.Lock()
-	taken, err := f.m.Snapshot(r.Term, r.Version, r.Next)
-	f.changes.Unlock()
+	f.changeMu.Lock()
+	taken, err := f.extents.Snapshot(r.Term, r.Version, r.Next)
+	f.changeMu.Unlock()
 	if cause := context.Cause(ctx); cause != nil && err != nil {
 		return cause
 	}
@@ -354,15 +357,15 @@
 	}
 	f.mu.Unlock()
 	if len(r.Damaged) > 0 {
-		f.log.Warn("map: parts of the snapshot could not be read; they are asked for when they are wanted", "blocks", len(r.Damaged), "first", r.Damaged[0].Why)
+		f.log.Warn("map: parts of the snapshot could not be read; they are fetched when they are requested", "blocks", len(r.Damaged), "first", r.Damaged[0].Why)
 	}
-	f.log.Info("map: snapshot", "taken", taken, "term", r.Term, "version", r.Version, "runs", f.View().Len())
+	f.log.Info("map: snapshot fetched", "taken", taken, "term", r.Term, "version", r.Version, "runs", f.View().Len())
 	return nil
 }
 
-// get asks the authority for something below the stream's place.
+// get requests a resource below the stream's URL from the authority.
 func (f *Feed) get(ctx context.Context, what string, query url.Values) (io.ReadCloser, error) {
-	u, err := url.Parse(f.set.URL)
+	u, err := url.Parse(f.settings.URL)
 	if err != nil {
 		return nil, fmt.Errorf("mapfeed: %w", err)
 	}
@@ -378,97 +381,97 @@
 	}
 	if resp.StatusCode != http.StatusOK {
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("mapfeed: %s: %s answers %s", what, u.Host, resp.Status)
+		return nil, fmt.Errorf("mapfeed: %s: %s answered %s", what, u.Host, resp.Status)
 	}
 	return resp.Body, nil
 }
 
-// refresh asks for what is due until ctx ends.
-func (f *Feed) refresh(ctx context.Context) {
+// refreshLoop starts the refreshes that are due until ctx ends.
+func (f *Feed) refreshLoop(ctx context.Context) {
 	sweep := time.NewTicker(time.Second)
 	defer sweep.Stop()
 	for {
 		f.mu.Lock()
 		now := f.now()
-		due := f.book.Due(now)
-		next, more := f.book.Next()
+		due := f.refresher.Due(now)
+		next, more := f.refresher.Next()
 		f.mu.Unlock()
 		for _, r := range due {
 			f.wg.Add(1)
-			go func() { defer f.wg.Done(); f.answer(ctx, r) }()
+			go func() { defer f.wg.Done(); f.refreshRange(ctx, r) }()
 		}
 		var timer <-chan time.Time
-		if more { // what is due and not out waits for one that is, which rings
+		if more { // a due range above the limit waits for a refresh in flight, whose end wakes the loop
 			timer = time.After(max(next-now, 5*time.Millisecond))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-f.kick:
+		case <-f.wake:
 		case <-timer:
 		case <-sweep.C:
 			f.mu.Lock()
-			f.book.Sweep(f.now())
-			f.settle()
+			f.refresher.Sweep(f.now())
+			f.updateLookupOnly()
 			f.mu.Unlock()
 		}
 	}
 }
 
-// answer asks the authority for one range, and has all who wait for it ask again.
-func (f *Feed) answer(ctx context.Context, r extentmap.Range) {
+// refreshRange fetches one range and lets all requests that wait for it proceed.
+func (f *Feed) refreshRange(ctx context.Context, r extentmap.Range) {
 	err := f.fetchRange(ctx, r)
 	f.mu.Lock()
-	f.book.Answered(r, err == nil, f.now())
+	f.refresher.Answered(r, err == nil, f.now())
 	all := f.waiting[r]
 	delete(f.waiting, r)
-	f.queued -= len(all)
-	f.settle()
+	f.waitingCount -= len(all)
+	f.updateLookupOnly()
 	if errors.Is(err, extentmap.ErrTerm) && f.stream != nil {
 		f.stream.End(errTerm)
 	}
 	f.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
-		f.log.Warn("map: a range could not be asked for", "range", r.String(), "err", err)
+		f.log.Warn("map: a range could not be fetched", "range", r.String(), "err", err)
 	}
 	for _, again := range all {
 		again()
 	}
-	f.ring()
+	f.wakeRefresh()
 }
 
 func (f *Feed) fetchRange(ctx context.Context, r extentmap.Range) error {
-	ctx, cancel := context.WithTimeout(ctx, f.set.Answer)
+	ctx, cancel := context.WithTimeout(ctx, f.settings.AnswerTimeout)
 	defer cancel()
 	body, err := f.get(ctx, "range", url.Values{"volume": {r.Volume}, "from": {strconv.FormatUint(r.From, 10)}, "to": {strconv.FormatUint(r.To, 10)}})
 	if err != nil {
 		return err
 	}
 	defer func() { _ = body.Close() }()
-	b, err := io.ReadAll(io.LimitReader(body, mostAnswer+1))
+	b, err := io.ReadAll(io.LimitReader(body, maxAnswerBytes+1))
 	if err != nil {
 		return fmt.Errorf("mapfeed: range %v: %w", r, err)
 	}
-	if len(b) > mostAnswer {
-		return fmt.Errorf("mapfeed: range %v: an answer of over %d bytes", r, mostAnswer)
+	if len(b) > maxAnswerBytes {
+		return fmt.Errorf("mapfeed: range %v: the answer exceeds %d bytes", r, maxAnswerBytes)
 	}
 	c, err := ParseChange(b)
 	if err != nil {
 		return err
 	}
-	f.changes.Lock()
-	defer f.changes.Unlock()
-	return f.m.Fetched(r, c.Term, c.Version, c.Runs)
+	f.changeMu.Lock()
+	defer f.changeMu.Unlock()
+	return f.extents.Fetched(r, c.Term, c.Version, c.Runs)
 }
 
-// load starts from the cache.
-func (f *Feed) load() {
-	if f.set.Cache == "" {
+// loadCache loads the map from the cache, if there is one.
+func (f *Feed) loadCache() {
+	if f.settings.CacheFile == "" {
 		return
 	}
-	f.changes.Lock()
-	h, damaged, _, err := mapfile.Load(f.set.Cache, f.m)
-	f.changes.Unlock()
+	f.changeMu.Lock()
+	h, damaged, _, err := mapfile.Load(f.settings.CacheFile, f.extents)
+	f.changeMu.Unlock()
 	switch {
 	case errors.Is(err, os.ErrNotExist):
 		return
@@ -481,15 +484,15 @@
 	f.mu.Lock()
 	f.state.Damaged += uint64(len(damaged))
 	f.mu.Unlock()
-	f.log.Info("map: started from the cache", "term", h.Term, "version", h.Version, "runs", f.View().Len())
+	f.log.Info("map: loaded from the cache", "term", h.Term, "version", h.Version, "runs", f.View().Len())
 }
 
-// keep writes the cache now and then, and when ctx ends.
-func (f *Feed) keep(ctx context.Context) {
-	if f.set.Cache == "" {
+// saveLoop writes the cache periodically if the map has changed, and when ctx ends.
+func (f *Feed) saveLoop(ctx context.Context) {
+	if f.settings.CacheFile == "" {
 		return
 	}
-	tick := time.NewTicker(f.set.SaveEvery)
+	tick := time.NewTicker(f.settings.SaveInterval)
 	defer tick.Stop()
 	var saved *extentmap.View
 	for over := false; !over; {
@@ -499,8 +502,8 @@
 			over = true
 		}
 		if v := f.View(); v.Synced && v != saved {
-			if _, err := mapfile.Save(f.set.Cache, v); err != nil {
-				f.log.Warn("map: it could not be cached; the next start fetches a snapshot", "err", err)
+			if _, err := mapfile.Save(f.settings.CacheFile, v); err != nil {
+				f.log.Warn("map: the cache could not be written; the next start fetches a snapshot", "err", err)
 				continue
 			}
 			saved = v
--- a/internal/migrate/log.go
+++ b/internal/migrate/log.go
@@ -15,12 +15,12 @@
 	"eiderhold/mover"
 )
 
-// The log's frame: a record is 4 bytes of length, 8 of xxHash64 of the body, little endian, and the body
-// (MessagePack). What a crash cut off the end was not acted on, and is dropped.
+// Format of the log: a record is 4 bytes of length, 8 bytes of xxHash64 of the body, both little endian, and the
+// body in MessagePack. A record that a crash truncated at the end is dropped: it was not acted on yet.
 const (
-	logMagic   = "EHMOVES1"
-	recordHead = 12
-	mostRecord = 16 << 20
+	logMagic          = "EHMOVES1"
+	recordHeaderBytes = 12
+	maxRecordBytes    = 16 << 20
 )
 
 // logFile is the mover's log on disk.
@@ -29,7 +29,7 @@
 	f    *os.File
 }
 
-// openLog reads a log, and how many bytes at its end are no whole record.
+// openLog reads a log and rewrites it without an incomplete record at its end, whose size it returns in torn.
 func openLog(path string) (l *logFile, records []mover.Record, torn int, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -44,7 +44,7 @@
 	return l, records, torn, l.replace(records)
 }
 
-// parseLog reads a log's bytes.
+// parseLog parses the content of a log.
 func parseLog(b []byte) (records []mover.Record, torn int, err error) {
 	if len(b) < len(logMagic) {
 		if bytes.HasPrefix([]byte(logMagic), b) {
@@ -56,14 +56,14 @@
 		return nil, 0, errors.New("it is no log of moves: remove it if none are to go on")
 	}
 	for len(rest) > 0 {
-		if len(rest) < recordHead {
+		if len(rest) < recordHeaderBytes {
 			return records, len(rest), nil
 		}
 		n := binary.LittleEndian.Uint32(rest)
-		if n > mostRecord || int(n) > len(rest)-recordHead {
+		if n > maxRecordBytes || int(n) > len(rest)-recordHeaderBytes {
 			return records, len(rest), nil
 		}
-		body := rest[recordHead : recordHead+int(n)]
+		body := rest[recordHeaderBytes : recordHeaderBytes+int(n)]
 		if xxhash.Sum64(body) != binary.LittleEndian.Uint64(rest[4:]) {
 			return records, len(rest), nil
 		}
@@ -72,19 +72,19 @@
 			return nil, 0, fmt.Errorf("record %d: %w", len(records), err)
 		}
 		records = append(records, r)
-		rest = rest[recordHead+int(n):]
+		rest = rest[recordHeaderBytes+int(n):]
 	}
 	return records, 0, nil
 }
 
-func frame(into []byte, records []mover.Record) ([]byte, error) {
+func appendRecords(into []byte, records []mover.Record) ([]byte, error) {
 	for _, r := range records {
 		body, err := msgpack.Marshal(&r)
 		if err != nil {
 			return nil, fmt.Errorf("migrate: %w", err)
 		}
-		if len(body) > mostRecord {
-			return nil, fmt.Errorf("migrate: move %d: a record of %d bytes, at most %d", r.ID, len(body), mostRecord)
+		if len(body) > maxRecordBytes {
+			return nil, fmt.Errorf("migrate: move %d: record of %d bytes, expected at most %d", r.ID, len(body), maxRecordBytes)
 		}
 		into = binary.LittleEndian.AppendUint32(into, uint32(len(body)))
 		into = binary.LittleEndian.AppendUint64(into, xxhash.Sum64(body))
@@ -93,9 +93,9 @@
 	return into, nil
 }
 
-// replace makes the log these records, whole or not at all.
+// replace atomically replaces the log by these records.
 func (l *logFile) replace(records []mover.Record) error {
-	b, err := frame([]byte(logMagic), records)
+	b, err := appendRecords([]byte(logMagic), records)
 	if err != nil {
 		return err
 	}
@@ -109,12 +109,12 @@
 	return nil
 }
 
-// append puts records on disk; they are there when it returns.
+// append appends records. They are on disk when it returns without an error.
 func (l *logFile) append(records []mover.Record) error {
 	if len(records) == 0 {
 		return nil
 	}
-	b, err := frame(nil, records)
+	b, err := appendRecords(nil, records)
 	if err == nil {
 		_, err = l.f.Write(b)
 	}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -1,6 +1,6 @@
-// Package migrate carries moves of data between shards out, as package mover decides: it reads and writes items as
-// requests of low worth through the module, so that they yield to everything else, switches them in the
-// catalogue, and keeps the mover's log on disk. It decides nothing about a move. The gateway runs it.
+// Package migrate executes moves of data between shards as package mover decides them. It reads and writes items
+// through the module as requests of low worth, which yield to all other requests, switches moved items in the
+// catalogue, and keeps the mover's log on disk. The gateway runs it.
 package migrate
 
 import (
@@ -23,45 +23,45 @@
 	"eiderhold/rebalance"
 )
 
-// LogFile is the mover's log in a gateway's folder.
+// LogFile is the name of the mover's log in a gateway's folder.
 const LogFile = "moves.log"
 
-// forgetAt is how many records a log holds before it is written anew without moves that are over.
-const forgetAt = 10_000
+// compactThreshold is the number of records at which the log is rewritten without finished moves.
+const compactThreshold = 10_000
 
 // Options of a runner.
 type Options struct {
-	Dir      string // of the log
+	Dir      string // folder of the log
 	Settings mover.Settings
 	Store    *store.Catalogue
 	Host     *host.Host
 	Work     extent.Work
 	Plan     func(volume string) string
-	Deadline time.Duration // of one request
+	Deadline time.Duration // deadline of a request
 	Log      *slog.Logger
 }
 
-// Runner carries moves out.
+// Runner executes moves.
 type Runner struct {
-	opt     Options
-	log     *logFile
-	mover   *mover.Mover
-	began   time.Time
-	next    uint64 // id of the next move
-	records int    // in the log
+	opt         Options
+	log         *logFile
+	mover       *mover.Mover
+	startTime   time.Time
+	nextID      uint64 // ID of the next move
+	recordCount int    // number of records in the log
 
-	ended    chan ended
+	ended    chan endedAction
 	commands chan func(context.Context)
 	stopped  chan struct{}
 }
 
-type ended struct {
+type endedAction struct {
 	mover.Action
-	how     mover.Outcome
+	outcome mover.Outcome
 	version uint64
 }
 
-// New opens the log. Run goes on with what is in it.
+// New opens the log and returns a runner. Run continues the moves in the log.
 func New(opt Options) (*Runner, error) {
 	l, records, torn, err := openLog(filepath.Join(opt.Dir, LogFile))
 	if err != nil {
@@ -70,24 +70,24 @@
 	if torn > 0 {
 		opt.Log.Warn("migrate: the end of the log was cut by a crash; what it said was not begun", "bytes", torn)
 	}
-	r := &Runner{opt: opt, log: l, began: time.Now(), records: len(records), ended: make(chan ended, 64), commands: make(chan func(context.Context)), stopped: make(chan struct{})}
+	r := &Runner{opt: opt, log: l, startTime: time.Now(), recordCount: len(records), ended: make(chan endedAction, 64), commands: make(chan func(context.Context)), stopped: make(chan struct{})}
 	if r.mover, err = mover.New(opt.Settings, records, 0); err != nil {
 		l.close()
 		return nil, fmt.Errorf("migrate: %s: %w", l.path, err)
 	}
 	for _, x := range records {
-		r.next = max(r.next, x.ID+1)
+		r.nextID = max(r.nextID, x.ID+1)
 	}
 	return r, nil
 }
 
-func (r *Runner) now() time.Duration { return time.Since(r.began) }
+func (r *Runner) now() time.Duration { return time.Since(r.startTime) }
 
-// Run carries moves out until ctx ends.
+// Run executes moves until ctx ends.
 func (r *Runner) Run(ctx context.Context) {
 	defer close(r.stopped)
 	defer r.log.close()
-	r.carry(ctx, r.mover.Tick(r.now()))
+	r.process(ctx, r.mover.Tick(r.now()))
 	for {
 		var timer <-chan time.Time
 		if at, ok := r.mover.Next(); ok {
@@ -97,19 +97,19 @@
 		case <-ctx.Done():
 			return
 		case e := <-r.ended:
-			r.carry(ctx, r.mover.Ended(e.Action, e.how, e.version, r.now()))
+			r.process(ctx, r.mover.Ended(e.Action, e.outcome, e.version, r.now()))
 		case f := <-r.commands:
 			f(ctx)
 		case <-timer:
-			r.carry(ctx, r.mover.Tick(r.now()))
+			r.process(ctx, r.mover.Tick(r.now()))
 		}
 	}
 }
 
-// carry puts the records on disk, then begins the actions. Without its log nothing more is begun.
-func (r *Runner) carry(ctx context.Context, ready mover.Ready) {
+// process writes the records to the log, then starts the actions. It blocks while the log cannot be written.
+func (r *Runner) process(ctx context.Context, ready mover.Ready) {
 	for err := r.log.append(ready.Records); err != nil; err = r.log.replace(r.mover.Log()) {
-		// a part of it may be there: from now on the log is written whole, with these records
+		// records may be partly written, so retries rewrite the whole log, which includes them
 		r.opt.Log.Error("migrate: the log cannot be written; nothing moves until it can", "err", err)
 		select {
 		case <-ctx.Done():
@@ -117,48 +117,49 @@
 		case <-time.After(time.Second):
 		}
 	}
-	r.records += len(ready.Records)
+	r.recordCount += len(ready.Records)
 	for _, x := range ready.Records {
 		switch x.Step {
 		case mover.Done, mover.Undoing, mover.Undone:
 			r.opt.Log.Info("migrate: move", "id", x.ID, "is", x.Step.String(), "why", x.Why)
 		}
 	}
-	if r.records > forgetAt {
-		kept := r.mover.Forget()
+	if r.recordCount > compactThreshold {
+		kept := r.mover.Compact()
 		if err := r.log.replace(kept); err != nil {
-			r.opt.Log.Warn("migrate: the log could not be shortened", "err", err)
+			r.opt.Log.Warn("migrate: the log could not be compacted", "err", err)
 		}
-		r.records = len(kept)
+		r.recordCount = len(kept)
 	}
 	for _, a := range ready.Actions {
-		r.begin(ctx, a)
+		r.startAction(ctx, a)
 	}
 }
 
-// number is what the mover knows an item by: the part's index, and the try in its name (up to 3).
-func number(part, try int) uint64 { return uint64(part)<<2 | uint64(try) }
+// extentNumber returns the number that identifies an item to the mover: the part's index and the try in its name
+// (at most 3).
+func extentNumber(part, try int) uint64 { return uint64(part)<<2 | uint64(try) }
 
 func partOf(extent uint64) (part, try int) { return int(extent >> 2), int(extent & 3) }
 
-// split is a move's name: base and path.
-func split(name string) (base, path string) {
+// splitName splits the name of a move into base and path.
+func splitName(name string) (base, path string) {
 	base, path, _ = strings.Cut(name, "\x00")
 	return base, path
 }
 
-// begin carries one action out; how it ended comes over r.ended.
-func (r *Runner) begin(ctx context.Context, a mover.Action) {
+// startAction starts an action, whose result is sent to r.ended.
+func (r *Runner) startAction(ctx context.Context, a mover.Action) {
 	done := func(how mover.Outcome, version uint64) {
-		go func() { // host and catalogue call on their own loops, which must not wait
+		go func() { // host and catalogue call this from their loops, which must not block
 			select {
-			case r.ended <- ended{a, how, version}:
+			case r.ended <- endedAction{a, how, version}:
 			case <-ctx.Done():
 			}
 		}()
 	}
 	mv := r.mover.Move(a.ID)
-	base, path := split(mv.Name)
+	base, path := splitName(mv.Name)
 	part, try := partOf(a.Extent)
 	item := store.Item(base, part, try)
 	switch a.Kind {
@@ -174,17 +175,17 @@
 			case errors.Is(err, store.ErrElsewhere):
 				done(mover.Refused, 0)
 			default:
-				r.opt.Log.Warn("migrate: a move could not be switched; it is tried again", "id", a.ID, "err", err)
+				r.opt.Log.Warn("migrate: a move could not be switched; the switch is retried", "id", a.ID, "err", err)
 				done(mover.Failed, 0)
 			}
 		})
 	case mover.Remove:
-		if a.Shard == mv.Source { // the switch made it garbage, which is collected once nobody reads it
+		if a.Shard == mv.Source { // garbage since the switch; collected once no transfer reads it
 			done(mover.OK, 0)
 			return
 		}
 		r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: a.Shard, Units: 1, Op: nodewire.Delete}, func(x host.Answer) {
-			done(outcome(x.Kind == host.Served), 0)
+			done(outcomeOf(x.Kind == host.Served), 0)
 		})
 	case mover.Copy:
 		e, ok, err := r.opt.Store.Stat(mv.Volume, path)
@@ -192,28 +193,28 @@
 			done(mover.Failed, 0)
 			return
 		}
-		if !ok || e.Base != base || part >= len(e.Parts) { // replaced or removed meanwhile
+		if !ok || e.Base != base || part >= len(e.Parts) { // the file was replaced or removed
 			done(mover.Gone, 0)
 			return
 		}
-		r.copy(mv, item, e.Parts[part], func(err error) {
+		r.copyItem(mv, item, e.Parts[part], func(err error) {
 			if err != nil {
-				r.opt.Log.Debug("migrate: an item was not copied; it is tried again", "id", a.ID, "item", item, "err", err)
+				r.opt.Log.Debug("migrate: an item could not be copied; the copy is retried", "id", a.ID, "item", item, "err", err)
 			}
-			done(outcome(err == nil), 0)
+			done(outcomeOf(err == nil), 0)
 		})
 	}
 }
 
-func outcome(ok bool) mover.Outcome {
+func outcomeOf(ok bool) mover.Outcome {
 	if ok {
 		return mover.OK
 	}
 	return mover.Failed
 }
 
-// copy reads an item at the source and writes it at the target.
-func (r *Runner) copy(mv *mover.Move, item string, p store.Part, done func(error)) {
+// copyItem reads an item at the source and writes it at the target.
+func (r *Runner) copyItem(mv *mover.Move, item string, p store.Part, done func(error)) {
 	units := r.opt.Work.Units(p.Length)
 	r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: mv.Source, Units: units, Op: nodewire.Read, Length: p.Length}, func(x host.Answer) {
 		if x.Kind != host.Served || x.Data == nil {
@@ -225,13 +226,13 @@
 		}
 		if len(x.Data.B) != p.Length || xxhash.Sum64(x.Data.B) != p.Sum {
 			x.Data.Release()
-			done(fmt.Errorf("shard %d holds other bytes than were written", mv.Source))
+			done(fmt.Errorf("shard %d returned data with another length or checksum than written", mv.Source))
 			return
 		}
 		data := x.Data
 		r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: mv.Target, Units: units, Op: nodewire.Write, Key: item, Payload: data.B}, func(y host.Answer) {
 			if y.Kind == host.Served {
-				data.Release() // else an attempt that waits may still use it
+				data.Release() // otherwise a waiting attempt may still use the data
 				done(nil)
 				return
 			}
@@ -240,7 +241,8 @@
 	})
 }
 
-// submit asks the host for a request of the lowest worth. The answer comes on the host's loop.
+// submit submits a request of the collector's class, which has the lowest worth. The answer comes on the host's
+// loop.
 func (r *Runner) submit(q *host.Request, answer func(host.Answer)) {
 	q.Class, q.Plan, q.Hosts, q.Expires, q.Answer = r.opt.Work.CollectClass, r.opt.Plan(q.Volume), 1, r.opt.Deadline, answer
 	if _, err := r.opt.Host.Submit(q); err != nil {
@@ -248,10 +250,10 @@
 	}
 }
 
-// ErrStopped says that the gateway is ending.
+// ErrStopped is returned when the gateway is shutting down.
 var ErrStopped = errors.New("migrate: the gateway is ending")
 
-// do runs f between two events, with the runner's own context: what f begins goes on when the asker is gone.
+// do runs f on the loop of Run, with Run's context, so that what f starts does not depend on the caller's context.
 func (r *Runner) do(f func(context.Context)) error {
 	done := make(chan struct{})
 	select {
@@ -263,9 +265,9 @@
 	}
 }
 
-// Start takes a plan's moves and returns how many. Left out are those of file versions that another move is on its
-// way for, and those back to where items of the version still wait to be collected: what comes there would be
-// removed with them.
+// Start starts the moves of a plan and returns their number. It skips moves of file versions that another move is
+// waiting or active for, and moves to a shard where items of the version are still to be collected as garbage: the
+// collection would remove the items copied there.
 func (r *Runner) Start(p *rebalance.Plan) (started int, err error) {
 	wave := make([]int, len(p.Moves))
 	for w, list := range p.Waves {
@@ -290,10 +292,10 @@
 			mv := mover.Move{Volume: volume, Name: e.Base + "\x00" + path, Source: m.Shard, Target: m.To, Wave: wave[i]}
 			for k, part := range e.Parts {
 				if part.Shard == m.Shard {
-					mv.Items = append(mv.Items, mover.Item{Extent: number(k, part.Try), Bytes: int64(part.Length)})
+					mv.Items = append(mv.Items, mover.Item{Extent: extentNumber(k, part.Try), Bytes: int64(part.Length)})
 				}
 			}
-			if len(mv.Items) > 0 && len(mv.Items) <= mover.MostItems {
+			if len(mv.Items) > 0 && len(mv.Items) <= mover.MaxItems {
 				moves = append(moves, mv)
 			}
 		}
@@ -303,7 +305,7 @@
 	failed := r.do(func(ctx context.Context) {
 		bases := map[string]bool{}
 		for i := range moves {
-			base, _ := split(moves[i].Name)
+			base, _ := splitName(moves[i].Name)
 			bases[base] = true
 		}
 		var left map[string]map[int]bool
@@ -312,33 +314,33 @@
 		}
 		rest := moves[:0]
 		for _, mv := range moves {
-			if base, _ := split(mv.Name); !left[base][mv.Target] && !r.mover.Busy(mv.Volume, mv.Name) {
-				mv.ID = r.next + uint64(len(rest))
+			if base, _ := splitName(mv.Name); !left[base][mv.Target] && !r.mover.Moving(mv.Volume, mv.Name) {
+				mv.ID = r.nextID + uint64(len(rest))
 				rest = append(rest, mv)
 			}
 		}
 		var ready mover.Ready
 		if ready, err = r.mover.Add(rest, r.now()); err == nil {
-			r.next += uint64(len(rest))
+			r.nextID += uint64(len(rest))
 			started = len(rest)
-			r.carry(ctx, ready)
+			r.process(ctx, ready)
 		}
 	})
 	return started, errors.Join(failed, err)
 }
 
-// Undo takes a move back.
+// Undo undoes a move.
 func (r *Runner) Undo(id uint64) (err error) {
 	failed := r.do(func(ctx context.Context) {
 		var ready mover.Ready
 		if ready, err = r.mover.Undo(id, "an operator asked for it", r.now()); err == nil {
-			r.carry(ctx, ready)
+			r.process(ctx, ready)
 		}
 	})
 	return errors.Join(failed, err)
 }
 
-// Progress lists the moves.
+// Progress returns the progress of all moves.
 func (r *Runner) Progress() (list []mover.Progress, err error) {
 	err = r.do(func(context.Context) { list = r.mover.Progress() })
 	return list, err
