--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -1,7 +1,7 @@
-// Package audit checks the seven rules from what went over the sockets, as the
-// stand-in nodes, the register and the scripted clients wrote it down, and reports
-// service as worth answered within the aim over worth due. It reads none of the
-// product's own books.
+// Package audit checks the seven service rules against the traffic that the stand-in nodes, the
+// stand-in register and the scripted clients recorded, and reports service as worth answered within
+// the aim over worth due. It reads no state or records of the gateways themselves. Package rehearsal,
+// the audit command and the gateway's tests use it.
 package audit
 
 import (
@@ -16,25 +16,25 @@
 	"time"
 )
 
-// What is a kind of record.
+// What is the kind of a record.
 type What string
 
-// The kinds of record, by who writes them.
+// The kinds of record. Each comment begins with the process that writes it.
 const (
-	Arrive What = "arrive" // node: a request frame was read
-	End    What = "end"    // node: its answer was written, or would have been
-	Effect What = "effect" // node: a keyed or unsafe request took effect
-	Repeat What = "repeat" // node: the repeat of a key was dropped
-	Fell   What = "fell"   // node: it fell over while cold
-	Told   What = "told"   // register: a gateway was told of a node
-	Ask    What = "ask"    // client: a transfer, or a file of one, begins
-	Final  What = "final"  // client: it ended
-	Start  What = "start"  // client or rehearsal: a gateway's process started
-	Kill   What = "kill"   // client or rehearsal: a gateway's process was killed or told to end
-	Stood  What = "stood"  // rehearsal: a gateway's process stood still, for the time that it took
+	Arrive  What = "arrive" // node: read a request frame
+	End     What = "end"    // node: wrote the answer, or would have written it to a connection that still existed
+	Effect  What = "effect" // node: a write took effect
+	Repeat  What = "repeat" // node: dropped a write whose key had taken effect
+	Fell    What = "fell"   // node: overloaded while cold and went down
+	Told    What = "told"   // register: sent a node's entry to a gateway
+	Ask     What = "ask"    // client: a transfer, or a file of one, began
+	Final   What = "final"  // client: the transfer or file ended
+	Start   What = "start"  // client or rehearsal: started a gateway's process
+	Kill    What = "kill"   // client or rehearsal: killed a gateway's process or sent it SIGTERM
+	Stalled What = "stood"  // rehearsal: a gateway's process was stopped for the time Took
 )
 
-// Record is one line. Times are nanoseconds of the machine's wall clock.
+// Record is one line of a records file. T is in nanoseconds since the Unix epoch, by the machine's clock.
 type Record struct {
 	T       int64   `json:"t"`
 	What    What    `json:"what"`
@@ -51,19 +51,19 @@
 	Item    string  `json:"item,omitempty"`
 	Key     string  `json:"key,omitempty"`
 	Units   float64 `json:"units,omitempty"`
-	Left    int64   `json:"left,omitempty"`   // ns the client has left, as told
+	Left    int64   `json:"left,omitempty"`   // ns until the client's deadline, as the request said
 	Result  string  `json:"result,omitempty"` // end: done, error, busy, ...; final: served, refused, failed
 	State   string  `json:"state,omitempty"`  // told: ready, draining, gone
 	Started int64   `json:"started,omitempty"`
 	Took    int64   `json:"took,omitempty"`  // ns
 	ID      string  `json:"id,omitempty"`    // of a client's transfer or file
 	Limit   int64   `json:"limit,omitempty"` // ns that the client waits
-	Aim     int64   `json:"aim,omitempty"`   // ns within which it earns the full worth
+	Aim     int64   `json:"aim,omitempty"`   // ns within which an answer earns the full worth
 	Text    string  `json:"text,omitempty"`
 }
 
-// Writer writes records to a file, buffered, from any goroutine. A nil Writer
-// drops them.
+// Writer writes records to a file through a buffer. It is safe for concurrent use. A nil Writer
+// discards records.
 type Writer struct {
 	mu   sync.Mutex
 	file *os.File
@@ -71,12 +71,12 @@
 	enc  *json.Encoder
 }
 
-// Create opens NAME.records in a folder.
+// Create creates the file NAME.records in a folder and returns a Writer for it.
 func Create(dir, name string) (*Writer, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
-	f, err := os.Create(filepath.Join(dir, name+suffix))
+	f, err := os.Create(filepath.Join(dir, name+recordsSuffix))
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
@@ -85,9 +85,9 @@
 	return w, nil
 }
 
-const suffix = ".records"
+const recordsSuffix = ".records"
 
-// Put writes one record. A record without a time gets the present.
+// Put writes one record. A record without a time gets the current time.
 func (w *Writer) Put(r Record) {
 	if w == nil {
 		return
@@ -97,10 +97,10 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	_ = w.enc.Encode(r) // a full disk shows at Close
+	_ = w.enc.Encode(r) // Close reports a write error, such as a full disk
 }
 
-// Close writes out what is buffered.
+// Close flushes the buffer and closes the file.
 func (w *Writer) Close() error {
 	if w == nil {
 		return nil
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Read reads one stream of records.
+// Read reads the records of one stream. Errors carry the stream's name and the line.
 func Read(r io.Reader, name string) ([]Record, error) {
 	var all []Record
 	s := bufio.NewScanner(r)
@@ -135,7 +135,7 @@
 	return all, nil
 }
 
-// ReadDir reads all records of a folder.
+// ReadDir reads all records files of a folder.
 func ReadDir(dir string) ([]Record, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -143,7 +143,7 @@
 	}
 	var all []Record
 	for _, e := range entries {
-		if !strings.HasSuffix(e.Name(), suffix) {
+		if !strings.HasSuffix(e.Name(), recordsSuffix) {
 			continue
 		}
 		f, err := os.Open(filepath.Join(dir, e.Name()))
@@ -158,7 +158,7 @@
 		all = append(all, recs...)
 	}
 	if len(all) == 0 {
-		return nil, fmt.Errorf("audit: %s: no records (*%s) there", dir, suffix)
+		return nil, fmt.Errorf("audit: %s: no records in its *%s files", dir, recordsSuffix)
 	}
 	return all, nil
 }
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// Class is what the auditor knows of a class.
+// Class holds the properties of a class that the audit uses.
 type Class struct {
 	Name      string
 	Effect    string // safe, keyed, unsafe
@@ -25,14 +25,14 @@
 	InOrder   bool
 }
 
-// Plan is what the auditor knows of a plan.
+// Plan holds the properties of a plan that the audit uses.
 type Plan struct {
 	Name                              string
 	Price                             float64
 	LimitRate, LimitBurst, LimitSlack float64
 }
 
-// Rules are the figures of the seven rules, as the site states them.
+// Rules holds the parameters of the seven rules, as the gateways' settings have them.
 type Rules struct {
 	Classes     []Class
 	Plans       []Plan
@@ -44,17 +44,17 @@
 	ExtraShare  float64
 	ExtraSpan   time.Duration
 	OrderRest   time.Duration
-	Shares      map[string]float64 `json:",omitempty"` // volume -> units a second that count in full; none: all do
-	SpareWorth  float64            // part of the worth of a unit beyond the share
-	AnswerSlack time.Duration      // after the client's deadline
-	// Travel is the time that a frame, an event or an answer may take from one
-	// process to another; the auditor sees only arrivals.
+	Shares      map[string]float64 `json:",omitempty"` // volume -> units a second that count in full; no entry: all do
+	SpareWorth  float64            // part of the worth that a unit beyond the share has
+	AnswerSlack time.Duration      // by which an answer may come after the client's deadline
+	// Travel is the time that a frame, an event or an answer may take from one process to another.
+	// The records have times of arrival only.
 	Travel time.Duration
 }
 
 const rulesFile = "rules.json"
 
-// Save puts the rules beside the records.
+// Save writes the rules into the folder of the records.
 func (r *Rules) Save(dir string) error {
 	b, err := json.MarshalIndent(r, "", "  ")
 	if err == nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// LoadRules reads the rules of a folder of records.
+// LoadRules reads the rules that Save wrote into a folder of records.
 func LoadRules(dir string) (*Rules, error) {
 	b, err := os.ReadFile(filepath.Join(dir, rulesFile))
 	r := &Rules{}
@@ -79,7 +79,7 @@
 	return r, nil
 }
 
-// Breach is one place where a rule was broken.
+// Breach is one violation of a rule.
 type Breach struct {
 	Rule int
 	T    int64
@@ -89,31 +89,31 @@
 var ruleNames = [8]string{"", "answer every request", "no effect twice", "drains kept", "no cold node pushed over",
 	"no limit passed", "order kept", "attempt budget kept"}
 
-// RuleName names a rule of 1 to 7.
+// RuleName returns the name of a rule, 1 to 7.
 func RuleName(rule int) string { return ruleNames[rule] }
 
-// Report is what an audit found.
+// Report is the result of an audit.
 type Report struct {
 	Breaches  []Breach
-	Checked   [8]int // things looked at, by rule
+	Checked   [8]int // number of checks made, by rule
 	Transfers map[string]int
 	Service   []Service
 	Total     Service
 	Spread    Spread
 }
 
-// Spread is how writes fell on nodes.
+// Spread describes the distribution of writes over shards.
 type Spread struct {
-	Nodes   int     // shards that were ever listed
-	Used    int     // shards that took a write
-	Largest float64 // writes of the one that took most, over the mean of all
+	Nodes   int     // shards that the register listed at any time
+	Used    int     // shards with a completed write
+	Largest float64 // writes of the shard with the most, divided by the mean of all
 	Varies  float64 // coefficient of variation
-	Files   int     // file versions of which a write was done
-	Touched float64 // of them, those with an extent on the shard that has most of them, as a part
-	Mean    float64 // and on a shard in the mean: what the loss of one touches
+	Files   int     // file versions with a completed write
+	Touched float64 // part of them that has an extent on the shard where this part is largest
+	Mean    float64 // part of them that has an extent on a shard, averaged over shards: files affected by the loss of one
 }
 
-// Service is worth answered in time over worth due, of some part of a day.
+// Service is the worth earned and the worth due of one class, plan or period of a day, or of all of it.
 type Service struct {
 	By          string // "class record-read", "plan standard", "second 20", ...
 	Asked       int
@@ -122,7 +122,7 @@
 	Due, Earned float64
 }
 
-// Part is the share of the worth due that was earned.
+// Part returns the part of the worth due that was earned; 1 if none was due.
 func (s Service) Part() float64 {
 	if s.Due == 0 {
 		return 1
@@ -130,29 +130,29 @@
 	return s.Earned / s.Due
 }
 
-// life is one run of a gateway's process: its request numbers start anew with each.
-type life struct {
+// incarnation is one process of a gateway. Request numbers start again with each process.
+type incarnation struct {
 	gateway string
 	number  int
 }
 
-// auditor holds the records of a day in order.
+// auditor holds the records of a day, ordered by time, and the report on them.
 type auditor struct {
-	rules   *Rules
-	classes map[string]Class
-	plans   map[string]Plan
-	recs    []Record
-	lives   map[string][]int64 // starts of each gateway's process
-	kills   map[string][]int64
-	stood   map[string][][2]int64
-	rep     *Report
-	first   int64
+	rules     *Rules
+	classes   map[string]Class
+	plans     map[string]Plan
+	recs      []Record
+	starts    map[string][]int64 // gateway -> times at which its process started
+	kills     map[string][]int64
+	stalls    map[string][][2]int64
+	rep       *Report
+	startTime int64
 }
 
-// Check audits the records of a day.
+// Check audits the records of a day. It sorts recs by time.
 func Check(recs []Record, rules *Rules) *Report {
 	a := &auditor{rules: rules, classes: map[string]Class{}, plans: map[string]Plan{}, recs: recs,
-		lives: map[string][]int64{}, kills: map[string][]int64{}, stood: map[string][][2]int64{},
+		starts: map[string][]int64{}, kills: map[string][]int64{}, stalls: map[string][][2]int64{},
 		rep: &Report{Transfers: map[string]int{}}}
 	for _, c := range rules.Classes {
 		a.classes[c.Name] = c
@@ -164,64 +164,65 @@
 	for _, r := range a.recs {
 		switch r.What {
 		case Start:
-			a.lives[r.Gateway] = append(a.lives[r.Gateway], r.T)
+			a.starts[r.Gateway] = append(a.starts[r.Gateway], r.T)
 		case Kill:
 			a.kills[r.Gateway] = append(a.kills[r.Gateway], r.T)
-		case Stood:
-			a.stood[r.Gateway] = append(a.stood[r.Gateway], [2]int64{r.T - r.Took, r.T})
+		case Stalled:
+			a.stalls[r.Gateway] = append(a.stalls[r.Gateway], [2]int64{r.T - r.Took, r.T})
 		}
 	}
 	if len(recs) > 0 {
-		a.first = recs[0].T
-	}
-	a.answers()
-	a.effects()
-	a.drains()
-	a.cold()
-	a.limits()
-	a.order()
-	a.budget()
-	a.service()
-	a.spread()
+		a.startTime = recs[0].T
+	}
+	a.checkAnswers()
+	a.checkEffects()
+	a.checkDrains()
+	a.checkColdNodes()
+	a.checkLimits()
+	a.checkOrder()
+	a.checkBudget()
+	a.computeService()
+	a.computeSpread()
 	slices.SortStableFunc(a.rep.Breaches, func(x, y Breach) int { return cmp.Compare(x.T, y.T) })
 	return a.rep
 }
 
 func (a *auditor) breach(rule int, t int64, format string, args ...any) {
-	at := time.Duration(t - a.first).Round(time.Millisecond)
+	at := time.Duration(t - a.startTime).Round(time.Millisecond)
 	a.rep.Breaches = append(a.rep.Breaches, Breach{rule, t, fmt.Sprintf("at %v: ", at) + fmt.Sprintf(format, args...)})
 }
 
-// lifeOf is the run of the gateway's process that a record belongs to.
-func (a *auditor) lifeOf(gateway string, t int64) life {
+// incarnationAt returns the gateway's process that ran at time t.
+func (a *auditor) incarnationAt(gateway string, t int64) incarnation {
 	n := 0
-	for _, s := range a.lives[gateway] {
+	for _, s := range a.starts[gateway] {
 		if s <= t {
 			n++
 		}
 	}
-	return life{gateway, n}
+	return incarnation{gateway, n}
 }
 
-// ask is what identifies a request at the nodes.
-type ask struct {
-	life
+// requestKey identifies a request at the nodes.
+type requestKey struct {
+	incarnation
 	ref uint64
 }
 
-// arrivals groups arrivals by request, in order of time, with the ends of their
-// attempts.
+// arrival is one attempt of a request that arrived at a node, with the record of its end.
 type arrival struct {
 	Record
 	end    *Record
 	effect bool
 }
 
-func (a *auditor) byRequest() (map[ask][]*arrival, []ask) {
-	all := map[ask][]*arrival{}
-	var order []ask
+// byRequest groups arrivals by request, each group in order of time, and returns the requests in order of
+// their first arrival.
+func (a *auditor) byRequest() (map[requestKey][]*arrival, []requestKey) {
+	all := map[requestKey][]*arrival{}
+	var order []requestKey
 	type key struct {
-		ask
+		requestKey
 		node    string
 		conn    uint64
 		attempt int
@@ -232,7 +233,7 @@
 		if r.What != Arrive && r.What != End && r.What != Effect {
 			continue
 		}
-		k := ask{a.lifeOf(r.Gateway, r.T), r.Ref}
+		k := requestKey{a.incarnationAt(r.Gateway, r.T), r.Ref}
 		at := key{k, r.Node, r.Conn, r.Attempt}
 		if r.What == Arrive {
 			x := &arrival{Record: *r}
@@ -252,34 +253,31 @@
 	return all, order
 }
 
-// ran says that an attempt may have run.
-func (x *arrival) ran() bool {
+// mayHaveRun reports whether the attempt may have been executed.
+func (x *arrival) mayHaveRun() bool {
 	return x.end == nil || x.end.Result != "busy" && x.end.Result != "no room"
 }
 
-// ---- the rules ----
-
-// answers is rule 1: each transfer that a client began has one end, before the
-// client's own time is up.
-func (a *auditor) answers() {
-	type begun struct {
+// checkAnswers checks rule 1: each transfer that a client began ends once, before the client's timeout.
+func (a *auditor) checkAnswers() {
+	type transfer struct {
 		Record
 		ends int
 	}
-	asks := map[string]*begun{}
+	transfers := map[string]*transfer{}
 	var order []string
-	last := int64(0)
+	lastTime := int64(0)
 	for _, r := range a.recs {
-		last = max(last, r.T)
+		lastTime = max(lastTime, r.T)
 		switch r.What {
 		case Ask:
-			if asks[r.ID] != nil {
+			if transfers[r.ID] != nil {
 				a.breach(1, r.T, "transfer %s begins twice", r.ID)
 			}
-			asks[r.ID] = &begun{Record: r}
+			transfers[r.ID] = &transfer{Record: r}
 			order = append(order, r.ID)
 		case Final:
-			b := asks[r.ID]
+			b := transfers[r.ID]
 			if b == nil {
 				a.breach(1, r.T, "transfer %s ends and never began", r.ID)
 				continue
@@ -303,22 +301,22 @@
 		}
 	}
 	for _, id := range order {
-		b := asks[id]
+		b := transfers[id]
 		a.rep.Checked[1]++
-		if b.ends == 0 && !a.interrupted(b.Gateway, b.T, last) && last-b.T > b.Limit {
+		if b.ends == 0 && !a.interrupted(b.Gateway, b.T, lastTime) && lastTime-b.T > b.Limit {
 			a.breach(1, b.T, "transfer %s never ended", id)
 		}
 	}
 }
 
-// interrupted says that a gateway was killed, ended or stood still in between.
+// interrupted reports whether a gateway was killed, told to end or stopped between two times.
 func (a *auditor) interrupted(gateway string, from, to int64) bool {
 	for _, t := range a.kills[gateway] {
 		if t >= from && t <= to+int64(a.rules.Travel) {
 			return true
 		}
 	}
-	for _, s := range a.stood[gateway] {
+	for _, s := range a.stalls[gateway] {
 		if s[0] <= to && s[1] >= from {
 			return true
 		}
@@ -326,49 +324,50 @@
 	return false
 }
 
-// effects is rule 2.
-func (a *auditor) effects() {
-	keys := map[string]*Record{}
+// checkEffects checks rule 2: no request takes effect twice, and one that may take effect twice is not
+// repeated. An attempt that is sent after the request was served counts as a breach of rule 1.
+func (a *auditor) checkEffects() {
+	firstEffects := map[string]*Record{}
 	for i, r := range a.recs {
 		if r.What != Effect || r.Key == "" || a.classes[r.Class].Effect == "safe" {
 			continue
 		}
 		a.rep.Checked[2]++
-		if first := keys[r.Key]; first != nil {
+		if first := firstEffects[r.Key]; first != nil {
 			a.breach(2, r.T, "key %s took effect at node %s, after it had at node %s", r.Key, r.Node, first.Node)
 		}
-		keys[r.Key] = &a.recs[i]
+		firstEffects[r.Key] = &a.recs[i]
 	}
-	all, order := a.byRequest()
-	for _, k := range order {
-		tries := all[k]
-		c := a.classes[tries[0].Class]
-		for j, x := range tries {
-			for _, w := range tries[:j] {
+	arrivals, requests := a.byRequest()
+	for _, k := range requests {
+		attempts := arrivals[k]
+		c := a.classes[attempts[0].Class]
+		for j, x := range attempts {
+			for _, earlier := range attempts[:j] {
 				a.rep.Checked[2]++
-				if w.end != nil && w.end.Result == "done" && x.T > w.end.T+int64(a.rules.Travel) {
-					a.breach(1, x.T, "request %d of %s is sent to %s though %s had served it", k.ref, k.gateway, x.Node, w.Node)
+				if earlier.end != nil && earlier.end.Result == "done" && x.T > earlier.end.T+int64(a.rules.Travel) {
+					a.breach(1, x.T, "request %d of %s is sent to %s though %s had served it", k.ref, k.gateway, x.Node, earlier.Node)
 				}
-				if c.Effect == "safe" || c.Effect == "" || !w.ran() {
+				if c.Effect == "safe" || c.Effect == "" || !earlier.mayHaveRun() {
 					continue
 				}
 				switch {
 				case c.Effect == "unsafe":
-					a.breach(2, x.T, "unsafe request %d of %s is sent again, to %s, though it may have run at %s", k.ref, k.gateway, x.Node, w.Node)
-				case x.T-w.T > int64(c.Window+a.rules.Travel):
+					a.breach(2, x.T, "unsafe request %d of %s is sent again, to %s, though it may have run at %s", k.ref, k.gateway, x.Node, earlier.Node)
+				case x.T-earlier.T > int64(c.Window+a.rules.Travel):
 					a.breach(2, x.T, "keyed request %d of %s is sent again %v after the first, window %v", k.ref, k.gateway,
-						time.Duration(x.T-w.T), c.Window)
-				case c.Group == "cell" && x.Shard != w.Shard, c.Group == "zone" && x.Zone != w.Zone:
-					a.breach(2, x.T, "keyed request %d of %s is sent to %s, outside the group of %s", k.ref, k.gateway, x.Node, w.Node)
+						time.Duration(x.T-earlier.T), c.Window)
+				case c.Group == "cell" && x.Shard != earlier.Shard, c.Group == "zone" && x.Zone != earlier.Zone:
+					a.breach(2, x.T, "keyed request %d of %s is sent to %s, outside the group of %s", k.ref, k.gateway, x.Node, earlier.Node)
 				}
 			}
 		}
 	}
 }
 
-// drains is rule 3: nothing new reaches a node after the grace since the gateway was
-// told that it drains or is gone.
-func (a *auditor) drains() {
+// checkDrains checks rule 3: no request reaches a node later than the drain grace after the gateway was told
+// that the node drains or is gone.
+func (a *auditor) checkDrains() {
 	type pair struct{ gateway, node string }
 	told := map[pair]int64{}
 	for _, r := range a.recs {
@@ -380,7 +379,7 @@
 			} else if _, known := told[p]; !known {
 				told[p] = r.T
 			}
-		case Start: // a new process has been told nothing
+		case Start: // a new process has received no node list yet
 			for p := range told {
 				if p.gateway == r.Gateway {
 					delete(told, p)
@@ -392,7 +391,7 @@
 			if !known {
 				continue
 			}
-			for _, s := range a.stood[r.Gateway] { // it could not hear it while it stood still
+			for _, s := range a.stalls[r.Gateway] { // a stopped process could not receive the event
 				if s[0] <= at+int64(a.rules.Travel) && s[1] > at {
 					at = s[1]
 				}
@@ -405,10 +404,10 @@
 	}
 }
 
-// cold is rule 4: a node that fell over, of whose work in the span before two thirds
-// came from gateways that had been told of its start.
-func (a *auditor) cold() {
-	starts := map[string]map[string]int64{} // node -> gateway -> told of its start
+// checkColdNodes checks rule 4: gateways do not overload a cold node. A collapse counts against them if at
+// least two thirds of the node's work in the span before it came from gateways that had been told of its start.
+func (a *auditor) checkColdNodes() {
+	starts := map[string]map[string]int64{} // node -> gateway -> time at which it was told of the node's start
 	var recent []Record
 	for _, r := range a.recs {
 		switch r.What {
@@ -444,29 +443,30 @@
 	}
 }
 
-// limits is rule 5: the store of a volume, over all gateways.
-func (a *auditor) limits() {
-	type store struct {
+// checkLimits checks rule 5: the requests of a volume through all gateways stay within the rate and burst of
+// its plan. A request counts once, with its first arrival.
+func (a *auditor) checkLimits() {
+	type bucket struct {
 		level float64
 		at    int64
 	}
-	stores := map[string]*store{}
-	seen := map[ask]bool{}
+	buckets := map[string]*bucket{}
+	seen := map[requestKey]bool{}
 	for _, r := range a.recs {
 		if r.What != Arrive {
 			continue
 		}
 		p := a.plans[a.rules.Volumes[r.Volume]]
-		k := ask{a.lifeOf(r.Gateway, r.T), r.Ref}
+		k := requestKey{a.incarnationAt(r.Gateway, r.T), r.Ref}
 		if p.LimitRate <= 0 || seen[k] {
 			continue
 		}
 		seen[k] = true
 		a.rep.Checked[5]++
-		s := stores[r.Volume]
+		s := buckets[r.Volume]
 		if s == nil {
-			s = &store{p.LimitBurst, r.T}
-			stores[r.Volume] = s
+			s = &bucket{p.LimitBurst, r.T}
+			buckets[r.Volume] = s
 		}
 		s.level = min(p.LimitBurst, s.level+p.LimitRate*time.Duration(r.T-s.at).Seconds()) - r.Units
 		s.at = r.T
@@ -476,62 +476,63 @@
 	}
 }
 
-// order is rule 6: of requests with one item in classes that keep order, none reaches
-// a node while an earlier one is there, or in its rest after doubt.
-func (a *auditor) order() {
-	all, order := a.byRequest()
+// checkOrder checks rule 6: of requests for one item in classes that keep order, none reaches a node before
+// the earlier ones have ended, or for an earlier one without an end, within OrderRest of it.
+func (a *auditor) checkOrder() {
+	arrivals, requests := a.byRequest()
 	type key struct {
-		life
+		incarnation
 		item string
 	}
 	byItem := map[key][]*arrival{}
-	for _, k := range order {
-		for _, x := range all[k] {
+	for _, k := range requests {
+		for _, x := range arrivals[k] {
 			if a.classes[x.Class].InOrder && x.Item != "" {
-				byItem[key{k.life, x.Item}] = append(byItem[key{k.life, x.Item}], x)
+				byItem[key{k.incarnation, x.Item}] = append(byItem[key{k.incarnation, x.Item}], x)
 			}
 		}
 	}
 	for k, list := range byItem {
 		sort.SliceStable(list, func(i, j int) bool { return list[i].T < list[j].T })
 		for j, x := range list {
-			for _, w := range list[:j] {
+			for _, earlier := range list[:j] {
 				a.rep.Checked[6]++
 				switch {
-				case w.Ref > x.Ref:
-					a.breach(6, x.T, "item %s of %s: request %d comes after request %d", k.item, k.gateway, x.Ref, w.Ref)
-				case w.Ref < x.Ref && w.end != nil && x.T < w.end.T:
-					a.breach(6, x.T, "item %s of %s: request %d is sent while %d still ran", k.item, k.gateway, x.Ref, w.Ref)
-				case w.Ref < x.Ref && w.end == nil && x.T-w.T < int64(a.rules.OrderRest):
+				case earlier.Ref > x.Ref:
+					a.breach(6, x.T, "item %s of %s: request %d comes after request %d", k.item, k.gateway, x.Ref, earlier.Ref)
+				case earlier.Ref < x.Ref && earlier.end != nil && x.T < earlier.end.T:
+					a.breach(6, x.T, "item %s of %s: request %d is sent while %d still ran", k.item, k.gateway, x.Ref, earlier.Ref)
+				case earlier.Ref < x.Ref && earlier.end == nil && x.T-earlier.T < int64(a.rules.OrderRest):
 					a.breach(6, x.T, "item %s of %s: request %d is sent %v after %d, which may still run; rest %v", k.item, k.gateway,
-						x.Ref, time.Duration(x.T-w.T), w.Ref, a.rules.OrderRest)
+						x.Ref, time.Duration(x.T-earlier.T), earlier.Ref, a.rules.OrderRest)
 				}
 			}
 		}
 	}
 }
 
-// budget is rule 7. Requests that were refused unsent are not seen at nodes, but a
-// gateway numbers its requests in the order in which it takes them.
-func (a *auditor) budget() {
+// checkBudget checks rule 7: within a span, a gateway's further attempts are at most ExtraFree plus ExtraShare
+// of the requests that it accepted. Nodes do not see requests that were refused unsent, so accepted requests
+// are counted by their numbers, which a gateway assigns in order of acceptance.
+func (a *auditor) checkBudget() {
 	if a.rules.ExtraSpan == 0 {
 		return
 	}
-	byLife := map[life][]Record{}
-	var lives []life
+	byIncarnation := map[incarnation][]Record{}
+	var incarnations []incarnation
 	for _, r := range a.recs {
 		if r.What == Arrive {
-			l := a.lifeOf(r.Gateway, r.T)
-			if byLife[l] == nil {
-				lives = append(lives, l)
+			l := a.incarnationAt(r.Gateway, r.T)
+			if byIncarnation[l] == nil {
+				incarnations = append(incarnations, l)
 			}
-			byLife[l] = append(byLife[l], r)
+			byIncarnation[l] = append(byIncarnation[l], r)
 		}
 	}
 	span, travel := int64(a.rules.ExtraSpan), int64(a.rules.Travel)
-	for _, l := range lives {
-		list := byLife[l]
-		high := make([]uint64, len(list)) // highest number seen so far
+	for _, l := range incarnations {
+		list := byIncarnation[l]
+		high := make([]uint64, len(list)) // highest request number up to each arrival
 		for i, r := range list {
 			high[i] = r.Ref
 			if i > 0 {
@@ -569,12 +570,11 @@
 	}
 }
 
-// ---- service ----
-
-const window = 10 * time.Second
+// servicePeriod is the length of the periods by which Report.Service splits a day.
+const servicePeriod = 10 * time.Second
 
-// service adds up worth answered in time over worth due.
-func (a *auditor) service() {
+// computeService adds up the worth earned and the worth due, in total and by class, plan and period.
+func (a *auditor) computeService() {
 	parts := map[string]*Service{}
 	asks := map[string]Record{}
 	add := func(by string, due, earned float64, served, inTime bool) {
@@ -604,20 +604,22 @@
 			ends[r.ID] = r
 		}
 	}
-	// the due and earned part of each, by ask: within a volume's share of a second a unit
-	// counts in full, beyond it as spare
+	// Worth is counted by the second: a volume's units within its share for a second count in full, those
+	// beyond it at SpareWorth.
 	type answered struct {
 		q                   Record
 		due, earned, served float64
 		inTime              bool
 	}
-	type slice struct {
+	type volumeSecond struct {
 		volume string
 		second int64
 	}
 	var all []answered
-	asked, got := map[slice]float64{}, map[slice]float64{}
-	at := func(q Record) slice { return slice{q.Volume, int64(time.Duration(q.T-a.first) / time.Second)} }
+	askedUnits, earnedUnits := map[volumeSecond]float64{}, map[volumeSecond]float64{}
+	secondOf := func(q Record) volumeSecond {
+		return volumeSecond{q.Volume, int64(time.Duration(q.T-a.startTime) / time.Second)}
+	}
 	for id, q := range asks {
 		end := ends[id]
 		c, ok := a.classes[q.Class]
@@ -643,11 +645,12 @@
 			}
 		}
 		x.earned = x.due * part
-		asked[at(q)] += q.Units
-		got[at(q)] += q.Units * part
+		askedUnits[secondOf(q)] += q.Units
+		earnedUnits[secondOf(q)] += q.Units * part
 		all = append(all, x)
 	}
-	counts := func(volume string, units float64) float64 { // the mean part that so many units count
+	// countedPart is the mean part of its worth that a unit counts, if the volume has this many units in a second.
+	countedPart := func(volume string, units float64) float64 {
 		share, ok := a.rules.Shares[volume]
 		if !ok || units <= share {
 			return 1
@@ -656,8 +659,8 @@
 	}
 	slices.SortFunc(all, func(x, y answered) int { return cmp.Or(cmp.Compare(x.q.T, y.q.T), cmp.Compare(x.q.ID, y.q.ID)) })
 	for _, x := range all {
-		due, earned := x.due*counts(x.q.Volume, asked[at(x.q)]), x.earned*counts(x.q.Volume, got[at(x.q)])
-		second := int64(time.Duration(x.q.T-a.first)/window) * int64(window/time.Second)
+		due, earned := x.due*countedPart(x.q.Volume, askedUnits[secondOf(x.q)]), x.earned*countedPart(x.q.Volume, earnedUnits[secondOf(x.q)])
+		second := int64(time.Duration(x.q.T-a.startTime)/servicePeriod) * int64(servicePeriod/time.Second)
 		for _, by := range []string{"", "class " + x.q.Class, "plan " + x.q.Plan, fmt.Sprintf("second %4d", second)} {
 			add(by, due, earned, x.served > 0, x.inTime)
 		}
@@ -673,8 +676,8 @@
 	slices.SortFunc(a.rep.Service, func(x, y Service) int { return cmp.Compare(x.By, y.By) })
 }
 
-// spread counts the writes that shards did.
-func (a *auditor) spread() {
+// computeSpread counts the writes that each shard completed.
+func (a *auditor) computeSpread() {
 	writes := map[string]bool{}
 	for _, c := range a.rules.Classes {
 		writes[c.Name] = c.Effect != "safe"
@@ -690,7 +693,7 @@
 			if r.Item == "" {
 				continue
 			}
-			base, _, _ := strings.Cut(r.Item, ".") // docs/design/host.md: items are BASE.INDEX
+			base, _, _ := strings.Cut(r.Item, ".") // items are named BASE.INDEX, see docs/design/host.md
 			if files[r.Shard] == nil {
 				files[r.Shard] = map[string]bool{}
 			}
--- a/internal/audit/rules_test.go
+++ b/internal/audit/rules_test.go
@@ -39,9 +39,9 @@
 	return Record{T: t * ms, What: Told, Gateway: "g", Node: node, State: state}
 }
 
-// TestEachRuleBrokenIsFound has for each rule days on which it is broken, and ones
-// that come close and keep it.
-func TestEachRuleBrokenIsFound(t *testing.T) {
+// TestCheckFindsBreaches checks for each rule that Check reports records that break it, and reports nothing
+// for records that come close to the rule's bound.
+func TestCheckFindsBreaches(t *testing.T) {
 	in := func(recs ...Record) []Record { return recs }
 	limited := func(n int, step int64) (recs []Record) {
 		for i := range n {
@@ -68,7 +68,7 @@
 	}
 	for _, c := range []struct {
 		name string
-		rule int // 0: kept
+		rule int // the rule that is broken; 0: none
 		recs []Record
 		want string
 	}{
@@ -92,24 +92,24 @@
 		{"within the grace", 0, in(told(0, "n1", "draining"), arrive(1900, "n1", 1, 0, "read")), ""},
 		{"after the grace", 3, in(told(0, "n1", "draining"), told(1000, "n1", "gone"), arrive(2100, "n1", 1, 0, "read")), "after the gateway was told"},
 		{"ready again", 0, in(told(0, "n1", "draining"), told(1000, "n1", "ready"), arrive(2100, "n1", 1, 0, "read")), ""},
-		{"stood still", 0, in(told(0, "n1", "draining"), Record{T: 1500 * ms, What: Stood, Gateway: "g", Took: 1600 * ms},
+		{"process stopped", 0, in(told(0, "n1", "draining"), Record{T: 1500 * ms, What: Stalled, Gateway: "g", Took: 1600 * ms},
 			arrive(3000, "n1", 1, 0, "read")), ""},
 
-		{"cold node pushed over", 4, fell(true), "fell over"},
-		{"fell over, not told of its start", 0, fell(false), ""},
+		{"cold node overloaded", 4, fell(true), "fell over"},
+		{"cold node overloaded, its start not told", 0, fell(false), ""},
 
 		{"limit kept", 0, limited(25, 1), ""},
-		{"limit passed", 5, limited(40, 1), "limit's store"},
-		{"limit kept as it fills", 0, limited(40, 100), ""},
+		{"limit exceeded", 5, limited(40, 1), "limit's store"},
+		{"limit kept as it refills", 0, limited(40, 100), ""},
 
 		{"in order", 0, in(arrive(0, "n1", 1, 0, "log"), end(5, "n1", 1, 0, "done"), arrive(6, "n1", 2, 0, "log")), ""},
 		{"overtaken", 6, in(arrive(0, "n1", 2, 0, "log"), end(5, "n1", 2, 0, "done"), arrive(6, "n1", 1, 0, "log")), "comes after"},
-		{"two at a time", 6, in(arrive(0, "n1", 1, 0, "log"), arrive(3, "n1", 2, 0, "log"), end(5, "n1", 1, 0, "done")), "still ran"},
-		{"no rest after doubt", 6, in(arrive(0, "n1", 1, 0, "log"), arrive(300, "n1", 2, 0, "log")), "rest"},
-		{"rest after doubt", 0, in(arrive(0, "n1", 1, 0, "log"), arrive(600, "n1", 2, 0, "log")), ""},
+		{"two at the same time", 6, in(arrive(0, "n1", 1, 0, "log"), arrive(3, "n1", 2, 0, "log"), end(5, "n1", 1, 0, "done")), "still ran"},
+		{"next one too soon after one without an end", 6, in(arrive(0, "n1", 1, 0, "log"), arrive(300, "n1", 2, 0, "log")), "rest"},
+		{"next one in time after one without an end", 0, in(arrive(0, "n1", 1, 0, "log"), arrive(600, "n1", 2, 0, "log")), ""},
 
 		{"budget kept", 0, retries(5, 40), ""},
-		{"budget passed", 7, retries(5, 20), "further attempts"},
+		{"budget exceeded", 7, retries(5, 20), "further attempts"},
 	} {
 		rep := Check(c.recs, rules)
 		if c.rule == 0 {
@@ -123,7 +123,7 @@
 			found = found || b.Rule == c.rule && strings.Contains(b.Text, c.want)
 		}
 		if !found {
-			t.Errorf("%s: rule %d not found broken (%q): %+v", c.name, c.rule, c.want, rep.Breaches)
+			t.Errorf("%s: no breach of rule %d with %q: %+v", c.name, c.rule, c.want, rep.Breaches)
 		}
 	}
 }
@@ -149,8 +149,8 @@
 	}
 }
 
-// TestRecordsSurvive writes records and rules and reads them back.
-func TestRecordsSurvive(t *testing.T) {
+// TestRecordsRoundTrip writes records and rules to a folder and reads them back.
+func TestRecordsRoundTrip(t *testing.T) {
 	dir := t.TempDir()
 	w, err := Create(dir, "node-1")
 	if err != nil {
--- a/internal/audit/service_test.go
+++ b/internal/audit/service_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestWorthByShare: of a volume's units of a second those within its share count in full, the
-// others as spare, both due and earned; volumes without a share count in full.
+// TestWorthByShare checks that of a volume's units in a second those within its share count in full and the
+// others as spare, both due and earned, and that all units of a volume without a share count in full.
 func TestWorthByShare(t *testing.T) {
 	ask := func(id, volume string, at, took int64, units float64, result string) []Record {
 		recs := transfer(id, at, at+took, 4000, result)
@@ -19,7 +19,7 @@
 		ask("a", "v", 10, 50, 6, "served"), ask("b", "v", 20, 50, 6, "served"), // 12 in one second, share 10
 		ask("c", "v", 1200, 50, 6, "served"), ask("d", "v", 1300, 50, 6, "refused"), // 6 of 12 served
 		ask("e", "w", 30, 50, 100, "served"),
-		ask("f", "v", 2500, 500, 4, "served"), // late: half
+		ask("f", "v", 2500, 500, 4, "served"), // late: counts half
 	} {
 		recs = append(recs, r...)
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestSpread: writes that were done, by shard, those that took none included.
+// TestSpread checks that completed writes are counted by shard, including shards without any.
 func TestSpread(t *testing.T) {
 	var recs []Record
 	for shard := range 4 {
--- a/internal/rehearsal/trouble.go
+++ b/internal/rehearsal/trouble.go
@@ -97,7 +97,7 @@
 		p.signal(syscall.SIGSTOP)
 		r.sleep(ctx, lasts)
 		p.signal(syscall.SIGCONT)
-		r.trace.Put(audit.Record{What: audit.Stood, Gateway: p.name, Took: int64(time.Since(began))})
+		r.trace.Put(audit.Record{What: audit.Stalled, Gateway: p.name, Took: int64(time.Since(began))})
 	case "kill":
 		r.kill(ctx, r.gateway(t.Target), lasts)
 	}
