--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -16,125 +16,127 @@
 	"eiderhold/internal/mapfile"
 )
 
-// Authority plays the authority of the extent map: numbered changes over Server-Sent Events, snapshots and
-// single ranges over HTTP. It keeps its map as a list of changes and plays them anew for each question, so that
-// it shares no structure with what it feeds but the snapshot's format.
+// Authority is a stand-in of the authority of the extent map. It sends numbered changes over Server-Sent Events,
+// and snapshots and single ranges over HTTP. Its map is a list of changes that it evaluates for each request, so
+// that apart from snapshots it shares no data structure with the gateways' map that it is tested against.
 type Authority struct {
 	ln     net.Listener
 	server *http.Server
 
-	mu      sync.Mutex
-	term    uint64
-	changes []mapfeed.Change // changes[i] has version i+1
-	kept    int              // the last so many can be resumed from
-	script  func(gateway string, version uint64) Delivery
-	subs    map[*sub]bool
-	down    bool
-	slow    time.Duration // answers about ranges take so long
-	stalls  int           // so many snapshots stop in the middle
-	asked   map[string]int
+	mu               sync.Mutex
+	term             uint64
+	changes          []mapfeed.Change // changes[i] has version i+1
+	resumable        int              // number of last changes from which a stream may resume
+	script           func(gateway string, version uint64) Delivery
+	subs             map[*subscriber]bool
+	down             bool
+	rangeDelay       time.Duration // delay of each answer about a range
+	stalledSnapshots int           // number of next snapshots that stall in the middle
+	requests         map[string]int
 }
 
-// Delivery is how a change goes to one gateway.
+// Delivery says how a change is sent on one stream. The zero value sends it once, in order.
 type Delivery struct {
-	Skip  bool // it never comes on this stream
-	Twice bool
-	After int // it comes after so many later ones
+	Skip  bool // never sent on this stream
+	Twice bool // sent two times
+	After int  // sent after this many later changes; 0: in order
 }
 
-// StartAuthority listens on loopback.
+// StartAuthority starts an authority with an empty map on a loopback port.
 func StartAuthority() (*Authority, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in authority: %w", err)
 	}
-	a := &Authority{ln: ln, term: 1, kept: 1000, subs: map[*sub]bool{}, asked: map[string]int{}}
+	a := &Authority{ln: ln, term: 1, resumable: 1000, subs: map[*subscriber]bool{}, requests: map[string]int{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /map", a.serve)
-	mux.HandleFunc("GET /map/snapshot", a.snapshot)
-	mux.HandleFunc("GET /map/range", a.span)
+	mux.HandleFunc("GET /map", a.serveStream)
+	mux.HandleFunc("GET /map/snapshot", a.serveSnapshot)
+	mux.HandleFunc("GET /map/range", a.serveRange)
 	a.server = &http.Server{Handler: mux}
 	go func() { _ = a.server.Serve(ln) }()
 	return a, nil
 }
 
-// URL is where gateways find the stream.
+// URL returns the URL of the stream of changes.
 func (a *Authority) URL() string { return "http://" + a.ln.Addr().String() + "/map" }
 
-// Close ends the authority.
+// Close stops the authority and closes its streams.
 func (a *Authority) Close() { _ = a.server.Close() }
 
-// Put books a change and tells all who listen.
+// Put adds a change to the map, sends it to all streams and returns its version.
 func (a *Authority) Put(runs ...extentmap.Run) (version uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	version = uint64(len(a.changes)) + 1
 	a.changes = append(a.changes, mapfeed.Change{Term: a.term, Version: version, Runs: runs})
-	a.ring()
+	a.notifyAll()
 	return version
 }
 
-func (a *Authority) ring() {
+// notifyAll wakes all streams. The caller holds a.mu.
+func (a *Authority) notifyAll() {
 	for s := range a.subs {
 		select {
-		case s.bell <- struct{}{}:
+		case s.notify <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// Versions is the number of the last change.
+// Versions returns the version of the last change.
 func (a *Authority) Versions() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.changes)
 }
 
-// Script says how changes reach gateways from now on; nil: in order, once.
+// Script sets the function that decides how each change is sent to a gateway; nil: once, in order.
 func (a *Authority) Script(f func(gateway string, version uint64) Delivery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.script = f
 }
 
-// Keep has only the last so many changes be resumed from.
+// Keep sets the number of last changes from which a stream may resume.
 func (a *Authority) Keep(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.kept = n
+	a.resumable = n
 }
 
-// Slow has answers about ranges take so long.
+// Slow sets the delay of answers about ranges.
 func (a *Authority) Slow(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.slow = d
+	a.rangeDelay = d
 }
 
-// Stall has so many snapshots stop in the middle.
+// Stall sets the number of next snapshots that stop in the middle until the client closes the connection.
 func (a *Authority) Stall(snapshots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.stalls = snapshots
+	a.stalledSnapshots = snapshots
 }
 
-// Down makes it answer nothing and drop its streams, or come back.
+// Down makes the authority drop its streams and answer 503, or serve again.
 func (a *Authority) Down(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down = down; down {
-		a.cut()
+		a.dropStreams()
 	}
 }
 
-func (a *Authority) cut() {
+// dropStreams ends all streams. The caller holds a.mu.
+func (a *Authority) dropStreams() {
 	for s := range a.subs {
-		close(s.cut)
+		close(s.dropped)
 		delete(a.subs, s)
 	}
 }
 
-// Restore plays a restored backup: another term, with the changes up to a version only.
+// Restore acts as if a backup had been restored: a new term begins, with the changes up to a version only.
 func (a *Authority) Restore(version uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,38 +145,40 @@
 	for i := range a.changes {
 		a.changes[i].Term = a.term
 	}
-	a.cut()
+	a.dropStreams()
 }
 
-// Asked counts questions: "stream", "snapshot", "range".
+// Asked returns the number of requests of one kind: "stream", "snapshot" or "range".
 func (a *Authority) Asked(what string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asked[what]
+	return a.requests[what]
 }
 
-// enter counts a question and says whether it is answered.
-func (a *Authority) enter(w http.ResponseWriter, what string) bool {
+// admit counts a request and reports whether it is to be served. If the authority is down, it answers 503.
+func (a *Authority) admit(w http.ResponseWriter, what string) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked[what]++
+	a.requests[what]++
 	if a.down {
 		http.Error(w, "down", http.StatusServiceUnavailable)
 	}
 	return !a.down
 }
 
-func (a *Authority) serve(w http.ResponseWriter, req *http.Request) {
-	if !a.enter(w, "stream") {
+// serveStream sends changes to one gateway as the script has them, after a snapshot event if the stream cannot
+// resume from the version that the gateway has.
+func (a *Authority) serveStream(w http.ResponseWriter, req *http.Request) {
+	if !a.admit(w, "stream") {
 		return
 	}
-	s := &sub{gateway: req.URL.Query().Get("gateway"), bell: make(chan struct{}, 1), cut: make(chan struct{})}
+	s := &subscriber{gateway: req.URL.Query().Get("gateway"), notify: make(chan struct{}, 1), dropped: make(chan struct{})}
 	a.mu.Lock()
 	a.subs[s] = true
-	term, seen, resumes := mapfeed.ParseID(req.Header.Get("Last-Event-ID"))
-	resumes = resumes && term == a.term && seen <= uint64(len(a.changes)) && int(seen) >= len(a.changes)-a.kept
+	term, seen, canResume := mapfeed.ParseID(req.Header.Get("Last-Event-ID"))
+	canResume = canResume && term == a.term && seen <= uint64(len(a.changes)) && int(seen) >= len(a.changes)-a.resumable
 	term = a.term
-	if !resumes {
+	if !canResume {
 		seen = uint64(len(a.changes))
 	}
 	a.mu.Unlock()
@@ -185,63 +189,63 @@
 	}()
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
-	tell := func(event string, c mapfeed.Change) {
+	send := func(event string, c mapfeed.Change) {
 		b, _ := json.Marshal(c)
 		_, _ = fmt.Fprintf(w, "event: %s\nid: %s\ndata: %s\n\n", event, mapfeed.ID(c.Term, c.Version), b)
 	}
-	if !resumes {
-		tell(mapfeed.EventSnapshot, mapfeed.Change{Term: term, Version: seen})
+	if !canResume {
+		send(mapfeed.EventSnapshot, mapfeed.Change{Term: term, Version: seen})
 	}
-	type late struct {
+	type delayedChange struct {
 		mapfeed.Change
 		after int
 	}
-	var waits []late
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
+	var delayed []delayedChange
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
 	for {
 		a.mu.Lock()
-		var news []mapfeed.Change
+		var pending []mapfeed.Change
 		if a.term == term {
-			news = a.changes[min(int(seen), len(a.changes)):]
+			pending = a.changes[min(int(seen), len(a.changes)):]
 		}
 		script := a.script
 		a.mu.Unlock()
-		for _, c := range news {
+		for _, c := range pending {
 			seen = c.Version
 			d := Delivery{}
 			if script != nil {
 				d = script(s.gateway, c.Version)
 			}
 			if d.After > 0 {
-				waits = append(waits, late{c, d.After})
+				delayed = append(delayed, delayedChange{c, d.After})
 			} else if !d.Skip {
-				tell(mapfeed.EventChange, c)
+				send(mapfeed.EventChange, c)
 				if d.Twice {
-					tell(mapfeed.EventChange, c)
+					send(mapfeed.EventChange, c)
 				}
 			}
-			rest := waits[:0]
-			for _, l := range waits {
+			rest := delayed[:0]
+			for _, l := range delayed {
 				if l.Version < c.Version {
 					l.after--
 				}
 				if l.after > 0 {
 					rest = append(rest, l)
 				} else {
-					tell(mapfeed.EventChange, l.Change)
+					send(mapfeed.EventChange, l.Change)
 				}
 			}
-			waits = rest
+			delayed = rest
 		}
 		if rc.Flush() != nil {
 			return
 		}
 		select {
-		case <-s.bell:
-		case <-beat.C:
+		case <-s.notify:
+		case <-heartbeat.C:
 			_, _ = fmt.Fprint(w, ":\n\n")
-		case <-s.cut:
+		case <-s.dropped:
 			return
 		case <-req.Context().Done():
 			return
@@ -249,9 +253,9 @@
 	}
 }
 
-// snapshot hands out the map in the file's format.
-func (a *Authority) snapshot(w http.ResponseWriter, req *http.Request) {
-	if !a.enter(w, "snapshot") {
+// serveSnapshot answers with the map in the format of package mapfile.
+func (a *Authority) serveSnapshot(w http.ResponseWriter, req *http.Request) {
+	if !a.admit(w, "snapshot") {
 		return
 	}
 	a.mu.Lock()
@@ -266,7 +270,7 @@
 			_, err = m.Apply(extentmap.Delta{Term: term, Version: c.Version, Runs: c.Runs})
 		}
 	}
-	var b buffer
+	var b seekBuffer
 	if err == nil {
 		_, err = mapfile.Write(&b, m.View())
 	}
@@ -275,8 +279,8 @@
 		return
 	}
 	a.mu.Lock()
-	stall := a.stalls > 0
-	a.stalls = max(0, a.stalls-1)
+	stall := a.stalledSnapshots > 0
+	a.stalledSnapshots = max(0, a.stalledSnapshots-1)
 	a.mu.Unlock()
 	if stall {
 		_, _ = w.Write(b.bytes[:len(b.bytes)/2])
@@ -287,9 +291,9 @@
 	_, _ = w.Write(b.bytes)
 }
 
-// span answers a question about a range: each extent by the last change that names it.
-func (a *Authority) span(w http.ResponseWriter, req *http.Request) {
-	if !a.enter(w, "range") {
+// serveRange answers with the runs of a range. Each extent is where the last change that has it puts it.
+func (a *Authority) serveRange(w http.ResponseWriter, req *http.Request) {
+	if !a.admit(w, "range") {
 		return
 	}
 	q := req.URL.Query()
@@ -302,10 +306,10 @@
 		return
 	}
 	a.mu.Lock()
-	answer, slow := mapfeed.Change{Term: a.term, Version: uint64(len(a.changes))}, a.slow
+	answer, slow := mapfeed.Change{Term: a.term, Version: uint64(len(a.changes))}, a.rangeDelay
 	for e := in.From; e < in.To; e++ {
 		for i := len(a.changes) - 1; i >= 0; i-- {
-			if r := home(a.changes[i], in.Volume, e); r != nil {
+			if r := lastRun(a.changes[i], in.Volume, e); r != nil {
 				if n := len(answer.Runs); n > 0 && answer.Runs[n-1].To == e && answer.Runs[n-1].Home == r.Home {
 					answer.Runs[n-1].To++
 				} else {
@@ -324,8 +328,8 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-// home is the last run of a change that has an extent.
-func home(c mapfeed.Change, volume string, extent uint64) *extentmap.Run {
+// lastRun returns the last run of a change that contains an extent, or nil.
+func lastRun(c mapfeed.Change, volume string, extent uint64) *extentmap.Run {
 	for i := len(c.Runs) - 1; i >= 0; i-- {
 		if r := &c.Runs[i]; r.Volume == volume && r.From <= extent && extent < r.To {
 			return r
@@ -334,31 +338,31 @@
 	return nil
 }
 
-// Home is where the authority has an extent.
+// Home returns the location of an extent in the authority's map, if it has one.
 func (a *Authority) Home(volume string, extent uint64) (extentmap.Home, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := len(a.changes) - 1; i >= 0; i-- {
-		if r := home(a.changes[i], volume, extent); r != nil {
+		if r := lastRun(a.changes[i], volume, extent); r != nil {
 			return r.Home, true
 		}
 	}
 	return extentmap.Home{}, false
 }
 
-// buffer is memory that can be written to like a file.
-type buffer struct {
+// seekBuffer is an in-memory io.WriteSeeker.
+type seekBuffer struct {
 	bytes []byte
 	at    int
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *seekBuffer) Write(p []byte) (int, error) {
 	b.bytes = append(b.bytes[:b.at], append(bytes.Clone(p), b.bytes[min(len(b.bytes), b.at+len(p)):]...)...)
 	b.at += len(p)
 	return len(p), nil
 }
 
-func (b *buffer) Seek(offset int64, whence int) (int64, error) {
+func (b *seekBuffer) Seek(offset int64, whence int) (int64, error) {
 	if whence != io.SeekStart || offset < 0 || offset > int64(len(b.bytes)) {
 		return 0, fmt.Errorf("stand-in authority: seek %d, %d", offset, whence)
 	}
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -1,6 +1,7 @@
-// Package standin plays everything outside the gateway: storage nodes, the
-// register, rsync clients and the troubles of a bad day. It writes down what goes
-// over its sockets for internal/audit. The product's rooms do not import it.
+// Package standin has test doubles of the systems outside the gateway: storage nodes, the register, the
+// authority of the extent map, the platform's HTTP nodes and discovery, and rsync clients, with faults that can
+// be switched on. It records the traffic over its sockets for package audit. Package rehearsal, the commands
+// that run a site on one machine, and tests use it; the gateway does not import it.
 package standin
 
 import (
@@ -13,52 +14,51 @@
 	"time"
 )
 
-// Disk is what the nodes of one shard hold in common: a node that replaces another
-// finds its items and its keys there. With a folder, items outlive the process.
+// Disk is the storage of one shard. A node that replaces another opens the same Disk and finds the items and
+// keys there. With a folder, items outlive the process.
 type Disk struct {
 	dir string
 
-	mu    sync.Mutex
-	items map[string][]byte
-	keys  map[string]time.Time // when a key took effect
-	most  int64                // bytes; 0: any number
-	taken int64                // by others: what a disk that was full already holds
-	used  int64
-	sizes map[string]int64
+	mu       sync.Mutex
+	items    map[string][]byte
+	keys     map[string]time.Time // when a key took effect
+	capacity int64                // bytes; 0: unlimited
+	occupied int64                // bytes taken by other data
+	used     int64
+	sizes    map[string]int64
 }
 
-// ErrFull says that a disk has no room for an item.
+// ErrFull is returned when a disk has no room for an item.
 var ErrFull = errors.New("no space left on the shard")
 
-// Limit sets how many bytes the disk can hold (0: any number), and how many of them others have
-// taken already.
-func (d *Disk) Limit(most, taken int64) {
+// Limit sets the capacity of the disk in bytes (0: unlimited), and how many of them other data occupies.
+func (d *Disk) Limit(capacity, occupied int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.most, d.taken = most, taken
+	d.capacity, d.occupied = capacity, occupied
 }
 
-// Space is the bytes used and of how many; 0: any number.
-func (d *Disk) Space() (used, most int64) {
+// Space returns the bytes used and the capacity; a capacity of 0 is unlimited.
+func (d *Disk) Space() (used, capacity int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.used + d.taken, d.most
+	return d.used + d.occupied, d.capacity
 }
 
-// take books an item's bytes, if there is room.
-func (d *Disk) take(item string, size int64) error {
+// reserve counts an item's bytes as used, or returns ErrFull.
+func (d *Disk) reserve(item string, size int64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	more := size - d.sizes[item]
-	if d.most > 0 && more > 0 && d.used+d.taken+more > d.most {
+	growth := size - d.sizes[item]
+	if d.capacity > 0 && growth > 0 && d.used+d.occupied+growth > d.capacity {
 		return ErrFull
 	}
-	d.used += more
+	d.used += growth
 	d.sizes[item] = size
 	return nil
 }
 
-// NewDisk opens a shard's disk; an empty folder name keeps items in memory only.
+// NewDisk opens a shard's disk. With an empty folder name, items are kept in memory only.
 func NewDisk(dir string) (*Disk, error) {
 	d := &Disk{dir: dir, items: map[string][]byte{}, keys: map[string]time.Time{}, sizes: map[string]int64{}}
 	if dir == "" {
@@ -73,8 +73,8 @@
 	}
 	for _, e := range entries {
 		name, err := hex.DecodeString(e.Name())
-		info, bad := e.Info()
-		if err == nil && bad == nil { // else it is no item
+		info, infoErr := e.Info()
+		if err == nil && infoErr == nil { // other files are not items
 			d.sizes[string(name)] = info.Size()
 			d.used += info.Size()
 		}
@@ -86,7 +86,7 @@
 	return filepath.Join(d.dir, hex.EncodeToString([]byte(item)))
 }
 
-// Read returns an item's bytes.
+// Read returns an item's bytes, and whether the item exists.
 func (d *Disk) Read(item string) ([]byte, bool) {
 	if d.dir != "" {
 		p, err := os.ReadFile(d.path(item))
@@ -98,9 +98,9 @@
 	return p, ok
 }
 
-// Write stores an item.
+// Write stores an item. It returns ErrFull if the disk has no room for it.
 func (d *Disk) Write(item string, p []byte) error {
-	if err := d.take(item, int64(len(p))); err != nil {
+	if err := d.reserve(item, int64(len(p))); err != nil {
 		return err
 	}
 	if d.dir == "" {
@@ -116,7 +116,7 @@
 	return os.Rename(name+".new", name)
 }
 
-// Delete removes an item.
+// Delete removes an item, if it exists.
 func (d *Disk) Delete(item string) {
 	if d.dir != "" {
 		_ = os.Remove(d.path(item))
@@ -128,7 +128,7 @@
 	delete(d.items, item)
 }
 
-// Flip flips one bit of an item, as a bad disk does.
+// Flip inverts one bit of an item, as a faulty disk might, and reports whether it did.
 func (d *Disk) Flip(item string, bit int) bool {
 	p, ok := d.Read(item)
 	if !ok || len(p) == 0 {
@@ -139,7 +139,7 @@
 	return d.Write(item, p) == nil
 }
 
-// Items is the number of items held in memory or in the folder.
+// Items returns the number of items held in memory or in the folder.
 func (d *Disk) Items() int {
 	if d.dir != "" {
 		entries, _ := os.ReadDir(d.dir)
@@ -150,8 +150,8 @@
 	return len(d.items)
 }
 
-// once books a key's effect and reports false if it took effect within the window.
-func (d *Disk) once(key string, window time.Duration) bool {
+// recordKey records that a key takes effect now. It reports false if the key took effect within the window before.
+func (d *Disk) recordKey(key string, window time.Duration) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
--- a/internal/standin/meter.go
+++ b/internal/standin/meter.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// Meter plays the storage side's volume meter: what all nodes served for each volume of
-// late, as a percentage of what it is sized for.
+// Meter is a stand-in of the storage side's volume meter. It gives the recent rate of units that all nodes served
+// for each volume, as a percentage of the volume's nominal rate.
 type Meter struct {
 	span    time.Duration
 	nominal map[string]float64 // volume -> units a second
 
-	mu   sync.Mutex
-	uses map[string]*use
+	mu     sync.Mutex
+	usages map[string]*usage
 }
 
-type use struct {
-	sum float64 // units, fading over the span
+// usage is what all nodes served for one volume.
+type usage struct {
+	sum float64 // units, decaying exponentially with the span as time constant
 	at  time.Time
 }
 
-// NewMeter makes a meter. A volume without a nominal rate is not metered.
+// NewMeter returns a meter. A volume without a nominal rate is not metered.
 func NewMeter(span time.Duration, nominal map[string]float64) *Meter {
-	return &Meter{span: span, nominal: nominal, uses: map[string]*use{}}
+	return &Meter{span: span, nominal: nominal, usages: map[string]*usage{}}
 }
 
-// serve books units and returns 1 + percent of the nominal rate; 0: not metered.
-func (m *Meter) serve(volume string, units float64) uint16 {
+// record counts units served and returns 1 + percent of the nominal rate, or 0 for a volume that is not metered.
+func (m *Meter) record(volume string, units float64) uint16 {
 	if m == nil || m.nominal[volume] <= 0 {
 		return 0
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now, u := time.Now(), m.uses[volume]
+	now, u := time.Now(), m.usages[volume]
 	if u == nil {
-		u = &use{at: now}
-		m.uses[volume] = u
+		u = &usage{at: now}
+		m.usages[volume] = u
 	}
 	u.sum = u.sum*math.Exp(-float64(now.Sub(u.at))/float64(m.span)) + units
 	u.at = now
@@ -44,25 +45,25 @@
 	return uint16(1 + min(percent, math.MaxUint16-1))
 }
 
-// volumeCount is what one node served for a volume, by gateway.
+// volumeCount holds the units that one node served for a volume.
 type volumeCount struct {
-	total float64
-	by    map[string]float64
-	told  map[string]float64 // of the others, up to the last answer to each
+	total     float64
+	byGateway map[string]float64
+	reported  map[string]float64 // gateway -> units of other gateways that its last answer included
 }
 
-// others books units served through a gateway, and returns what others got since it was
-// last told, in milli-units. The node's lock is held.
-func (n *Node) others(volume, gateway string, units float64) uint32 {
+// servedByOthers counts units served through a gateway. It returns the milli-units that were served through
+// other gateways since it last did so for this gateway. The caller holds n.mu.
+func (n *Node) servedByOthers(volume, gateway string, units float64) uint32 {
 	c := n.served[volume]
 	if c == nil {
-		c = &volumeCount{by: map[string]float64{}, told: map[string]float64{}}
+		c = &volumeCount{byGateway: map[string]float64{}, reported: map[string]float64{}}
 		n.served[volume] = c
 	}
 	c.total += units
-	c.by[gateway] += units
-	rest := c.total - c.by[gateway]
-	since := rest - c.told[gateway]
-	c.told[gateway] = rest
+	c.byGateway[gateway] += units
+	others := c.total - c.byGateway[gateway]
+	since := others - c.reported[gateway]
+	c.reported[gateway] = others
 	return uint32(min(since*1000, math.MaxUint32))
 }
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -14,92 +14,93 @@
 	"eiderhold/internal/nodewire"
 )
 
-// NodeOptions describe one stand-in node. Times that are 0 switch a trait off.
+// NodeOptions describes one stand-in node. A time of 0 switches off the behaviour that it belongs to.
 type NodeOptions struct {
 	ID, Zone string
-	Size     float64 // that the register tells; 0: 1
+	Size     float64 // relative size that the register announces; 0: 1
 	Shard    int
 	Listen   string // 127.0.0.1:0 if empty
 	Disk     *Disk
 
 	Cores    int           // requests served at a time
 	UnitTime time.Duration // work of one unit on a core
-	Queue    int           // requests waiting before it turns them away
+	Queue    int           // requests waiting before further ones are refused as busy
 	MaxConns int
 
-	Started      time.Time // zero: long ago, warm
+	Started      time.Time // zero: the node is warm
 	ColdFor      time.Duration
-	ColdCapacity float64       // part of its speed at the start
-	FallMultiple float64       // sent more than this many times its present capacity ...
-	FallSpan     time.Duration // ... over so long while cold, it falls over
-	ColdBears    float64       // units borne within the span in any case
-	DownFor      time.Duration // how long it stays down
-
-	RecentItems  int     // the last items read cost less
-	RecentPart   float64 // part of the work that they cost
-	PutOff       float64 // part of a write's work that is done after its answer
-	KeyWindow    time.Duration
+	ColdCapacity float64       // part of the full speed at the start
+	FallMultiple float64       // a cold node goes down if it is sent more than this many times its present capacity ...
+	FallSpan     time.Duration // ... within this time
+	ColdBears    float64       // units within the span that do not bring it down in any case
+	DownFor      time.Duration // time for which it accepts no connection then
+
+	RecentItems  int           // number of most recently read items that cost less to read
+	RecentPart   float64       // part of the work that reading one of them takes
+	PutOff       float64       // part of a write's work that is done after its answer
+	KeyWindow    time.Duration // time in which a write with the same key has no second effect
 	KeyedClasses map[string]bool
 
 	Seed  int64
 	Trace *audit.Writer
-	Meter *Meter // nil: answers tell nothing of volumes
+	Meter *Meter // nil: answers carry no volume use
 }
 
-// Trouble is what may be wrong with a node at the moment.
+// Trouble holds the faults of a node. The zero value has none.
 type Trouble struct {
-	Hang       bool          // takes requests and never answers
-	Slow       float64       // times as long a work; 0: as usual
-	TailPart   float64       // part of the requests that take TailTimes as long
-	TailTimes  float64       //
-	Neighbour  float64       // part of the cores' time that others take
-	ErrorPart  float64       // part of the requests that get an error at once
-	LostPart   float64       // part of the answers that get lost
-	PauseUntil time.Time     // stands still until then
-	Delay      time.Duration // on top of each answer
+	Hang       bool    // accepts requests and never answers
+	Slow       float64 // factor of the work's duration; 0: 1
+	TailPart   float64 // part of the requests whose work takes TailTimes as long
+	TailTimes  float64
+	Neighbour  float64       // part of the cores' time that other programs take
+	ErrorPart  float64       // part of the requests that are answered with an error at once
+	LostPart   float64       // part of the answers that are not sent
+	PauseUntil time.Time     // no work and no answers until then
+	Delay      time.Duration // added before each answer
 }
 
-// Node is a running stand-in.
+// Node is a running stand-in node.
 type Node struct {
 	opt NodeOptions
 	ln  net.Listener
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	trouble  Trouble
-	conns    map[net.Conn]bool
-	nconn    uint64
-	queue    chan *job
-	waiting  int
-	latency  time.Duration // recent service time
-	recent   []string
-	arrived  []arrival // while cold: for falling over
-	draining bool
-	downTo   time.Time
-	closed   bool
-	counts   NodeCounts
-	served   map[string]*volumeCount
-	wg       sync.WaitGroup
+	mu          sync.Mutex
+	rng         *rand.Rand
+	trouble     Trouble
+	conns       map[net.Conn]bool
+	lastConnID  uint64
+	queue       chan *job
+	waiting     int
+	latency     time.Duration // recent service time
+	recentItems []string
+	arrived     []arrival // requests within FallSpan, while cold
+	draining    bool
+	downUntil   time.Time
+	closed      bool
+	counts      NodeCounts
+	served      map[string]*volumeCount
+	wg          sync.WaitGroup
 }
 
-// NodeCounts are counts since the start.
+// NodeCounts holds counts of requests since the start; Fell counts how often the node went down.
 type NodeCounts struct{ Arrived, Done, Errors, Busy, Repeats, Lost, Cancelled, Fell int }
 
+// arrival is a request's arrival at a cold node.
 type arrival struct {
 	at    time.Time
 	units float64
 }
 
-// job is one request at the node.
+// job is one request that the node has received.
 type job struct {
 	nodewire.Request
-	conn      *peer
+	conn      *gatewayConn
 	at        time.Time
 	cancelled bool
 }
 
-// peer is one gateway's connection.
-type peer struct {
+// gatewayConn is one connection from a gateway.
+type gatewayConn struct {
 	net.Conn
 	mu      sync.Mutex // guards writes
 	id      uint64
@@ -107,7 +108,7 @@
 	jobs    map[uint64]*job // guarded by Node.mu
 }
 
-// StartNode listens and serves until Close.
+// StartNode starts a node that listens and serves until Close.
 func StartNode(opt NodeOptions) (*Node, error) {
 	if opt.Listen == "" {
 		opt.Listen = "127.0.0.1:0"
@@ -128,41 +129,41 @@
 		queue:  make(chan *job, opt.Queue+opt.Cores)}
 	for range opt.Cores {
 		n.wg.Add(1)
-		go n.work()
+		go n.serveQueue()
 	}
 	n.wg.Add(1)
 	go n.accept(ln)
 	return n, nil
 }
 
-// Addr is where the node listens.
+// Addr returns the address at which the node listens.
 func (n *Node) Addr() string { return n.ln.Addr().String() }
 
-// Disk is its shard's.
+// Disk returns the disk of the node's shard.
 func (n *Node) Disk() *Disk { return n.opt.Disk }
 
-// Set changes what is wrong with the node.
+// Set changes the node's faults.
 func (n *Node) Set(change func(*Trouble)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	change(&n.trouble)
 }
 
-// Counts returns the counts.
+// Counts returns the node's counts since the start.
 func (n *Node) Counts() NodeCounts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.counts
 }
 
-// Drain makes the node turn new requests away.
+// Drain makes the node refuse new requests as busy.
 func (n *Node) Drain() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.draining = true
 }
 
-// Close ends the node as a killed process does: connections drop, work is lost.
+// Close stops the node like a killed process: it closes all connections and answers no pending request.
 func (n *Node) Close() {
 	n.mu.Lock()
 	if n.closed {
@@ -179,7 +180,7 @@
 	n.wg.Wait()
 }
 
-// Cut drops all present connections.
+// Cut closes all open connections.
 func (n *Node) Cut() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -196,22 +197,22 @@
 			return
 		}
 		n.mu.Lock()
-		if n.closed || len(n.conns) >= n.opt.MaxConns || time.Now().Before(n.downTo) {
+		if n.closed || len(n.conns) >= n.opt.MaxConns || time.Now().Before(n.downUntil) {
 			n.mu.Unlock()
 			c.Close()
 			continue
 		}
 		n.conns[c] = true
-		n.nconn++
-		p := &peer{Conn: c, id: n.nconn, jobs: map[uint64]*job{}}
+		n.lastConnID++
+		p := &gatewayConn{Conn: c, id: n.lastConnID, jobs: map[uint64]*job{}}
 		n.wg.Add(1)
 		n.mu.Unlock()
-		go n.serve(p)
+		go n.serveConn(p)
 	}
 }
 
-// serve reads frames until the connection ends.
-func (n *Node) serve(p *peer) {
+// serveConn reads frames until the connection ends.
+func (n *Node) serveConn(p *gatewayConn) {
 	defer n.wg.Done()
 	defer func() {
 		p.Close()
@@ -231,11 +232,11 @@
 		if err != nil {
 			return
 		}
-		switch f := f.(type) { // also while the node stands still: what has arrived has arrived
+		switch f := f.(type) { // read also during a pause, so that arrivals are recorded on time
 		case *nodewire.Hello:
 			p.gateway = f.Name
 		case *nodewire.Request:
-			n.request(p, f)
+			n.handleRequest(p, f)
 		case *nodewire.Cancel:
 			n.mu.Lock()
 			if j := p.jobs[f.ID]; j != nil {
@@ -246,7 +247,7 @@
 		case *nodewire.Probe:
 			n.mu.Lock()
 			answer := &nodewire.Probed{ID: f.ID, Queue: uint32(n.waiting), LatencyUs: uint32(n.latency.Microseconds())}
-			answer.Used, answer.Capacity = n.space()
+			answer.Used, answer.Capacity = n.diskSpace()
 			hang := n.trouble.Hang
 			n.mu.Unlock()
 			if !hang && !p.write(answer) {
@@ -256,7 +257,7 @@
 	}
 }
 
-// readFrame reads one frame into memory of its own.
+// readFrame reads one frame into a new buffer.
 func readFrame(r io.Reader) (nodewire.Frame, error) {
 	head := make([]byte, 4)
 	if _, err := io.ReadFull(r, head); err != nil {
@@ -264,7 +265,7 @@
 	}
 	size := binary.LittleEndian.Uint32(head)
 	if size > nodewire.MaxFrame {
-		return nil, fmt.Errorf("stand-in: frame of %d bytes", size)
+		return nil, fmt.Errorf("stand-in node: frame of %d bytes: at most %d", size, nodewire.MaxFrame)
 	}
 	b := make([]byte, 4+size)
 	copy(b, head)
@@ -275,15 +276,15 @@
 	return f, err
 }
 
-func (p *peer) write(f nodewire.Frame) bool {
+func (p *gatewayConn) write(f nodewire.Frame) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	_, err := p.Write(nodewire.Append(nil, f))
 	return err == nil
 }
 
-// standStill keeps the caller while the node pauses.
-func (n *Node) standStill() {
+// waitWhilePaused blocks until the node's pause is over or the node is closed.
+func (n *Node) waitWhilePaused() {
 	for {
 		n.mu.Lock()
 		until, closed := n.trouble.PauseUntil, n.closed
@@ -295,13 +296,13 @@
 	}
 }
 
-// request takes a request in, or turns it away.
-func (n *Node) request(p *peer, f *nodewire.Request) {
+// handleRequest records a request's arrival and queues it, or answers it without work.
+func (n *Node) handleRequest(p *gatewayConn, f *nodewire.Request) {
 	j := &job{Request: *f, conn: p, at: time.Now()}
-	n.record(j, audit.Arrive, "")
+	n.writeRecord(j, audit.Arrive, "")
 	n.mu.Lock()
 	n.counts.Arrived++
-	if n.fallsOver(j) {
+	if n.collapses(j) {
 		n.counts.Fell++
 		n.mu.Unlock()
 		n.opt.Trace.Put(audit.Record{What: audit.Fell, Node: n.opt.ID, Gateway: p.gateway})
@@ -311,13 +312,13 @@
 	if n.draining || n.waiting >= n.opt.Queue {
 		n.counts.Busy++
 		n.mu.Unlock()
-		n.atOnce(j, &nodewire.Answer{Result: nodewire.Busy, Text: "queue full or draining"})
+		n.answerUnserved(j, &nodewire.Answer{Result: nodewire.Busy, Text: "queue full or draining"})
 		return
 	}
 	if n.trouble.ErrorPart > 0 && n.rng.Float64() < n.trouble.ErrorPart {
 		n.counts.Errors++
 		n.mu.Unlock()
-		n.atOnce(j, &nodewire.Answer{Result: nodewire.Error, Text: "internal error"})
+		n.answerUnserved(j, &nodewire.Answer{Result: nodewire.Error, Text: "internal error"})
 		return
 	}
 	defer n.mu.Unlock()
@@ -326,11 +327,11 @@
 	}
 	p.jobs[f.ID] = j
 	n.waiting++
-	n.queue <- j // has room: waiting is less than the queue
+	n.queue <- j // does not block: waiting is less than the channel's capacity
 }
 
-// atOnce answers without work, though not while the node stands still or hangs.
-func (n *Node) atOnce(j *job, a *nodewire.Answer) {
+// answerUnserved answers a request without work: not at all if the node hangs, and after a pause if it is paused.
+func (n *Node) answerUnserved(j *job, a *nodewire.Answer) {
 	n.mu.Lock()
 	hang, still := n.trouble.Hang, time.Now().Before(n.trouble.PauseUntil)
 	n.mu.Unlock()
@@ -338,19 +339,19 @@
 		return
 	}
 	if !still {
-		n.answer(j, a)
+		n.sendAnswer(j, a)
 		return
 	}
 	n.wg.Add(1)
 	go func() {
 		defer n.wg.Done()
-		n.standStill()
-		n.answer(j, a)
+		n.waitWhilePaused()
+		n.sendAnswer(j, a)
 	}()
 }
 
-// fallsOver books an arrival at a cold node and says whether it is one too many.
-func (n *Node) fallsOver(j *job) bool {
+// collapses adds an arrival at a cold node and reports whether it brings the node down. The caller holds n.mu.
+func (n *Node) collapses(j *job) bool {
 	o := &n.opt
 	if o.FallSpan == 0 || o.Started.IsZero() || time.Since(o.Started) > o.ColdFor || o.UnitTime == 0 {
 		return false
@@ -364,17 +365,17 @@
 	for _, a := range n.arrived {
 		sum += a.units
 	}
-	capacity := float64(o.Cores) / o.UnitTime.Seconds() * n.warmth() * o.FallSpan.Seconds()
+	capacity := float64(o.Cores) / o.UnitTime.Seconds() * n.speedFactor() * o.FallSpan.Seconds()
 	if sum <= max(o.ColdBears, o.FallMultiple*capacity) {
 		return false
 	}
-	n.downTo = j.at.Add(o.DownFor)
+	n.downUntil = j.at.Add(o.DownFor)
 	n.arrived = nil
 	return true
 }
 
-// warmth is the part of its speed that the node has.
-func (n *Node) warmth() float64 {
+// speedFactor returns the node's present speed as a part of its full speed.
+func (n *Node) speedFactor() float64 {
 	o := &n.opt
 	if o.Started.IsZero() || o.ColdFor == 0 {
 		return 1
@@ -383,8 +384,8 @@
 	return o.ColdCapacity + (1-o.ColdCapacity)*part
 }
 
-// work serves queued requests, one at a time.
-func (n *Node) work() {
+// serveQueue serves queued requests one at a time; a node runs it once for each core.
+func (n *Node) serveQueue() {
 	defer n.wg.Done()
 	for j := range n.queue {
 		n.mu.Lock()
@@ -394,15 +395,15 @@
 			n.mu.Unlock()
 			continue
 		}
-		took, off := n.workTime(j)
+		workTime, deferred := n.serviceTime(j)
 		hang := n.trouble.Hang
 		n.mu.Unlock()
 		if hang {
-			continue // taken, and never answered
+			continue // accepted, never answered
 		}
-		n.standStill()
-		sleep(took)
-		a := n.run(j)
+		n.waitWhilePaused()
+		sleep(workTime)
+		a := n.execute(j)
 		n.mu.Lock()
 		delete(j.conn.jobs, j.ID)
 		n.latency += (time.Since(j.at) - n.latency) / 8
@@ -414,9 +415,9 @@
 		n.mu.Unlock()
 		if !lost {
 			sleep(delay)
-			n.answer(j, a)
+			n.sendAnswer(j, a)
 		}
-		sleep(off)
+		sleep(deferred)
 	}
 }
 
@@ -426,10 +427,10 @@
 	}
 }
 
-// workTime is how long a request takes a core, and how much of it after the answer.
-func (n *Node) workTime(j *job) (now, later time.Duration) {
+// serviceTime returns how long a request keeps a core before and after its answer. The caller holds n.mu.
+func (n *Node) serviceTime(j *job) (now, later time.Duration) {
 	o, t := &n.opt, &n.trouble
-	work := float64(o.UnitTime) * float64(j.MilliUnits) / 1000 / n.warmth()
+	work := float64(o.UnitTime) * float64(j.MilliUnits) / 1000 / n.speedFactor()
 	if t.Slow > 0 {
 		work *= t.Slow
 	}
@@ -440,14 +441,14 @@
 		work /= 1 - min(t.Neighbour, 0.95)
 	}
 	if j.Op == nodewire.Read && o.RecentItems > 0 {
-		for _, item := range n.recent {
+		for _, item := range n.recentItems {
 			if item == j.Item {
 				work *= o.RecentPart
 				break
 			}
 		}
-		n.recent = append(n.recent, j.Item)
-		n.recent = n.recent[max(0, len(n.recent)-o.RecentItems):]
+		n.recentItems = append(n.recentItems, j.Item)
+		n.recentItems = n.recentItems[max(0, len(n.recentItems)-o.RecentItems):]
 	}
 	if j.Op == nodewire.Write {
 		return time.Duration(work * (1 - o.PutOff)), time.Duration(work * o.PutOff)
@@ -455,8 +456,8 @@
 	return time.Duration(work), 0
 }
 
-// run carries the operation out.
-func (n *Node) run(j *job) *nodewire.Answer {
+// execute carries out the request's operation on the disk.
+func (n *Node) execute(j *job) *nodewire.Answer {
 	d := n.opt.Disk
 	switch j.Op {
 	case nodewire.Read:
@@ -470,11 +471,11 @@
 		}
 		return &nodewire.Answer{Payload: p[j.Offset : j.Offset+uint64(j.Length)]}
 	case nodewire.Write:
-		if err := d.take(j.Item, int64(len(j.Payload))); err != nil { // an item that is there takes no more
+		if err := d.reserve(j.Item, int64(len(j.Payload))); err != nil { // a repeated write of an item needs no more room
 			return &nodewire.Answer{Result: nodewire.NoRoom, Text: err.Error()}
 		}
-		if j.Key != "" && !d.once(j.Key, n.opt.KeyWindow) {
-			n.record(j, audit.Repeat, "")
+		if j.Key != "" && !d.recordKey(j.Key, n.opt.KeyWindow) {
+			n.writeRecord(j, audit.Repeat, "")
 			n.mu.Lock()
 			n.counts.Repeats++
 			n.mu.Unlock()
@@ -483,7 +484,7 @@
 		if err := d.Write(j.Item, j.Payload); err != nil {
 			return &nodewire.Answer{Result: nodewire.Error, Text: err.Error()}
 		}
-		n.record(j, audit.Effect, "")
+		n.writeRecord(j, audit.Effect, "")
 		return &nodewire.Answer{}
 	default:
 		d.Delete(j.Item)
@@ -491,33 +492,35 @@
 	}
 }
 
+// resultNames are the results of answers as audit.Record.Result has them, by nodewire.Result.
 var resultNames = [...]string{"done", "error", "busy", "missing", "no room"}
 
-// space is what a load report says of the disk.
-func (n *Node) space() (used, capacity uint64) {
+// diskSpace returns the bytes used and the capacity for a load report.
+func (n *Node) diskSpace() (used, capacity uint64) {
 	u, c := n.opt.Disk.Space()
 	return uint64(max(0, u)), uint64(max(0, c))
 }
 
-// answer writes the answer with the node's load report.
-func (n *Node) answer(j *job, a *nodewire.Answer) {
+// sendAnswer adds the node's load report and the volume's use to an answer and writes it.
+func (n *Node) sendAnswer(j *job, a *nodewire.Answer) {
 	n.mu.Lock()
 	if a.Result == nodewire.Done {
 		n.counts.Done++
 		units := float64(j.MilliUnits) / 1000
-		if a.VolumeUse = n.opt.Meter.serve(j.Volume, units); a.VolumeUse > 0 {
-			a.OthersMilli = n.others(j.Volume, j.conn.gateway, units)
+		if a.VolumeUse = n.opt.Meter.record(j.Volume, units); a.VolumeUse > 0 {
+			a.OthersMilli = n.servedByOthers(j.Volume, j.conn.gateway, units)
 		}
 	}
 	a.ID, a.Shard = j.ID, int32(n.opt.Shard)
 	a.Queue, a.LatencyUs = uint32(n.waiting), uint32(n.latency.Microseconds())
-	a.Used, a.Capacity = n.space()
+	a.Used, a.Capacity = n.diskSpace()
 	n.mu.Unlock()
-	n.record(j, audit.End, resultNames[a.Result])
+	n.writeRecord(j, audit.End, resultNames[a.Result])
 	j.conn.write(a)
 }
 
-func (n *Node) record(j *job, what audit.What, result string) {
+// writeRecord writes an audit record about a request.
+func (n *Node) writeRecord(j *job, what audit.What, result string) {
 	n.opt.Trace.Put(audit.Record{What: what, Node: n.opt.ID, Shard: n.opt.Shard, Zone: n.opt.Zone,
 		Gateway: j.conn.gateway, Conn: j.conn.id, Ref: j.Ref, Attempt: int(j.Attempt), Class: j.Class,
 		Volume: j.Volume, Item: j.Item, Key: j.Key, Units: float64(j.MilliUnits) / 1000,
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -13,35 +13,35 @@
 	"time"
 )
 
-// HTTPNode is a storage node of the platform, as a script: it reads requests with net/http, not with the
-// parser that is tested against it, and writes what the script says, byte by byte.
+// HTTPNode is a stand-in of a storage node of the platform. A script answers its requests: it reads them with
+// net/http, not with the parser that is tested against it, and writes the script's replies unchanged.
 type HTTPNode struct {
 	ln net.Listener
 
-	mu    sync.Mutex
-	seen  []Seen
-	conns map[net.Conn]bool
-	came  *sync.Cond
-	ended bool
+	mu      sync.Mutex
+	seen    []Seen
+	conns   map[net.Conn]bool
+	changed *sync.Cond // signals changes of seen and conns
+	closed  bool
 }
 
-// Seen is one request that came whole.
+// Seen is one request that was read completely.
 type Seen struct {
 	Method, Target, ID, Key, Left string
 	Body                          string
 	Conn                          int // number of the connection, from 1
 }
 
-// Reply is what the script does with a request: Text is written as it is, then Then is done.
+// Reply is a script's reply to a request. Text is written unchanged, then Then is called.
 type Reply struct {
 	Text string
-	Then func(net.Conn) // nil: the connection goes on
+	Then func(net.Conn) // nil: the connection stays open
 }
 
-// Served is a good answer with a body.
+// Served returns the text of an answer of status 200 with a body and header fields.
 func Served(body string, fields ...string) string { return Answer(200, body, fields...) }
 
-// Answer is an answer with a status.
+// Answer returns the text of an answer with a status, a body and header fields.
 func Answer(status int, body string, fields ...string) string {
 	head := ""
 	for _, f := range fields {
@@ -50,20 +50,20 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), head, body)
 }
 
-// Hang closes a connection as a process that dies does, with a reset.
+// Hang closes a connection with a reset, as the death of the node's process does.
 func Hang(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
-// NewHTTPNode starts a node; script is called for each request, on its connection's goroutine.
+// NewHTTPNode starts a node. script is called for each request, on the goroutine of its connection.
 func NewHTTPNode(script func(Seen) Reply) (*HTTPNode, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("stand-in node: %w", err)
 	}
 	n := &HTTPNode{ln: ln, conns: map[net.Conn]bool{}}
-	n.came = sync.NewCond(&n.mu)
+	n.changed = sync.NewCond(&n.mu)
 	go func() {
 		for i := 1; ; i++ {
 			c, err := ln.Accept()
@@ -72,7 +72,7 @@
 			}
 			n.mu.Lock()
 			n.conns[c] = true
-			if n.ended {
+			if n.closed {
 				_ = c.Close()
 			}
 			n.mu.Unlock()
@@ -87,7 +87,7 @@
 		_ = c.Close()
 		n.mu.Lock()
 		delete(n.conns, c)
-		n.came.Broadcast()
+		n.changed.Broadcast()
 		n.mu.Unlock()
 	}()
 	r := bufio.NewReader(c)
@@ -104,7 +104,7 @@
 			req.Header.Get("Request-Timeout-Ms"), string(body), number}
 		n.mu.Lock()
 		n.seen = append(n.seen, s)
-		n.came.Broadcast()
+		n.changed.Broadcast()
 		n.mu.Unlock()
 		reply := script(s)
 		if _, err := io.WriteString(c, reply.Text); err != nil {
@@ -116,66 +116,66 @@
 	}
 }
 
-// Addr is where the node listens.
+// Addr returns the address at which the node listens.
 func (n *HTTPNode) Addr() string { return n.ln.Addr().String() }
 
-// Seen waits until so many requests have come whole, and returns them.
+// Seen waits until at least this many requests were read completely, and returns all of them.
 func (n *HTTPNode) Seen(atLeast int) []Seen {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for len(n.seen) < atLeast {
-		n.came.Wait()
+		n.changed.Wait()
 	}
 	return append([]Seen(nil), n.seen...)
 }
 
-// Alone waits until no more than so many connections are open.
+// Alone waits until at most this many connections are open.
 func (n *HTTPNode) Alone(atMost int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for len(n.conns) > atMost {
-		n.came.Wait()
+		n.changed.Wait()
 	}
 }
 
-// Close ends the node and its connections.
+// Close stops the node and closes its connections.
 func (n *HTTPNode) Close() {
 	_ = n.ln.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.closed = true
 	for c := range n.conns {
 		_ = c.Close()
 	}
 }
 
-// Agent is the platform's discovery, as a script.
+// Agent is a stand-in of the platform's discovery agent, driven by a test.
 type Agent struct {
 	ln      net.Listener
 	watches chan Watch
 	greet   func(Watch)
 }
 
-// Watch is one connection on which the list was asked for: a watch, or the whole list once.
+// Watch is one connection with a request for the node list: a watch, or a single request for the whole list.
 type Watch struct {
 	From  uint64
 	Whole bool
 	Conn  net.Conn
 }
 
-// Line sends one line as a chunk; an empty one is a beat.
+// Line sends one line as a chunk. An empty line is a heartbeat.
 func (w Watch) Line(text string) { w.Chunk(text + "\n") }
 
 // Chunk sends a text as a chunk.
 func (w Watch) Chunk(text string) { fmt.Fprintf(w.Conn, "%x\r\n%s\r\n", len(text), text) }
 
-// Head sends the answer's head.
+// Head sends the answer's status line and header.
 func (w Watch) Head() {
 	_, _ = io.WriteString(w.Conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// Greet is what an agent does with each connection unless a test says otherwise: a watch gets its first object,
-// which says that nothing has changed; to who asks for the whole list the test sends it.
+// Greet is the default start of an answer. It sends the header and, on a watch, a first object without changes.
+// The whole list is sent by the test.
 func Greet(w Watch) {
 	w.Head()
 	if !w.Whole {
@@ -183,10 +183,10 @@
 	}
 }
 
-// NewAgent starts discovery at an address; empty: any.
+// NewAgent starts an agent at an address; empty: any loopback port.
 func NewAgent(addr string) (*Agent, error) { return NewAgentWith(addr, Greet) }
 
-// NewAgentWith has greet begin each answer.
+// NewAgentWith starts an agent like NewAgent whose answers are begun by greet.
 func NewAgentWith(addr string, greet func(Watch)) (*Agent, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -221,47 +221,47 @@
 	a.watches <- w
 }
 
-// Next waits for the next connection.
+// Next waits for the next request and returns its connection.
 func (a *Agent) Next() Watch { return <-a.watches }
 
-// Addr is where discovery listens.
+// Addr returns the address at which the agent listens.
 func (a *Agent) Addr() string { return a.ln.Addr().String() }
 
-// Close takes no more watches; those that are open stay.
+// Close stops accepting connections. Open ones stay open.
 func (a *Agent) Close() { _ = a.ln.Close() }
 
-// Target is one entry of the list as JSON.
+// Target returns one entry of the node list as JSON.
 func Target(uid, endpoint string, shard int, state string, bootMS int64) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":%d,"state":%q,"capacity_hint":1.0,"boot_ms":%d}`,
 		uid, endpoint, shard, state, bootMS)
 }
 
-// List is one object of the watch.
+// List returns one object of a watch, or the whole list, as JSON.
 func List(rev uint64, all bool, targets ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":%v,"targets":[%s]}`, rev, all, strings.Join(targets, ","))
 }
 
-// Log is a log that tests look into.
+// Log is an io.Writer for a logger whose output a test inspects.
 type Log struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-// Write takes a line.
+// Write appends to the log.
 func (l *Log) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.Write(p)
 }
 
-// Text is what the log holds.
+// Text returns the log's content.
 func (l *Log) Text() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.b.String()
 }
 
-// Has waits until the log holds a text.
+// Has waits until the log contains a text.
 func (l *Log) Has(text string) {
 	for {
 		l.mu.Lock()
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -14,7 +14,7 @@
 	"eiderhold/internal/register"
 )
 
-// Register plays the register: a versioned node list over Server-Sent Events.
+// Register is a stand-in of the register. It sends a versioned node list over Server-Sent Events.
 type Register struct {
 	ln     net.Listener
 	server *http.Server
@@ -23,28 +23,31 @@
 	mu      sync.Mutex
 	version uint64
 	nodes   map[string]register.Entry
-	history []change // of the last versions, to resume from
-	subs    map[*sub]bool
-	shares  []byte        // solution handed out; nil: none
-	down    bool          // answers nothing
-	late    time.Duration // news reach gateways so much later
+	history []change // the last changes, from which streams resume
+	subs    map[*subscriber]bool
+	shares  []byte        // the solution sent to gateways; nil: none
+	down    bool          // answers 503 and has no streams
+	delay   time.Duration // time by which changes are held back
 }
 
+// change is one version of the node list.
 type change struct {
 	version uint64
 	entry   register.Entry
 	at      time.Time
 }
 
-type sub struct {
+// subscriber is one open stream of the register or the authority.
+type subscriber struct {
 	gateway string
-	bell    chan struct{}
-	cut     chan struct{}
+	notify  chan struct{}
+	dropped chan struct{}
 }
 
-const history = 1000 // changes that a gateway may be behind before it gets the whole list
+// maxHistory is the number of changes that a gateway may be behind before it gets the whole list.
+const maxHistory = 1000
 
-// StartRegister listens at an address; 127.0.0.1:0 if empty.
+// StartRegister starts a register that listens at an address; 127.0.0.1:0 if empty.
 func StartRegister(listen string, trace *audit.Writer) (*Register, error) {
 	if listen == "" {
 		listen = "127.0.0.1:0"
@@ -53,28 +56,28 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in register: %w", err)
 	}
-	r := &Register{ln: ln, trace: trace, version: 1, nodes: map[string]register.Entry{}, subs: map[*sub]bool{}}
+	r := &Register{ln: ln, trace: trace, version: 1, nodes: map[string]register.Entry{}, subs: map[*subscriber]bool{}}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /nodes", r.serve)
+	mux.HandleFunc("GET /nodes", r.serveStream)
 	r.server = &http.Server{Handler: mux}
 	go r.server.Serve(ln)
 	return r, nil
 }
 
-// URL is where gateways find the stream.
+// URL returns the URL of the node list's stream.
 func (r *Register) URL() string { return "http://" + r.ln.Addr().String() + "/nodes" }
 
-// Close ends the register.
+// Close stops the register and closes its streams.
 func (r *Register) Close() { r.server.Close() }
 
-// Version is that of the list.
+// Version returns the version of the node list.
 func (r *Register) Version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version
 }
 
-// Set books one entry and tells all who listen.
+// Set adds, replaces or (state gone) removes one entry and sends the change to all streams.
 func (r *Register) Set(e register.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -85,30 +88,29 @@
 		r.nodes[e.ID] = e
 	}
 	r.history = append(r.history, change{r.version, e, time.Now()})
-	r.history = r.history[max(0, len(r.history)-history):]
-	r.ring()
+	r.history = r.history[max(0, len(r.history)-maxHistory):]
+	r.notifyAll()
 }
 
-// ring wakes all streams; the lock is held.
-func (r *Register) ring() {
+// notifyAll wakes all streams. The caller holds r.mu.
+func (r *Register) notifyAll() {
 	for s := range r.subs {
 		select {
-		case s.bell <- struct{}{}:
+		case s.notify <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// SetShares hands a solution out to all who listen, and to all who come. Whether it is a
-// good one the register does not ask.
+// SetShares sends a solution to all present and later streams, without checking it.
 func (r *Register) SetShares(b []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.shares = b
-	r.ring()
+	r.notifyAll()
 }
 
-// sharesAfter is the solution handed out, if it is another one than the last.
+// sharesAfter returns the present solution, or nil if it is the one that a stream sent last.
 func (r *Register) sharesAfter(last []byte) []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,36 +120,37 @@
 	return r.shares
 }
 
-// Down makes the register answer nothing and drop its streams, or come back.
+// Down makes the register drop its streams and answer 503, or serve again.
 func (r *Register) Down(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
 	if down {
 		for s := range r.subs {
-			close(s.cut)
+			close(s.dropped)
 			delete(r.subs, s)
 		}
 	}
 }
 
-// Late makes news reach gateways so much later.
+// Late holds changes back for a duration before they are sent.
 func (r *Register) Late(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.late = d
-	r.ring()
+	r.delay = d
+	r.notifyAll()
 }
 
-// Forget drops the history: who resumes gets the whole list.
+// Forget drops the history, so that a gateway that resumes gets the whole list.
 func (r *Register) Forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = nil
 }
 
-func (r *Register) serve(w http.ResponseWriter, req *http.Request) {
-	s := &sub{gateway: req.URL.Query().Get("gateway"), bell: make(chan struct{}, 1), cut: make(chan struct{})}
+// serveStream serves one stream. It records each entry that it sends.
+func (r *Register) serveStream(w http.ResponseWriter, req *http.Request) {
+	s := &subscriber{gateway: req.URL.Query().Get("gateway"), notify: make(chan struct{}, 1), dropped: make(chan struct{})}
 	r.mu.Lock()
 	if r.down {
 		r.mu.Unlock()
@@ -165,33 +168,33 @@
 	rc := http.NewResponseController(w)
 	seen := uint64(0)
 	fmt.Sscan(req.Header.Get("Last-Event-ID"), &seen)
-	beat := time.NewTicker(time.Second)
-	defer beat.Stop()
-	told := map[string]register.Entry{} // what this gateway has been told, for the record
+	heartbeat := time.NewTicker(time.Second)
+	defer heartbeat.Stop()
+	listed := map[string]register.Entry{} // node id -> entry last sent on this stream, for the audit records
 	var shares []byte
 	for {
 		for {
-			event, doc, more := r.next(&seen)
+			event, doc, more := r.nextEvent(&seen)
 			if event == "" {
 				break
 			}
-			news := doc.Nodes
-			if event == "full" { // what it does not name is gone
-				left := map[string]bool{}
+			entries := doc.Nodes
+			if event == "full" { // nodes that the full list does not name are gone
+				named := map[string]bool{}
 				for _, e := range doc.Nodes {
-					left[e.ID] = true
+					named[e.ID] = true
 				}
-				for id, e := range told {
-					if !left[id] {
+				for id, e := range listed {
+					if !named[id] {
 						e.State = "gone"
-						news = append(news, e)
+						entries = append(entries, e)
 					}
 				}
 			}
-			for _, e := range news {
-				told[e.ID] = e
+			for _, e := range entries {
+				listed[e.ID] = e
 				if e.State == "gone" {
-					delete(told, e.ID)
+					delete(listed, e.ID)
 				}
 				r.trace.Put(audit.Record{What: audit.Told, Gateway: s.gateway, Node: e.ID, Shard: e.Shard,
 					Zone: e.Zone, State: e.State, Started: e.StartedMS * 1e6, Text: event})
@@ -213,13 +216,13 @@
 		if rc.Flush() != nil {
 			return
 		}
-		wait := r.untilNext(seen)
+		wait := r.nextDue(seen)
 		select {
-		case <-s.bell:
+		case <-s.notify:
 		case <-wait:
-		case <-beat.C:
+		case <-heartbeat.C:
 			fmt.Fprint(w, ":\n\n")
-		case <-s.cut:
+		case <-s.dropped:
 			return
 		case <-req.Context().Done():
 			return
@@ -227,20 +230,21 @@
 	}
 }
 
-// untilNext fires when a change that is being held back is due.
-func (r *Register) untilNext(seen uint64) <-chan time.Time {
+// nextDue returns a channel that receives when the first change after a version is due, or nil if there is none.
+func (r *Register) nextDue(seen uint64) <-chan time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range r.history {
 		if c.version > seen {
-			return time.After(max(time.Millisecond, time.Until(c.at.Add(r.late))))
+			return time.After(max(time.Millisecond, time.Until(c.at.Add(r.delay))))
 		}
 	}
 	return nil
 }
 
-// next is what comes after the version seen: the next change, or the whole list.
-func (r *Register) next(seen *uint64) (event string, doc register.Document, more bool) {
+// nextEvent returns the event that follows the version seen, and advances it: the next change, or the whole list.
+// The event is empty if there is none yet.
+func (r *Register) nextEvent(seen *uint64) (event string, doc register.Document, more bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if *seen == r.version {
@@ -249,7 +253,7 @@
 	if *seen != 0 && len(r.history) > 0 && r.history[0].version <= *seen+1 {
 		for _, c := range r.history {
 			if c.version == *seen+1 {
-				if time.Since(c.at) < r.late {
+				if time.Since(c.at) < r.delay {
 					return "", doc, false
 				}
 				*seen = c.version
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -13,29 +13,29 @@
 	"eiderhold/internal/register"
 )
 
-// Site is a register and the nodes that it lists.
+// Site is a stand-in register with the stand-in nodes that it lists.
 type Site struct {
 	Register *Register
 
-	mu    sync.Mutex
-	nodes map[string]*Node
-	opt   map[string]NodeOptions
-	disks map[int]*Disk
-	dir   string
-	trace *audit.Writer
+	mu      sync.Mutex
+	nodes   map[string]*Node
+	options map[string]NodeOptions
+	disks   map[int]*Disk
+	dir     string
+	trace   *audit.Writer
 }
 
-// StartSite starts a site without nodes. dir keeps the shards' items; empty: memory.
+// StartSite starts a site without nodes. The shards' items are kept in dir; if it is empty, in memory.
 func StartSite(dir string, trace *audit.Writer) (*Site, error) {
 	reg, err := StartRegister("", trace)
 	if err != nil {
 		return nil, err
 	}
-	return &Site{Register: reg, nodes: map[string]*Node{}, opt: map[string]NodeOptions{}, disks: map[int]*Disk{},
+	return &Site{Register: reg, nodes: map[string]*Node{}, options: map[string]NodeOptions{}, disks: map[int]*Disk{},
 		dir: dir, trace: trace}, nil
 }
 
-// Disk is that of a shard.
+// Disk returns a shard's disk and opens it if necessary.
 func (s *Site) Disk(shard int) (*Disk, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -53,7 +53,7 @@
 	return d, err
 }
 
-// Add starts a node on its shard's disk and lists it.
+// Add starts a node on its shard's disk and announces it as ready.
 func (s *Site) Add(opt NodeOptions) (*Node, error) {
 	disk, err := s.Disk(opt.Shard)
 	if err != nil {
@@ -65,12 +65,13 @@
 		return nil, err
 	}
 	s.mu.Lock()
-	s.nodes[opt.ID], s.opt[opt.ID] = n, opt
+	s.nodes[opt.ID], s.options[opt.ID] = n, opt
 	s.mu.Unlock()
 	s.announce(opt, n, "ready")
 	return n, nil
 }
 
+// announce sets a node's entry in the register.
 func (s *Site) announce(opt NodeOptions, n *Node, state string) {
 	e := register.Entry{ID: opt.ID, Addr: n.Addr(), Zone: opt.Zone, Shard: opt.Shard, State: state, Size: cmp.Or(opt.Size, 1)}
 	if !opt.Started.IsZero() {
@@ -79,25 +80,25 @@
 	s.Register.Set(e)
 }
 
-// Node finds a running node.
+// Node returns a node by its id, or nil.
 func (s *Site) Node(id string) *Node {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.nodes[id]
 }
 
-// IDs are the nodes that are running, in order of their names.
+// IDs returns the ids of all nodes that were not removed, sorted.
 func (s *Site) IDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Sorted(maps.Keys(s.nodes))
 }
 
-// Zone are the running nodes of a zone, in order of their names.
+// Zone returns the ids of a zone's nodes that were not removed, sorted.
 func (s *Site) Zone(zone string) (ids []string) {
 	for _, id := range s.IDs() {
 		s.mu.Lock()
-		if s.opt[id].Zone == zone {
+		if s.options[id].Zone == zone {
 			ids = append(ids, id)
 		}
 		s.mu.Unlock()
@@ -105,37 +106,36 @@
 	return ids
 }
 
-// State announces a node's state. A draining one still serves until it is told to
-// Drain.
+// State announces a state of a node. The node itself does not change: one announced as draining serves until
+// Node.Drain or Remove.
 func (s *Site) State(id, state string) {
 	s.mu.Lock()
-	opt, n := s.opt[id], s.nodes[id]
+	opt, n := s.options[id], s.nodes[id]
 	s.mu.Unlock()
 	if n != nil {
 		s.announce(opt, n, state)
 	}
 }
 
-// Return starts a node that was closed again, on its shard's disk, cold and under its old
-// name, and announces it.
+// Return starts a node again that was closed. It is cold, has the same id and shard, and is announced as ready.
 func (s *Site) Return(id string) error {
 	s.mu.Lock()
-	opt, ok := s.opt[id]
+	opt, ok := s.options[id]
 	s.mu.Unlock()
 	if !ok {
-		return fmt.Errorf("stand-in site: no node %q to come back", id)
+		return fmt.Errorf("stand-in site: no node %q to start again", id)
 	}
 	opt.Started, opt.Listen = time.Now(), ""
 	_, err := s.Add(opt)
 	return err
 }
 
-// Remove announces a node as gone and ends it.
+// Remove announces a node as gone and closes it.
 func (s *Site) Remove(id string) {
 	s.mu.Lock()
-	opt, n := s.opt[id], s.nodes[id]
+	opt, n := s.options[id], s.nodes[id]
 	delete(s.nodes, id)
-	delete(s.opt, id)
+	delete(s.options, id)
 	s.mu.Unlock()
 	if n != nil {
 		s.announce(opt, n, "gone")
@@ -143,11 +143,11 @@
 	}
 }
 
-// Replace rolls a node: it drains for the grace, then goes, and a successor with a
-// new id takes its shard, cold.
+// Replace replaces a node as a rolling deployment does. The node is announced as draining, a cold successor with
+// a new id starts on its shard, and after the grace the node is removed.
 func (s *Site) Replace(id, next string, grace time.Duration, wait func(time.Duration)) (*Node, error) {
 	s.mu.Lock()
-	opt, ok := s.opt[id]
+	opt, ok := s.options[id]
 	s.mu.Unlock()
 	if !ok {
 		return nil, fmt.Errorf("stand-in site: no node %q to replace", id)
@@ -163,7 +163,7 @@
 	return n, nil
 }
 
-// Close ends all.
+// Close closes all nodes and the register.
 func (s *Site) Close() {
 	s.mu.Lock()
 	nodes := s.nodes
