--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -1,6 +1,6 @@
-// Package rehearsal plays a scripted day: stand-in nodes and a register, gateways as
-// processes of their own, scripted rsync clients and troubles, and afterwards the audit
-// of what went over the sockets. eiderhold rehearse runs it.
+// Package rehearsal runs a scripted day: stand-in nodes and a stand-in register in this process, each gateway as
+// a process of its own, scripted rsync clients and troubles (faults), and afterwards an audit of the recorded
+// traffic. The command eiderhold rehearse uses it.
 package rehearsal
 
 import (
@@ -16,49 +16,48 @@
 	"eiderhold/shares"
 )
 
-// Day is a script.
+// Day is the script of a rehearsal, a TOML file.
 type Day struct {
-	Name     string          `toml:"name" comment:"For the report."`
-	Seed     int64           `toml:"seed" comment:"Of all that is drawn: arrivals, sizes, work, troubles."`
-	Lasts    config.Duration `toml:"lasts" comment:"Time of the load. Setting up and ending come on top."`
-	Site     Site            `toml:"site" comment:"The storage nodes; each holds a shard of its own."`
-	Gateways Gateways        `toml:"gateways" comment:"The gateways, each a process of its own with its own catalogue."`
-	Loads    []Load          `toml:"load" comment:"Clients: open loops with exponential gaps, spread over the gateways."`
-	Shares   Shares          `toml:"shares" comment:"Worth counted by share, and shares told in advance."`
-	Troubles []Trouble       `toml:"trouble" comment:"What goes wrong, when."`
+	Name     string          `toml:"name" comment:"Name in the report."`
+	Seed     int64           `toml:"seed" comment:"Seed of all random choices: arrivals, contents, work, faults."`
+	Lasts    config.Duration `toml:"lasts" comment:"Duration of the load, without set-up and shutdown."`
+	Site     Site            `toml:"site" comment:"The storage nodes; each holds its own shard."`
+	Gateways Gateways        `toml:"gateways" comment:"The gateways, each its own process with its own catalogue."`
+	Loads    []Load          `toml:"load" comment:"Clients: open loops with exponential inter-arrival times, spread over the gateways."`
+	Shares   Shares          `toml:"shares" comment:"Shares of volumes by which worth is counted, and whether gateways get them from the register."`
+	Troubles []Trouble       `toml:"trouble" comment:"Faults and load changes, with their times."`
 }
 
-// Site describes the nodes.
+// Site describes the storage nodes.
 type Site struct {
-	Nodes        int             `toml:"nodes" comment:"How many, each with a shard."`
-	Zones        int             `toml:"zones" comment:"In how many zones, in turn: zone-0 and on; 0: none are told."`
-	DiskBytes    int64           `toml:"disk_bytes" comment:"What a shard can hold; 0: any number, and none is told."`
-	Cores        int             `toml:"cores" comment:"Requests that a node serves at a time."`
-	UnitTime     config.Duration `toml:"unit_time" comment:"Work of one unit on one core."`
-	Queue        int             `toml:"queue" comment:"Requests waiting at a node before it turns them away."`
-	ColdFor      config.Duration `toml:"cold_for" comment:"A node that started is warm after it."`
-	ColdCapacity float64         `toml:"cold_capacity" comment:"Part of its speed at the start."`
-	FallMultiple float64         `toml:"fall_multiple" comment:"Cold and sent more than so many times its speed, it falls over ..."`
-	FallSpan     config.Duration `toml:"fall_span" comment:"... counted over so long ..."`
-	ColdBears    float64         `toml:"cold_bears" comment:"... though so many units are borne in any case ..."`
-	DownFor      config.Duration `toml:"down_for" comment:"... and takes no connection for so long."`
-	RecentItems  int             `toml:"recent_items" comment:"The last items read cost less: how many."`
-	RecentPart   float64         `toml:"recent_part" comment:"And what part of the work they cost."`
+	Nodes        int             `toml:"nodes" comment:"Number of nodes, each with a shard."`
+	Zones        int             `toml:"zones" comment:"Number of zones, to which nodes are assigned in turn: zone-0, zone-1, ...; 0: nodes have no zone."`
+	DiskBytes    int64           `toml:"disk_bytes" comment:"Capacity of a shard in bytes; 0: unlimited, and nodes report no capacity."`
+	Cores        int             `toml:"cores" comment:"Requests that a node serves at the same time."`
+	UnitTime     config.Duration `toml:"unit_time" comment:"Time that one unit takes on one core."`
+	Queue        int             `toml:"queue" comment:"Requests that may wait at a node; it refuses further ones as busy."`
+	ColdFor      config.Duration `toml:"cold_for" comment:"Time after its start until a node is warm."`
+	ColdCapacity float64         `toml:"cold_capacity" comment:"Part of its full speed that a node has at its start."`
+	FallMultiple float64         `toml:"fall_multiple" comment:"A cold node goes down if it is sent more than this many times its present capacity ..."`
+	FallSpan     config.Duration `toml:"fall_span" comment:"... within this time ..."`
+	ColdBears    float64         `toml:"cold_bears" comment:"... and more than this many units ..."`
+	DownFor      config.Duration `toml:"down_for" comment:"... and accepts no connection for this time."`
+	RecentItems  int             `toml:"recent_items" comment:"Number of most recently read items that cost less to read."`
+	RecentPart   float64         `toml:"recent_part" comment:"Part of the work that reading one of them takes."`
 	PutOff       float64         `toml:"put_off" comment:"Part of a write's work that is done after its answer."`
 }
 
-// Gateways describes the gateways.
+// Gateways describes the gateway processes.
 type Gateways struct {
-	Count    int    `toml:"count" comment:"Processes."`
-	Settings string `toml:"settings" comment:"TOML laid over their settings (see eiderhold config default)."`
+	Count    int    `toml:"count" comment:"Number of processes."`
+	Settings string `toml:"settings" comment:"TOML that is merged over the default settings (see eiderhold config default)."`
 }
 
-// Shares is how worth is counted where volumes have shares, and what gateways are told of
-// them.
+// Shares says how worth is counted for volumes with shares, and which shares the register sends to gateways.
 type Shares struct {
-	Problem string  `toml:"problem" comment:"As eiderhold shares solve reads it; nodes are node-0 and on, volumes the modules. Empty: worth is counted without shares."`
-	Told    string  `toml:"told" comment:"none; right: the register hands the solution out; wrong: with the shares of a third of the volumes off."`
-	Off     float64 `toml:"off" comment:"wrong: how many times too large or, of every other one, too small."`
+	Problem string  `toml:"problem" comment:"A problem as eiderhold shares solve reads it; its nodes are node-0, node-1, ..., its volumes the modules. Empty: worth is counted without shares."`
+	Told    string  `toml:"told" comment:"none; right: the register sends the solution; wrong: it sends the solution with wrong shares for a third of the volumes."`
+	Off     float64 `toml:"off" comment:"With wrong: the factor by which they are too large and too small in turn."`
 }
 
 // The values of Shares.Told.
@@ -68,33 +67,33 @@
 	ToldWrong = "wrong"
 )
 
-// Load is one kind of client.
+// Load describes one kind of client and its rate of transfers.
 type Load struct {
-	Name    string          `toml:"name" comment:"For troubles to name."`
-	Kind    string          `toml:"kind" comment:"pull: one file of the prepared ones; push: one new file."`
-	Module  string          `toml:"module" comment:"Of the gateways' settings."`
-	Rate    float64         `toml:"rate" comment:"Transfers a second over all gateways."`
-	Bytes   int             `toml:"bytes" comment:"Of a file."`
-	Files   int             `toml:"files" comment:"Files prepared at each gateway, for pulls."`
-	Timeout config.Duration `toml:"timeout" comment:"The client's --timeout, whole seconds."`
-	AtOnce  int             `toml:"at_once" comment:"Transfers of this load at a time; more arrivals are dropped and counted."`
+	Name    string          `toml:"name" comment:"Name, to which the target of a trouble refers."`
+	Kind    string          `toml:"kind" comment:"pull: a transfer gets one of the prepared files; push: it sends one new file."`
+	Module  string          `toml:"module" comment:"A module of the gateways' settings."`
+	Rate    float64         `toml:"rate" comment:"Transfers a second through all gateways."`
+	Bytes   int             `toml:"bytes" comment:"Size of a file."`
+	Files   int             `toml:"files" comment:"Number of files prepared at each gateway, for pulls."`
+	Timeout config.Duration `toml:"timeout" comment:"The client's --timeout, in whole seconds."`
+	AtOnce  int             `toml:"at_once" comment:"Maximum of concurrent transfers of this load; further arrivals are dropped and counted."`
 }
 
-// Trouble is one thing that goes wrong.
+// Trouble is one fault or change of load during the day.
 type Trouble struct {
 	Kind   string          `toml:"kind" comment:"One of: burst, deploy, hang, vanish, slow, heavy_tail, neighbour, pauses, fast_errors, discovery_down, discovery_stale, reconnect, balancer_stall, answer_lost, give_up, kill, rack, disk_full, small_disk."`
-	At     config.Duration `toml:"at" comment:"From the start of the load."`
-	For    config.Duration `toml:"for" comment:"How long; 0s: once, or to the end. Nodes that vanish, alone or with their rack, come back cold after it."`
-	Target string          `toml:"target" comment:"A node as node-3, a zone (rack) as zone-0, a gateway as gateway-2, a load's name; empty: all."`
-	Amount float64         `toml:"amount" comment:"burst, slow: times as much; heavy_tail, neighbour, fast_errors, answer_lost, give_up: part; deploy: seconds between nodes; small_disk: part of its disk that a shard is left."`
-	Times  float64         `toml:"times" comment:"heavy_tail: times the work; pauses: milliseconds each."`
+	At     config.Duration `toml:"at" comment:"Time since the start of the load."`
+	For    config.Duration `toml:"for" comment:"Duration; 0s: once, or to the end of the day. Nodes that vanish, alone or with their rack, start again cold after it."`
+	Target string          `toml:"target" comment:"A node as node-3, a zone (rack) as zone-0, a gateway as gateway-2, or a load's name; empty: all."`
+	Amount float64         `toml:"amount" comment:"burst, slow: factor; heavy_tail, neighbour, fast_errors, answer_lost, give_up: part; pauses: pauses a second; discovery_stale: delay in seconds; deploy: seconds between nodes; small_disk: part of its capacity that a shard keeps."`
+	Times  float64         `toml:"times" comment:"heavy_tail: factor of the work; pauses: milliseconds of each pause."`
 }
 
-// Kinds are the troubles that can be played.
+// Kinds lists the kinds of trouble.
 var Kinds = []string{"burst", "deploy", "hang", "vanish", "slow", "heavy_tail", "neighbour", "pauses", "fast_errors",
 	"discovery_down", "discovery_stale", "reconnect", "balancer_stall", "answer_lost", "give_up", "kill", "rack", "disk_full", "small_disk"}
 
-// LoadDay reads and checks a script.
+// LoadDay reads and checks the script in a file.
 func LoadDay(file string) (*Day, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -103,7 +102,7 @@
 	return ParseDay(text, file)
 }
 
-// ParseDay reads and checks a script's text.
+// ParseDay parses and checks a script. Errors begin with name.
 func ParseDay(text []byte, name string) (*Day, error) {
 	d := &Day{}
 	if err := config.Strict(text, name, d); err != nil {
@@ -115,140 +114,143 @@
 	return d, nil
 }
 
-// Check names everything in a script that cannot be.
+// Check returns an error that names each invalid value of the script. It sets the defaults of Shares.
 func (d *Day) Check() error {
-	var bad []error
-	wrong := func(ok bool, format string, args ...any) {
+	var errs []error
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			bad = append(bad, fmt.Errorf(format, args...))
+			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	wrong(d.Lasts > 0 && d.Lasts.D() <= time.Hour, "lasts = %v: more than 0s, at most 1h", d.Lasts.D())
+	require(d.Lasts > 0 && d.Lasts.D() <= time.Hour, "lasts = %v: more than 0s, at most 1h", d.Lasts.D())
 	s := &d.Site
-	wrong(s.Nodes >= 1 && s.Nodes <= 1000, "site.nodes = %d: 1 to 1000", s.Nodes)
-	wrong(s.Zones >= 0 && s.Zones <= s.Nodes, "site.zones = %d: 0 to %d", s.Zones, s.Nodes)
-	wrong(s.DiskBytes >= 0, "site.disk_bytes = %d: not negative", s.DiskBytes)
-	wrong(s.Cores >= 1 && s.Queue >= 1, "site: cores and queue are at least 1")
-	wrong(s.UnitTime >= 0 && s.PutOff >= 0 && s.PutOff < 1, "site: unit_time is not negative, put_off is 0 to 1")
-	wrong(s.ColdFor == 0 || s.ColdCapacity > 0 && s.ColdCapacity <= 1, "site.cold_capacity = %v: more than 0, at most 1", s.ColdCapacity)
-	wrong(d.Gateways.Count >= 1 && d.Gateways.Count <= 50, "gateways.count = %d: 1 to 50", d.Gateways.Count)
+	require(s.Nodes >= 1 && s.Nodes <= 1000, "site.nodes = %d: 1 to 1000", s.Nodes)
+	require(s.Zones >= 0 && s.Zones <= s.Nodes, "site.zones = %d: 0 to %d", s.Zones, s.Nodes)
+	require(s.DiskBytes >= 0, "site.disk_bytes = %d: not negative", s.DiskBytes)
+	require(s.Cores >= 1 && s.Queue >= 1, "site: cores and queue are at least 1")
+	require(s.UnitTime >= 0 && s.PutOff >= 0 && s.PutOff < 1, "site: unit_time is not negative, put_off is 0 to 1")
+	require(s.ColdFor == 0 || s.ColdCapacity > 0 && s.ColdCapacity <= 1, "site.cold_capacity = %v: more than 0, at most 1", s.ColdCapacity)
+	require(d.Gateways.Count >= 1 && d.Gateways.Count <= 50, "gateways.count = %d: 1 to 50", d.Gateways.Count)
 	cfg, err := d.config("check", "http://127.0.0.1:1/nodes", "dir")
 	if err != nil {
-		bad = append(bad, fmt.Errorf("gateways.settings: %w", err))
+		errs = append(errs, fmt.Errorf("gateways.settings: %w", err))
 		cfg = config.Default()
 	}
-	bad = append(bad, d.Shares.check(d.Site.Nodes, cfg)...)
-	wrong(len(d.Loads) > 0, "no [[load]]: nothing would happen")
+	errs = append(errs, d.Shares.check(d.Site.Nodes, cfg)...)
+	require(len(d.Loads) > 0, "no [[load]]: at least one is needed")
 	names := map[string]bool{}
 	for i, l := range d.Loads {
 		at := fmt.Sprintf("load[%d] %q", i, l.Name)
-		wrong(l.Name != "" && !names[l.Name], "%s: name: each load has one of its own", at)
+		require(l.Name != "" && !names[l.Name], "%s: name: each load has one of its own", at)
 		names[l.Name] = true
-		wrong(l.Kind == "pull" || l.Kind == "push", "%s: kind = %q: pull or push", at, l.Kind)
-		wrong(l.Kind != "pull" || l.Files >= 1, "%s: files = %d: a pull needs prepared ones", at, l.Files)
-		wrong(l.Rate > 0 && l.Rate <= 10000 && l.Bytes >= 1 && l.AtOnce >= 1, "%s: rate, bytes and at_once are at least 1", at)
-		wrong(l.Timeout >= config.Duration(time.Second), "%s: timeout = %v: at least 1s", at, l.Timeout.D())
-		wrong(slices.ContainsFunc(cfg.Modules, func(m config.Module) bool { return m.Name == l.Module }),
+		require(l.Kind == "pull" || l.Kind == "push", "%s: kind = %q: pull or push", at, l.Kind)
+		require(l.Kind != "pull" || l.Files >= 1, "%s: files = %d: a pull needs prepared ones", at, l.Files)
+		require(l.Rate > 0 && l.Rate <= 10000 && l.Bytes >= 1 && l.AtOnce >= 1, "%s: rate, bytes and at_once are at least 1", at)
+		require(l.Timeout >= config.Duration(time.Second), "%s: timeout = %v: at least 1s", at, l.Timeout.D())
+		require(slices.ContainsFunc(cfg.Modules, func(m config.Module) bool { return m.Name == l.Module }),
 			"%s: module %q: the gateways have none of this name", at, l.Module)
 	}
 	for i, t := range d.Troubles {
-		bad = append(bad, d.checkTrouble(fmt.Sprintf("trouble[%d]", i), t, names)...)
+		errs = append(errs, d.checkTrouble(fmt.Sprintf("trouble[%d]", i), t, names)...)
 	}
-	return errors.Join(bad...)
+	return errors.Join(errs...)
 }
 
-func (d *Day) checkTrouble(at string, t Trouble, loads map[string]bool) (bad []error) {
-	wrong := func(ok bool, format string, args ...any) {
+// checkTrouble returns an error for each invalid value of a trouble. Each begins with at.
+func (d *Day) checkTrouble(at string, t Trouble, loads map[string]bool) (errs []error) {
+	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			bad = append(bad, fmt.Errorf(at+": "+format, args...))
+			errs = append(errs, fmt.Errorf(at+": "+format, args...))
 		}
 	}
 	if !slices.Contains(Kinds, t.Kind) {
 		return []error{fmt.Errorf("%s: kind = %q: one of %s", at, t.Kind, strings.Join(Kinds, ", "))}
 	}
-	wrong(t.At >= 0 && t.At < d.Lasts, "at = %v: within the %v that the day lasts", t.At.D(), d.Lasts.D())
-	wrong(t.For >= 0, "for = %v: not negative", t.For.D())
+	require(t.At >= 0 && t.At < d.Lasts, "at = %v: within the %v that the day lasts", t.At.D(), d.Lasts.D())
+	require(t.For >= 0, "for = %v: not negative", t.For.D())
 	for _, f := range []struct {
 		name   string
 		set    bool
-		usedBy string // kinds
+		usedBy string // kinds of trouble
 	}{
 		{"for", t.For != 0, "burst hang vanish slow heavy_tail neighbour pauses fast_errors discovery_down discovery_stale balancer_stall answer_lost give_up kill rack disk_full small_disk"},
 		{"target", t.Target != "", "burst hang vanish slow heavy_tail neighbour pauses fast_errors reconnect balancer_stall answer_lost give_up kill rack disk_full small_disk"},
 		{"amount", t.Amount != 0, "burst deploy slow heavy_tail neighbour pauses fast_errors discovery_stale answer_lost give_up small_disk"},
 		{"times", t.Times != 0, "heavy_tail pauses"},
 	} {
-		wrong(!f.set || slices.Contains(strings.Fields(f.usedBy), t.Kind), "%s: a %s does not use it: leave it out", f.name, t.Kind)
+		require(!f.set || slices.Contains(strings.Fields(f.usedBy), t.Kind), "%s: a %s does not use it: leave it out", f.name, t.Kind)
 	}
 	number := -1
 	switch t.Kind {
 	case "burst", "give_up":
-		wrong(t.Target == "" || loads[t.Target], "target = %q: a load's name", t.Target)
+		require(t.Target == "" || loads[t.Target], "target = %q: a load's name", t.Target)
 	case "balancer_stall", "kill":
 		_, err := fmt.Sscanf(t.Target, "gateway-%d", &number)
-		wrong(err == nil && number >= 1 && number <= d.Gateways.Count, "target = %q: gateway-1 to gateway-%d", t.Target, d.Gateways.Count)
-		wrong(t.For > 0, "for = %v: how long it stands still, or is down", t.For.D())
+		require(err == nil && number >= 1 && number <= d.Gateways.Count, "target = %q: gateway-1 to gateway-%d", t.Target, d.Gateways.Count)
+		require(t.For > 0, "for = %v: more than 0s, the time that it is stopped or down", t.For.D())
 	case "rack":
 		_, err := fmt.Sscanf(t.Target, "zone-%d", &number)
-		wrong(err == nil && number >= 0 && number < d.Site.Zones, "target = %q: a zone of the %d that site.zones says, as zone-0", t.Target, d.Site.Zones)
+		require(err == nil && number >= 0 && number < d.Site.Zones, "target = %q: one of the %d zones of site.zones, as zone-0", t.Target, d.Site.Zones)
 	case "discovery_down", "discovery_stale", "deploy":
-		wrong(t.Target == "", "target = %q: it is for all", t.Target)
+		require(t.Target == "", "target = %q: must be empty, it always affects all", t.Target)
 	default:
 		_, err := fmt.Sscanf(t.Target, "node-%d", &number)
-		wrong(t.Target == "" || err == nil && number >= 0 && number < d.Site.Nodes, "target = %q: node-0 to node-%d, or empty for all",
+		require(t.Target == "" || err == nil && number >= 0 && number < d.Site.Nodes, "target = %q: node-0 to node-%d, or empty for all",
 			t.Target, d.Site.Nodes-1)
 	}
 	switch t.Kind {
 	case "burst", "slow":
-		wrong(t.Amount > 0, "amount = %v: times as much, more than 0", t.Amount)
+		require(t.Amount > 0, "amount = %v: a factor, more than 0", t.Amount)
 	case "small_disk", "disk_full":
-		wrong(t.Kind == "disk_full" || t.Amount > 0 && t.Amount < 1, "amount = %v: a part, more than 0, less than 1", t.Amount)
-		wrong(d.Site.DiskBytes > 0, "site.disk_bytes = 0: a disk that holds any number of bytes is never full")
+		require(t.Kind == "disk_full" || t.Amount > 0 && t.Amount < 1, "amount = %v: a part, more than 0, less than 1", t.Amount)
+		require(d.Site.DiskBytes > 0, "site.disk_bytes = 0: a disk of unlimited capacity is never full")
 	case "heavy_tail", "neighbour", "fast_errors", "answer_lost", "give_up":
-		wrong(t.Amount > 0 && t.Amount <= 1, "amount = %v: a part, more than 0, at most 1", t.Amount)
-		wrong(t.Kind != "heavy_tail" || t.Times > 1, "times = %v: more than 1", t.Times)
+		require(t.Amount > 0 && t.Amount <= 1, "amount = %v: a part, more than 0, at most 1", t.Amount)
+		require(t.Kind != "heavy_tail" || t.Times > 1, "times = %v: more than 1", t.Times)
 	case "pauses":
-		wrong(t.Amount > 0 && t.Times > 0, "amount = %v, times = %v: pauses a second and milliseconds of each", t.Amount, t.Times)
+		require(t.Amount > 0 && t.Times > 0, "amount = %v, times = %v: pauses a second and milliseconds of each", t.Amount, t.Times)
 	case "discovery_stale":
-		wrong(t.For > 0 && t.Amount > 0, "amount = %v: seconds late, more than 0, for some time", t.Amount)
+		require(t.For > 0 && t.Amount > 0, "amount = %v: the delay in seconds, more than 0, and for more than 0s", t.Amount)
 	}
-	return bad
+	return errs
 }
 
-func (s *Shares) check(nodes int, cfg *config.Config) (bad []error) {
+// check returns an error for each invalid value, and sets the default of Told.
+func (s *Shares) check(nodes int, cfg *config.Config) (errs []error) {
 	if s.Told == "" {
 		s.Told = ToldNone
 	}
 	if !slices.Contains([]string{ToldNone, ToldRight, ToldWrong}, s.Told) {
-		bad = append(bad, fmt.Errorf("shares.told = %q: none, right or wrong", s.Told))
+		errs = append(errs, fmt.Errorf("shares.told = %q: none, right or wrong", s.Told))
 	}
 	if s.Told == ToldWrong && s.Off <= 1 {
-		bad = append(bad, fmt.Errorf("shares.off = %v: more than 1", s.Off))
+		errs = append(errs, fmt.Errorf("shares.off = %v: more than 1", s.Off))
 	}
 	if s.Problem == "" {
 		if s.Told != ToldNone {
-			bad = append(bad, fmt.Errorf("shares.told = %q: there is no shares.problem to tell of", s.Told))
+			errs = append(errs, fmt.Errorf("shares.told = %q: needs a shares.problem", s.Told))
 		}
-		return bad
+		return errs
 	}
 	p, err := s.problem()
 	if err != nil {
-		return append(bad, fmt.Errorf("shares.problem: %w", err))
+		return append(errs, fmt.Errorf("shares.problem: %w", err))
 	}
 	for _, n := range p.Nodes {
 		number := -1
 		if _, err := fmt.Sscanf(n.ID, "node-%d", &number); err != nil || number < 0 || number >= nodes {
-			bad = append(bad, fmt.Errorf("shares.problem: node %q: node-0 to node-%d", n.ID, nodes-1))
+			errs = append(errs, fmt.Errorf("shares.problem: node %q: node-0 to node-%d", n.ID, nodes-1))
 		}
 	}
 	for _, v := range p.Volumes {
 		if !slices.ContainsFunc(cfg.Modules, func(m config.Module) bool { return m.Name == v.ID }) {
-			bad = append(bad, fmt.Errorf("shares.problem: volume %q: the gateways have no module of this name", v.ID))
+			errs = append(errs, fmt.Errorf("shares.problem: volume %q: the gateways have no module of this name", v.ID))
 		}
 	}
-	return bad
+	return errs
 }
 
+// problem parses and checks the problem.
 func (s *Shares) problem() (*shares.Problem, error) {
 	p := &shares.Problem{}
 	if err := config.Strict([]byte(s.Problem), "problem", p); err != nil {
@@ -257,7 +259,7 @@
 	return p, p.Check()
 }
 
-// config is the settings of one gateway.
+// config returns the settings of one gateway.
 func (d *Day) config(name, register, dir string) (*config.Config, error) {
 	c, err := config.Parse([]byte(d.Gateways.Settings), "settings")
 	if err != nil {
@@ -269,8 +271,8 @@
 	return c, c.Check()
 }
 
-// ordered are the troubles by their time.
-func (d *Day) ordered() []Trouble {
+// troublesByTime returns the troubles in order of their times.
+func (d *Day) troublesByTime() []Trouble {
 	list := slices.Clone(d.Troubles)
 	sort.SliceStable(list, func(i, j int) bool { return list[i].At < list[j].At })
 	return list
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestDaysOfTheRepository: all of them can be played.
-func TestDaysOfTheRepository(t *testing.T) {
+// TestRepositoryDays checks that all days in testdata are valid.
+func TestRepositoryDays(t *testing.T) {
 	files, _ := filepath.Glob("../../testdata/*.toml")
 	for _, dir := range []string{"shares/s[tu]*", "shares/deploy", "placement/*"} {
 		more, _ := filepath.Glob("../../testdata/" + dir + ".toml")
@@ -28,9 +28,8 @@
 	}
 }
 
-// TestDaysThatCannotBe: a field that a trouble does not use, and shares that cannot be told,
-// are named.
-func TestDaysThatCannotBe(t *testing.T) {
+// TestInvalidDays checks that errors name fields that a trouble does not use and values of shares that are invalid.
+func TestInvalidDays(t *testing.T) {
 	text, err := os.ReadFile("../../testdata/shares/surge.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -57,8 +56,8 @@
 	}
 }
 
-// TestVary: a key of the day, or of the gateways' settings, is set and nothing else; what cannot be is
-// refused with its place.
+// TestVary checks that only the given keys of the day or of the gateways' settings change, and that errors name an
+// invalid key.
 func TestVary(t *testing.T) {
 	const file = "../../testdata/placement/vanish.toml"
 	plain, err := LoadDay(file)
@@ -76,7 +75,7 @@
 		}
 		days[i].Day.Gateways.Settings = plain.Gateways.Settings
 		if !reflect.DeepEqual(days[i].Day, plain) {
-			t.Errorf("something else changed: %+v", days[i].Day)
+			t.Errorf("other values changed: %+v", days[i].Day)
 		}
 	}
 	days, err = Vary(file, Key{"site.nodes", []string{"6", "24"}}, Key{"placement.width", []string{"1", "2"}})
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -26,25 +26,25 @@
 	"eiderhold/shares"
 )
 
-// Options of a run.
+// Options holds the options of Run.
 type Options struct {
-	Dir     string   // records, gateways' folders and logs; must be empty or not there
-	Command []string // how a gateway is started; "--config FILE" is appended
-	Env     []string // further environment of gateways
+	Dir     string   // for records and the gateways' folders with their logs; must be empty or not exist
+	Command []string // command line that starts a gateway; "--config FILE" is appended
+	Env     []string // environment of gateways in addition to this process's
 	Log     *slog.Logger
-	Seed    int64 // 0: the day's
+	Seed    int64 // 0: the seed of the day
 }
 
-// Result is how a day went.
+// Result is the result of a day.
 type Result struct {
 	Report  *audit.Report
-	Dropped int // arrivals beyond a load's ceiling
-	Exits   []string
+	Dropped int      // arrivals beyond a load's AtOnce
+	Exits   []string // exit status of each gateway's process
 	Lasted  time.Duration
 }
 
-// run is a day under way.
-type run struct {
+// runner runs one day.
+type runner struct {
 	day   *Day
 	opt   Options
 	log   *slog.Logger
@@ -52,36 +52,36 @@
 	trace *audit.Writer
 	ctx   context.Context
 
-	gws   []*process
-	mu    sync.Mutex
-	rng   *rand.Rand
-	rate  map[string]float64 // times a load's rate
-	leave map[string]float64 // part of a load's clients that leave early
-	next  int                // number of the next node
+	gateways    []*process
+	mu          sync.Mutex
+	rng         *rand.Rand
+	rateFactors map[string]float64 // load name -> factor of its rate; "": all loads
+	leaveParts  map[string]float64 // load name -> part of its clients that leave early; "": all loads
+	nextNode    int                // number of the next node
 
-	solved *shares.Found  // nil: worth is counted without shares
-	meter  *standin.Meter // nil: nodes do not meter volumes
+	foundShares *shares.Found  // nil: worth is counted without shares
+	meter       *standin.Meter // nil: nodes do not meter volumes
 
-	dropped atomic.Int64
-	number  atomic.Int64
-	wg      sync.WaitGroup
+	dropped   atomic.Int64
+	transfers atomic.Int64
+	wg        sync.WaitGroup
 }
 
-// process is a gateway's.
+// process is a gateway's process, with its settings.
 type process struct {
 	name string
 	cfg  *config.Config
 	file string
 
-	mu    sync.Mutex
-	cmd   *exec.Cmd
-	addr  string
-	ended chan struct{}
-	exit  string
-	down  bool
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	addr       string
+	exited     chan struct{}
+	exitStatus string
+	down       bool
 }
 
-// Run plays a day and audits it.
+// Run runs a day and audits it.
 func Run(ctx context.Context, day *Day, opt Options) (*Result, error) {
 	if opt.Log == nil {
 		opt.Log = slog.New(slog.DiscardHandler)
@@ -90,7 +90,7 @@
 		opt.Seed = day.Seed
 	}
 	if entries, err := os.ReadDir(opt.Dir); err == nil && len(entries) > 0 {
-		return nil, fmt.Errorf("rehearsal: folder %s is not empty: name another one", opt.Dir)
+		return nil, fmt.Errorf("rehearsal: folder %s is not empty: expected an empty or a new one", opt.Dir)
 	}
 	records := filepath.Join(opt.Dir, "records")
 	trace, err := audit.Create(records, "sockets")
@@ -99,8 +99,8 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &run{day: day, opt: opt, log: opt.Log, trace: trace, ctx: ctx, rng: rand.New(rand.NewSource(opt.Seed)),
-		rate: map[string]float64{}, leave: map[string]float64{}}
+	r := &runner{day: day, opt: opt, log: opt.Log, trace: trace, ctx: ctx, rng: rand.New(rand.NewSource(opt.Seed)),
+		rateFactors: map[string]float64{}, leaveParts: map[string]float64{}}
 	began := time.Now()
 	if err = r.start(); err == nil {
 		err = r.play()
@@ -127,9 +127,9 @@
 		Lasted: time.Since(began)}, nil
 }
 
-// rules are what the auditor holds the day against.
-func (r *run) rules() *audit.Rules {
-	cfg := r.gws[0].cfg
+// rules returns the audit rules that follow from the gateways' settings and the day's shares.
+func (r *runner) rules() *audit.Rules {
+	cfg := r.gateways[0].cfg
 	s := &cfg.Safety
 	rules := &audit.Rules{Volumes: map[string]string{}, MeanUnits: cfg.Worth.MeanUnits, DrainGrace: s.DrainGrace.D(),
 		FallSpan: s.FallSpan.D(), ExtraFree: s.ExtraFree, ExtraShare: s.ExtraShare, ExtraSpan: s.ExtraSpan.D(),
@@ -145,24 +145,24 @@
 	for _, m := range cfg.Modules {
 		rules.Volumes[m.Name] = m.Plan
 	}
-	if r.solved != nil {
+	if r.foundShares != nil {
 		rules.Shares, rules.SpareWorth = map[string]float64{}, cfg.Worth.SpareWorth
-		for _, x := range r.solved.Parts {
+		for _, x := range r.foundShares.Parts {
 			rules.Shares[x.Volume] += float64(x.Share) / 1000
 		}
 	}
 	return rules
 }
 
-// solve works the day's shares out, and has the register hand them out if they are told.
-func (r *run) solve() error {
+// solveShares computes the day's shares and has the register send them if the day says so.
+func (r *runner) solveShares() error {
 	s := &r.day.Shares
 	if s.Problem == "" {
 		return nil
 	}
 	p, err := s.problem()
 	if err == nil {
-		r.solved, err = shares.Search(p, shares.Options{Seed: uint64(r.opt.Seed), Steps: 5000})
+		r.foundShares, err = shares.Search(p, shares.Options{Seed: uint64(r.opt.Seed), Steps: 5000})
 	}
 	if err != nil {
 		return fmt.Errorf("rehearsal: shares: %w", err)
@@ -170,7 +170,7 @@
 	if s.Told == ToldNone {
 		return nil
 	}
-	told := shares.NewSolution(p, r.solved, 1, "rehearsal", time.Now(), time.Hour)
+	told := shares.NewSolution(p, r.foundShares, 1, "rehearsal", time.Now(), time.Hour)
 	if s.Told == ToldWrong {
 		for i, v := range slices.Sorted(maps.Keys(told.Shares)) {
 			for n, share := range told.Shares[v] {
@@ -191,8 +191,8 @@
 	return nil
 }
 
-// start brings up the site and the gateways, and prepares files.
-func (r *run) start() (err error) {
+// start starts the site and the gateways, and pushes the files for pulls.
+func (r *runner) start() (err error) {
 	if r.site, err = standin.StartSite("", r.trace); err != nil {
 		return err
 	}
@@ -219,27 +219,27 @@
 		}
 		n.Disk().Limit(s.DiskBytes, 0)
 	}
-	if err := r.solve(); err != nil {
+	if err := r.solveShares(); err != nil {
 		return err
 	}
 	for i := range r.day.Gateways.Count {
-		p, err := r.prepare(fmt.Sprintf("gateway-%d", i+1))
+		p, err := r.prepareGateway(fmt.Sprintf("gateway-%d", i+1))
 		if err != nil {
 			return err
 		}
-		r.gws = append(r.gws, p)
-		if err := r.boot(p); err != nil {
+		r.gateways = append(r.gateways, p)
+		if err := r.startGateway(p); err != nil {
 			return err
 		}
 	}
-	return r.files()
+	return r.pushFiles()
 }
 
-// nodeOptions describes the next node; a number names its shard too.
-func (r *run) nodeOptions(started time.Time) standin.NodeOptions {
+// nodeOptions returns the options of the next node. Its shard has the node's number.
+func (r *runner) nodeOptions(started time.Time) standin.NodeOptions {
 	s := &r.day.Site
-	n := r.next
-	r.next++
+	n := r.nextNode
+	r.nextNode++
 	zone := ""
 	if s.Zones > 0 {
 		zone = fmt.Sprintf("zone-%d", n%s.Zones)
@@ -250,8 +250,8 @@
 		RecentPart: s.RecentPart, PutOff: s.PutOff, KeyWindow: 1200 * time.Millisecond, Seed: r.opt.Seed + int64(n), Meter: r.meter}
 }
 
-// prepare writes a gateway's settings.
-func (r *run) prepare(name string) (*process, error) {
+// prepareGateway writes a gateway's settings file.
+func (r *runner) prepareGateway(name string) (*process, error) {
 	dir, err := filepath.Abs(filepath.Join(r.opt.Dir, name))
 	if err != nil {
 		return nil, err
@@ -260,7 +260,7 @@
 	if p.cfg, err = r.day.config(name, r.site.Register.URL(), dir); err != nil {
 		return nil, err
 	}
-	p.cfg.Gateway.Seed = r.opt.Seed*100 + int64(len(r.gws)) + 1
+	p.cfg.Gateway.Seed = r.opt.Seed*100 + int64(len(r.gateways)) + 1
 	text, err := p.cfg.Text()
 	if err == nil {
 		err = os.MkdirAll(dir, 0o755)
@@ -271,8 +271,8 @@
 	return p, err
 }
 
-// boot starts a gateway's process and waits until it serves.
-func (r *run) boot(p *process) error {
+// startGateway starts a gateway's process and waits until it serves.
+func (r *runner) startGateway(p *process) error {
 	args := append(append([]string{}, r.opt.Command[1:]...), "--config", p.file)
 	cmd := exec.Command(r.opt.Command[0], args...)
 	cmd.Env = append(os.Environ(), r.opt.Env...)
@@ -299,9 +299,9 @@
 		_, _ = io.Copy(io.Discard, rd)
 		err := cmd.Wait()
 		p.mu.Lock()
-		p.exit = "0"
+		p.exitStatus = "0"
 		if err != nil {
-			p.exit = err.Error()
+			p.exitStatus = err.Error()
 		}
 		p.mu.Unlock()
 		close(ended)
@@ -311,15 +311,15 @@
 		addr := strings.TrimSuffix(strings.TrimPrefix(strings.TrimSpace(first), "rsync://"), "/")
 		if addr == "" {
 			<-ended
-			return fmt.Errorf("rehearsal: %s does not start: see %s", p.name, logFile.Name())
+			return fmt.Errorf("rehearsal: %s ended before it served: see %s", p.name, logFile.Name())
 		}
 		p.mu.Lock()
-		p.cmd, p.addr, p.ended, p.down = cmd, addr, ended, false
+		p.cmd, p.addr, p.exited, p.down = cmd, addr, ended, false
 		p.mu.Unlock()
 		return nil
 	case <-time.After(20 * time.Second):
 		_ = cmd.Process.Kill()
-		return fmt.Errorf("rehearsal: %s does not start within 20s: see %s", p.name, logFile.Name())
+		return fmt.Errorf("rehearsal: %s did not serve within 20s: see %s", p.name, logFile.Name())
 	}
 }
 
@@ -330,15 +330,16 @@
 	_ = p.cmd.Process.Signal(s)
 }
 
+// address returns the gateway's address, and false while the process is down.
 func (p *process) address() (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.addr, !p.down
 }
 
-// files pushes what the pulls of the day will fetch, through each gateway.
-func (r *run) files() error {
-	for _, p := range r.gws {
+// pushFiles pushes through each gateway the files that the day's pulls fetch.
+func (r *runner) pushFiles() error {
+	for _, p := range r.gateways {
 		for li, l := range r.day.Loads {
 			if l.Kind != "pull" {
 				continue
@@ -346,7 +347,7 @@
 			files := []standin.ClientFile{{Path: ".", Dir: true, MTime: 1}, {Path: l.Name, Dir: true, MTime: 1}}
 			for i := range l.Files {
 				files = append(files, standin.ClientFile{Path: fmt.Sprintf("%s/%d", l.Name, i), MTime: 1,
-					Data: content(r.opt.Seed+int64(li*100000+i), l.Bytes)})
+					Data: randomBytes(r.opt.Seed+int64(li*100000+i), l.Bytes)})
 			}
 			for try := 0; ; try++ {
 				c := &standin.Client{Addr: p.addr, Timeout: 30 * time.Second}
@@ -364,42 +365,44 @@
 	return nil
 }
 
-func content(seed int64, n int) []byte {
+// randomBytes returns n pseudo-random bytes.
+func randomBytes(seed int64, n int) []byte {
 	p := make([]byte, n)
 	rand.New(rand.NewSource(seed)).Read(p)
 	return p
 }
 
-// play runs loads and troubles for as long as the day lasts.
-func (r *run) play() error {
+// play runs loads and troubles for the day's duration, and waits for the last clients.
+func (r *runner) play() error {
 	began := time.Now()
 	day, cancel := context.WithTimeout(r.ctx, r.day.Lasts.D())
 	defer cancel()
 	var troubles sync.WaitGroup
-	for _, t := range r.day.ordered() {
+	for _, t := range r.day.troublesByTime() {
 		troubles.Add(1)
 		go func() {
 			defer troubles.Done()
 			if r.sleep(day, time.Until(began.Add(t.At.D()))) {
 				r.log.Info("trouble", "kind", t.Kind, "target", t.Target, "for", t.For.D())
-				r.trouble(day, t)
+				r.playTrouble(day, t)
 			}
 		}()
 	}
 	for i, l := range r.day.Loads {
 		r.wg.Add(1)
-		go func() { defer r.wg.Done(); r.load(day, l, rand.New(rand.NewSource(r.opt.Seed+int64(1000+i)))) }()
+		go func() { defer r.wg.Done(); r.runLoad(day, l, rand.New(rand.NewSource(r.opt.Seed+int64(1000+i)))) }()
 	}
 	<-day.Done()
 	troubles.Wait()
-	r.wg.Wait() // clients end by themselves, within their time-outs
+	r.wg.Wait() // clients end within their time-outs
 	if err := r.ctx.Err(); err != nil {
 		return fmt.Errorf("rehearsal: %w", err)
 	}
 	return nil
 }
 
-func (r *run) sleep(ctx context.Context, d time.Duration) bool {
+// sleep waits for a duration and reports false if ctx ended first.
+func (r *runner) sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
@@ -411,24 +414,24 @@
 	}
 }
 
-// load starts transfers with exponential gaps.
-func (r *run) load(ctx context.Context, l Load, rng *rand.Rand) {
+// runLoad starts transfers with exponential inter-arrival times.
+func (r *runner) runLoad(ctx context.Context, l Load, rng *rand.Rand) {
 	slots := make(chan struct{}, l.AtOnce)
 	for {
 		r.mu.Lock()
-		times := r.rate[l.Name]
-		if times == 0 {
-			times = max(1, r.rate[""])
+		factor := r.rateFactors[l.Name]
+		if factor == 0 {
+			factor = max(1, r.rateFactors[""])
 		}
-		leave := max(r.leave[l.Name], r.leave[""])
+		leavePart := max(r.leaveParts[l.Name], r.leaveParts[""])
 		r.mu.Unlock()
-		gap := time.Duration(-math.Log(1-rng.Float64()) / (l.Rate * times) * float64(time.Second))
-		if !r.sleep(ctx, gap) {
+		untilNext := time.Duration(-math.Log(1-rng.Float64()) / (l.Rate * factor) * float64(time.Second))
+		if !r.sleep(ctx, untilNext) {
 			return
 		}
-		p := r.gws[rng.Intn(len(r.gws))]
-		which, early := rng.Intn(max(1, l.Files)), rng.Float64() < leave
-		n := r.number.Add(1)
+		p := r.gateways[rng.Intn(len(r.gateways))]
+		fileIndex, leavesEarly := rng.Intn(max(1, l.Files)), rng.Float64() < leavePart
+		n := r.transfers.Add(1)
 		select {
 		case slots <- struct{}{}:
 		default:
@@ -439,16 +442,16 @@
 		go func() {
 			defer r.wg.Done()
 			defer func() { <-slots }()
-			r.transfer(p, l, fmt.Sprintf("%s-%d", l.Name, n), which, early)
+			r.runTransfer(p, l, fmt.Sprintf("%s-%d", l.Name, n), fileIndex, leavesEarly)
 		}()
 	}
 }
 
-// transfer is one client's, written down.
-func (r *run) transfer(p *process, l Load, id string, which int, early bool) {
+// runTransfer does one client's transfer and records its start and end.
+func (r *runner) runTransfer(p *process, l Load, id string, which int, early bool) {
 	addr, up := p.address()
 	if !up {
-		return // its client finds nobody to talk to: nothing is owed
+		return // the client cannot connect: no worth is due
 	}
 	cfg := p.cfg
 	work := cfg.Work()
@@ -460,7 +463,7 @@
 	aim := time.Duration(0)
 	for _, c := range cfg.Classes {
 		if c.Name == class {
-			aim = c.Aim.D() * time.Duration((extents+3)/4) // a few extents are fetched at a time
+			aim = c.Aim.D() * time.Duration((extents+3)/4) // 4 extents are transferred at a time
 		}
 	}
 	plan := ""
@@ -484,7 +487,7 @@
 	if l.Kind == "pull" {
 		rep, err = c.Pull(ctx, l.Module, fmt.Sprintf("%s/%d", l.Name, which), nil)
 	} else {
-		rep, err = c.Push(ctx, l.Module, id, []standin.ClientFile{{Path: id, MTime: 1, Data: content(r.opt.Seed, l.Bytes)}})
+		rep, err = c.Push(ctx, l.Module, id, []standin.ClientFile{{Path: id, MTime: 1, Data: randomBytes(r.opt.Seed, l.Bytes)}})
 	}
 	end := audit.Record{What: audit.Final, ID: id, Gateway: p.name, Took: int64(time.Since(began)), Text: strings.Join(rep.Said, "; ")}
 	switch {
@@ -506,9 +509,9 @@
 	r.trace.Put(end)
 }
 
-// stop ends gateways and site. Exits are what the gateways' processes ended with.
-func (r *run) stop() (exits []string, err error) {
-	for _, p := range r.gws {
+// stop stops the gateways and the site. It returns the exit statuses of the gateways' processes.
+func (r *runner) stop() (exits []string, err error) {
+	for _, p := range r.gateways {
 		if p.cmd == nil {
 			continue
 		}
@@ -518,20 +521,20 @@
 			p.signal(syscall.SIGTERM)
 		}
 	}
-	for _, p := range r.gws {
+	for _, p := range r.gateways {
 		if p.cmd == nil {
 			continue
 		}
 		select {
-		case <-p.ended:
+		case <-p.exited:
 		case <-time.After(30 * time.Second):
 			p.signal(syscall.SIGKILL)
-			<-p.ended
+			<-p.exited
 			err = errors.Join(err, fmt.Errorf("rehearsal: %s did not end within 30s of SIGTERM", p.name))
 		}
-		exits = append(exits, p.exit)
-		if p.exit != "0" {
-			err = errors.Join(err, fmt.Errorf("rehearsal: %s ended with %s: see its log.json", p.name, p.exit))
+		exits = append(exits, p.exitStatus)
+		if p.exitStatus != "0" {
+			err = errors.Join(err, fmt.Errorf("rehearsal: %s ended with %s: see its log.json", p.name, p.exitStatus))
 		}
 	}
 	if r.site != nil {
--- a/internal/rehearsal/vary.go
+++ b/internal/rehearsal/vary.go
@@ -9,49 +9,49 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Variant is a day with some settings changed.
+// Variant is a day with changed values of some keys.
 type Variant struct {
-	Label string // KEY=VALUE, several with blanks
+	Label string // KEY=VALUE, several separated by blanks
 	Day   *Day
 }
 
-// Key is a setting and the values that it is to take in turn.
+// Key is a key of the script or of the gateways' settings, with the values to try.
 type Key struct {
 	Name   string // TABLE.KEY
 	Values []string
 }
 
-// Vary reads a script once for each way of giving all keys one of their values, the last key's changing
-// first. A key that begins with site, gateways or shares is the script's own, any other one of the gateways'
-// settings ("placement.choice"). Values are TOML, bare words are texts.
+// Vary reads a script and returns a variant for each combination of the keys' values; the last key varies fastest.
+// A key that begins with site, gateways or shares belongs to the script, any other one to the gateways' settings
+// ("placement.choice"). Values are TOML; a value that is not valid TOML is taken as a string.
 func Vary(file string, keys ...Key) (list []Variant, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, fmt.Errorf("day: %w", err)
 	}
-	type way struct {
+	type variantText struct {
 		label string
 		text  []byte
 	}
-	ways := []way{{"", text}}
+	variants := []variantText{{"", text}}
 	for _, k := range keys {
 		path := strings.Split(k.Name, ".")
 		if len(path) < 2 || slices.Contains(path, "") || len(k.Values) == 0 {
 			return nil, fmt.Errorf("vary: %s: expected TABLE.KEY=VALUE,..., as placement.choice=0,3", k.Name)
 		}
-		var next []way
-		for _, w := range ways {
+		var next []variantText
+		for _, w := range variants {
 			for _, v := range k.Values {
-				text, err := vary(w.text, path, v)
+				text, err := setKey(w.text, path, v)
 				if err != nil {
 					return nil, fmt.Errorf("vary: %s=%s: %w", k.Name, v, err)
 				}
-				next = append(next, way{strings.TrimSpace(w.label + " " + k.Name + "=" + v), text})
+				next = append(next, variantText{strings.TrimSpace(w.label + " " + k.Name + "=" + v), text})
 			}
 		}
-		ways = next
+		variants = next
 	}
-	for _, w := range ways {
+	for _, w := range variants {
 		d, err := ParseDay(w.text, file)
 		if err != nil {
 			return nil, fmt.Errorf("vary: %s: %w", w.label, err)
@@ -61,8 +61,8 @@
 	return list, nil
 }
 
-// vary is a script's text with one key set.
-func vary(text []byte, path []string, value string) ([]byte, error) {
+// setKey returns a script's text with the value of one key replaced.
+func setKey(text []byte, path []string, value string) ([]byte, error) {
 	day := map[string]any{}
 	if err := toml.Unmarshal(text, &day); err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 		v["v"] = value
 	}
 	if slices.Contains([]string{"site", "gateways", "shares"}, path[0]) {
-		if err := set(day, path, v["v"]); err != nil {
+		if err := setPath(day, path, v["v"]); err != nil {
 			return nil, err
 		}
 		return toml.Marshal(day)
@@ -83,12 +83,12 @@
 	if err := toml.Unmarshal([]byte(settings), &inner); err != nil {
 		return nil, fmt.Errorf("gateways.settings: %w", err)
 	}
-	if err := set(inner, path, v["v"]); err != nil {
+	if err := setPath(inner, path, v["v"]); err != nil {
 		return nil, err
 	}
 	b, err := toml.Marshal(inner)
 	if err == nil {
-		err = set(day, []string{"gateways", "settings"}, string(b))
+		err = setPath(day, []string{"gateways", "settings"}, string(b))
 	}
 	if err != nil {
 		return nil, err
@@ -96,8 +96,8 @@
 	return toml.Marshal(day)
 }
 
-// set puts a value at a path, and tables on the way to it.
-func set(m map[string]any, path []string, v any) error {
+// setPath sets the value at a path and creates the tables on the path that do not exist.
+func setPath(m map[string]any, path []string, v any) error {
 	for _, k := range path[:len(path)-1] {
 		switch next := m[k].(type) {
 		case map[string]any:
