--- a/internal/nodewire/frame.go
+++ b/internal/nodewire/frame.go
@@ -1,7 +1,6 @@
-// Package nodewire is the protocol between a gateway and a storage node: frames
-// over one TCP connection, answers in any order. It turns bytes into values and
-// back; it opens no connection and decides nothing. docs/node-protocol.md has the
-// format byte by byte. Its callers are internal/backend and the stand-in node.
+// Package nodewire encodes and decodes the protocol between a gateway and a storage node: frames over one TCP
+// connection, with answers in any order. It does no I/O. docs/node-protocol.md specifies the format byte by byte.
+// Package backend and the stand-in node use it; other packages use its operations, results and limits.
 package nodewire
 
 import (
@@ -12,72 +11,72 @@
 	"math"
 )
 
-// Version is the version of the protocol that a Hello announces. 2: load reports tell bytes
-// used and of how many, and there is the result NoRoom.
+// Version is the protocol version that a Hello announces. Version 2 added bytes used and capacity to load reports,
+// and the result NoRoom.
 const Version = 2
 
-// Magic opens a Hello.
+// Magic is the first field of a Hello.
 const Magic = 0x45484e57 // "EHNW"
 
-// The ceilings. A frame or text over them is an error of the sender's.
+// Sizes and limits of a frame. Exceeding a limit is a protocol error of the sender.
 const (
-	MaxPayload = 4 << 20            // bytes of data in a frame
-	MaxText    = 1 << 10            // bytes of a name or an error text
-	MaxFrame   = MaxPayload + 8<<10 // bytes of a frame behind its length
-	headBytes  = 4                  // the length
-	sumBytes   = 4                  // the checksum at the end
+	MaxPayload    = 4 << 20            // bytes of data in a frame
+	MaxText       = 1 << 10            // bytes of a name or an error text
+	MaxFrame      = MaxPayload + 8<<10 // bytes of a frame after its length field
+	lengthBytes   = 4                  // the length field
+	checksumBytes = 4                  // the checksum at the end
 )
 
-// ErrShort says that the frame is not whole yet: more bytes are needed.
-var ErrShort = errors.New("nodewire: frame not whole yet")
+// ErrShort is returned by Decode if the frame is incomplete and more bytes are needed.
+var ErrShort = errors.New("nodewire: frame is incomplete")
 
-// Kind is the first byte of a frame behind its length.
+// Kind is the kind of a frame, its first byte after the length field.
 type Kind uint8
 
 // The kinds of frame.
 const (
-	KindHello    Kind = 1 // first frame of either side
-	KindRequest  Kind = 2 // gateway to node
-	KindAnswer   Kind = 3 // node to gateway
-	KindCancel   Kind = 4 // gateway to node: the answer is no longer wanted
-	KindProbe    Kind = 5 // gateway to node
-	KindProbed   Kind = 6 // node to gateway
-	kindsHighest      = KindProbed
+	KindHello   Kind = 1 // first frame of either side
+	KindRequest Kind = 2 // gateway to node
+	KindAnswer  Kind = 3 // node to gateway
+	KindCancel  Kind = 4 // gateway to node: the answer is no longer needed
+	KindProbe   Kind = 5 // gateway to node
+	KindProbed  Kind = 6 // node to gateway
+	lastKind         = KindProbed
 )
 
-// Op is what a request asks for.
+// Op is the operation of a request.
 type Op uint8
 
 // The operations.
 const (
-	Read   Op = 1 // bytes of an item
-	Write  Op = 2 // a whole item, which must not exist with other bytes
-	Delete Op = 3 // an item, if it is there
-	opsTop    = Delete
+	Read   Op = 1 // returns a range of bytes of an item
+	Write  Op = 2 // stores a whole item, which must not exist with different content
+	Delete Op = 3 // removes an item, if it exists
+	lastOp    = Delete
 )
 
-// Result is how the node ended a request.
+// Result is the result of a request at the node.
 type Result uint8
 
 // The results of an answer.
 const (
-	Done    Result = 0
-	Error   Result = 1 // it may have run
-	Busy    Result = 2 // turned away unseen: it did not run
-	Missing Result = 3 // there is no such item here: an error answer with a cause
-	NoRoom  Result = 4 // turned away: no room for the item; it did not run
-	resTop         = NoRoom
+	Done       Result = 0
+	Error      Result = 1 // the request may have been executed
+	Busy       Result = 2 // refused as overloaded or draining: the request was not executed
+	Missing    Result = 3 // the node has no such item
+	NoRoom     Result = 4 // refused for want of space for the item: the request was not executed
+	lastResult        = NoRoom
 )
 
-// Hello is the first frame of either side.
+// Hello is the first frame that either side sends.
 type Hello struct {
 	Version uint16
-	Name    string // the gateway's, or the node's id
+	Name    string // name of the gateway, or id of the node
 	Shard   int32  // the shard that the node holds; -1 from a gateway
 }
 
-// Request asks the node for one operation. ID is unique on its connection; Ref and
-// Attempt name the gateway's request, for logs and audit.
+// Request asks the node for one operation. ID is unique on its connection. Ref and Attempt identify the gateway's
+// request and the attempt at it, for logs and audit.
 type Request struct {
 	ID         uint64
 	Ref        uint64
@@ -86,30 +85,30 @@
 	Class      string
 	Volume     string
 	Item       string
-	Key        string // of a keyed request; empty: none
+	Key        string // key of a keyed request; empty: none
 	MilliUnits uint32
-	Offset     uint64 // of the first byte wanted in the item
-	Length     uint32 // bytes wanted
-	LeftMicros uint32 // time the client has left, microseconds; 0: not told
-	Payload    []byte // of a Write; points into the buffer that was decoded
+	Offset     uint64 // offset in the item of the first byte to read
+	Length     uint32 // number of bytes to read
+	LeftMicros uint32 // microseconds until the client's deadline; 0: unknown
+	Payload    []byte // content of a Write; a slice of the decoded buffer
 }
 
-// Answer ends a request.
+// Answer is the answer to a request, with the node's load report.
 type Answer struct {
 	ID          uint64
 	Result      Result
-	VolumeUse   uint16 // 1 + percent of the nominal rate; 0: not told
-	OthersMilli uint32 // milli-units served for the volume through other gateways
+	VolumeUse   uint16 // 1 + percent of the volume's nominal rate that is in use; 0: unknown
+	OthersMilli uint32 // milli-units served for the volume through other gateways since the last answer
 	Queue       uint32 // load report: requests waiting
 	LatencyUs   uint32 // load report: recent service time
 	Used        uint64 // load report: bytes that the shard holds
-	Capacity    uint64 // load report: bytes that it can hold; 0: not told
-	Shard       int32  // the shard that took the item
+	Capacity    uint64 // load report: capacity of the shard in bytes; 0: unknown
+	Shard       int32  // shard of the answering node
 	Text        string // cause of an error
-	Payload     []byte // points into the buffer that was decoded
+	Payload     []byte // content of a Read; a slice of the decoded buffer
 }
 
-// Cancel names a request whose answer is no longer wanted.
+// Cancel says that the answer to a request is no longer needed.
 type Cancel struct{ ID uint64 }
 
 // Probe asks for a load report.
@@ -129,16 +128,16 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// begin leaves room for the length and writes the kind.
-func begin(b []byte, k Kind) ([]byte, int) {
+// beginFrame appends room for the length and the kind, and returns the offset of the frame.
+func beginFrame(b []byte, k Kind) ([]byte, int) {
 	at := len(b)
 	return append(b, 0, 0, 0, 0, byte(k)), at
 }
 
-// finish writes checksum and length.
-func finish(b []byte, at int) []byte {
-	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at+headBytes:], castagnoli))
-	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-headBytes))
+// finishFrame appends the checksum and sets the length of the frame at an offset.
+func finishFrame(b []byte, at int) []byte {
+	b = binary.LittleEndian.AppendUint32(b, crc32.Checksum(b[at+lengthBytes:], castagnoli))
+	binary.LittleEndian.PutUint32(b[at:], uint32(len(b)-at-lengthBytes))
 	return b
 }
 
@@ -149,19 +148,19 @@
 	return append(binary.LittleEndian.AppendUint16(b, uint16(len(s))), s...)
 }
 
-// Append writes a frame behind b. Texts over MaxText are cut; the payload must be
-// no longer than MaxPayload.
+// Append appends the encoding of a frame to b. Texts longer than MaxText are truncated; the payload must not be
+// longer than MaxPayload.
 func Append(b []byte, f Frame) []byte {
 	le := binary.LittleEndian
 	switch f := f.(type) {
 	case *Hello:
-		b, at := begin(b, KindHello)
+		b, at := beginFrame(b, KindHello)
 		b = le.AppendUint32(b, Magic)
 		b = le.AppendUint16(b, f.Version)
 		b = le.AppendUint32(b, uint32(f.Shard))
-		return finish(appendText(b, f.Name), at)
+		return finishFrame(appendText(b, f.Name), at)
 	case *Request:
-		b, at := begin(b, KindRequest)
+		b, at := beginFrame(b, KindRequest)
 		b = le.AppendUint64(b, f.ID)
 		b = le.AppendUint64(b, f.Ref)
 		b = append(b, f.Attempt, byte(f.Op))
@@ -173,9 +172,9 @@
 			b = appendText(b, s)
 		}
 		b = le.AppendUint32(b, uint32(len(f.Payload)))
-		return finish(append(b, f.Payload...), at)
+		return finishFrame(append(b, f.Payload...), at)
 	case *Answer:
-		b, at := begin(b, KindAnswer)
+		b, at := beginFrame(b, KindAnswer)
 		b = le.AppendUint64(b, f.ID)
 		b = append(b, byte(f.Result))
 		b = le.AppendUint16(b, f.VolumeUse)
@@ -187,50 +186,50 @@
 		b = le.AppendUint32(b, uint32(f.Shard))
 		b = appendText(b, f.Text)
 		b = le.AppendUint32(b, uint32(len(f.Payload)))
-		return finish(append(b, f.Payload...), at)
+		return finishFrame(append(b, f.Payload...), at)
 	case *Cancel:
-		b, at := begin(b, KindCancel)
-		return finish(le.AppendUint64(b, f.ID), at)
+		b, at := beginFrame(b, KindCancel)
+		return finishFrame(le.AppendUint64(b, f.ID), at)
 	case *Probe:
-		b, at := begin(b, KindProbe)
-		return finish(le.AppendUint64(b, f.ID), at)
+		b, at := beginFrame(b, KindProbe)
+		return finishFrame(le.AppendUint64(b, f.ID), at)
 	case *Probed:
-		b, at := begin(b, KindProbed)
+		b, at := beginFrame(b, KindProbed)
 		b = le.AppendUint64(b, f.ID)
 		b = le.AppendUint32(b, f.Queue)
 		b = le.AppendUint32(b, f.LatencyUs)
 		b = le.AppendUint64(b, f.Used)
-		return finish(le.AppendUint64(b, f.Capacity), at)
+		return finishFrame(le.AppendUint64(b, f.Capacity), at)
 	}
-	panic(fmt.Sprintf("nodewire: %T is no frame", f))
+	panic(fmt.Sprintf("nodewire: %T is not a type of frame", f))
 }
 
-// Need is the number of bytes that the frame at the start of b takes, as far as
-// it can be told; 4 if not even its length is there.
+// Need returns the number of bytes of the frame at the start of b, at most that of the longest valid frame, or 4 if
+// b does not contain the whole length
+// field.
 func Need(b []byte) int {
-	if len(b) < headBytes {
-		return headBytes
+	if len(b) < lengthBytes {
+		return lengthBytes
 	}
-	return headBytes + int(min(binary.LittleEndian.Uint32(b), MaxFrame))
+	return lengthBytes + int(min(binary.LittleEndian.Uint32(b), MaxFrame))
 }
 
-// Decode reads the frame at the start of b and returns it with the number of bytes
-// that it took. ErrShort asks for more bytes; any other error is final for the
-// connection. Payloads point into b.
+// Decode decodes the frame at the start of b and returns it with its number of bytes. After any error other than
+// ErrShort the connection cannot be used further. Payloads are slices of b.
 func Decode(b []byte) (Frame, int, error) {
-	if len(b) < headBytes {
+	if len(b) < lengthBytes {
 		return nil, 0, ErrShort
 	}
 	size := int(binary.LittleEndian.Uint32(b))
-	if size > MaxFrame || size < 1+sumBytes {
-		return nil, 0, fmt.Errorf("nodewire: frame of %d bytes: expected %d to %d", size, 1+sumBytes, MaxFrame)
+	if size > MaxFrame || size < 1+checksumBytes {
+		return nil, 0, fmt.Errorf("nodewire: frame of %d bytes: expected %d to %d", size, 1+checksumBytes, MaxFrame)
 	}
-	if len(b) < headBytes+size {
+	if len(b) < lengthBytes+size {
 		return nil, 0, ErrShort
 	}
-	body := b[headBytes : headBytes+size]
-	sum := binary.LittleEndian.Uint32(body[size-sumBytes:])
-	body = body[:size-sumBytes]
+	body := b[lengthBytes : lengthBytes+size]
+	sum := binary.LittleEndian.Uint32(body[size-checksumBytes:])
+	body = body[:size-checksumBytes]
 	if got := crc32.Checksum(body, castagnoli); got != sum {
 		return nil, 0, fmt.Errorf("nodewire: frame of kind %d: checksum %08x, its bytes have %08x", body[0], sum, got)
 	}
@@ -242,10 +241,10 @@
 	if d.err != nil {
 		return nil, 0, fmt.Errorf("nodewire: frame of kind %d: %w", body[0], d.err)
 	}
-	return f, headBytes + size, nil
+	return f, lengthBytes + size, nil
 }
 
-// decoder takes values off the front of b; the first error stays.
+// decoder reads values from the start of b. After an error it keeps the error and returns zero values.
 type decoder struct {
 	b   []byte
 	err error
@@ -268,10 +267,10 @@
 func (d *decoder) u32() uint32 { return binary.LittleEndian.Uint32(d.take(4)) }
 func (d *decoder) u64() uint64 { return binary.LittleEndian.Uint64(d.take(8)) }
 
-func (d *decoder) text(what string) string {
+func (d *decoder) text(field string) string {
 	n := int(d.u16())
 	if n > MaxText && d.err == nil {
-		d.err = fmt.Errorf("%s of %d bytes: at most %d", what, n, MaxText)
+		d.err = fmt.Errorf("%s of %d bytes: at most %d", field, n, MaxText)
 	}
 	if d.err != nil {
 		return ""
@@ -301,7 +300,7 @@
 		r := &Request{ID: d.u64(), Ref: d.u64(), Attempt: d.u8(), Op: Op(d.u8()), MilliUnits: d.u32(),
 			Offset: d.u64(), Length: d.u32(), LeftMicros: d.u32(), Class: d.text("class"),
 			Volume: d.text("volume"), Item: d.text("item"), Key: d.text("key"), Payload: d.payload()}
-		if d.err == nil && (r.Op < Read || r.Op > opsTop) {
+		if d.err == nil && (r.Op < Read || r.Op > lastOp) {
 			d.err = fmt.Errorf("operation %d is unknown", r.Op)
 		}
 		if d.err == nil && (r.Length > MaxPayload || r.Offset > math.MaxInt64-MaxPayload) {
@@ -311,7 +310,7 @@
 	case KindAnswer:
 		a := &Answer{ID: d.u64(), Result: Result(d.u8()), VolumeUse: d.u16(), OthersMilli: d.u32(),
 			Queue: d.u32(), LatencyUs: d.u32(), Used: d.u64(), Capacity: d.u64(), Shard: int32(d.u32()), Text: d.text("text"), Payload: d.payload()}
-		if d.err == nil && a.Result > resTop {
+		if d.err == nil && a.Result > lastResult {
 			d.err = fmt.Errorf("result %d is unknown", a.Result)
 		}
 		return a
@@ -322,6 +321,6 @@
 	case KindProbed:
 		return &Probed{ID: d.u64(), Queue: d.u32(), LatencyUs: d.u32(), Used: d.u64(), Capacity: d.u64()}
 	}
-	d.err = fmt.Errorf("kind unknown: expected %d to %d", KindHello, kindsHighest)
+	d.err = fmt.Errorf("kind unknown: expected %d to %d", KindHello, lastKind)
 	return nil
 }
--- a/internal/nodewire/frame_test.go
+++ b/internal/nodewire/frame_test.go
@@ -17,7 +17,8 @@
 	&Cancel{ID: 5}, &Probe{ID: 6}, &Probed{ID: 6, Queue: 1, LatencyUs: 2, Used: 3, Capacity: 4},
 }
 
-func TestRoundTripAtEveryCut(t *testing.T) {
+// TestRoundTripAndTruncation decodes each sample, and each of its prefixes, which must give ErrShort.
+func TestRoundTripAndTruncation(t *testing.T) {
 	for _, f := range samples {
 		b := Append([]byte("before"), f)[6:]
 		for cut := range b {
@@ -35,21 +36,23 @@
 	}
 }
 
-func TestEveryFlippedBitIsFound(t *testing.T) {
+// TestFlippedBits checks that Decode rejects a frame with any single bit inverted after the length field.
+func TestFlippedBits(t *testing.T) {
 	for _, f := range samples {
 		b := Append(nil, f)
-		for bit := headBytes * 8; bit < len(b)*8; bit++ {
+		for bit := lengthBytes * 8; bit < len(b)*8; bit++ {
 			b[bit/8] ^= 1 << (bit % 8)
 			if _, _, err := Decode(b); err == nil || errors.Is(err, ErrShort) {
-				t.Fatalf("%T: bit %d flipped and read all the same: %v", f, bit, err)
+				t.Fatalf("%T: bit %d flipped: %v, want an error other than ErrShort", f, bit, err)
 			}
 			b[bit/8] ^= 1 << (bit % 8)
 		}
 	}
 }
 
-func TestHostileFrames(t *testing.T) {
-	sealed := func(body ...byte) []byte { return finish(append([]byte{0, 0, 0, 0}, body...), 0) }
+// TestInvalidFrames checks that the error of an invalid frame names its fault.
+func TestInvalidFrames(t *testing.T) {
+	sealed := func(body ...byte) []byte { return finishFrame(append([]byte{0, 0, 0, 0}, body...), 0) }
 	for _, c := range []struct {
 		name, want string
 		b          []byte
@@ -71,6 +74,7 @@
 	}
 }
 
+// FuzzDecode checks that a frame that is decoded encodes to the same bytes.
 func FuzzDecode(f *testing.F) {
 	for _, s := range samples {
 		f.Add(Append(nil, s))
@@ -81,7 +85,7 @@
 			return
 		}
 		if n > len(b) || !reflect.DeepEqual(Append(nil, v), b[:n]) {
-			t.Fatalf("%+v is written back otherwise", v)
+			t.Fatalf("%+v: encoded differently from the input", v)
 		}
 	})
 }
