--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,4 +1,4 @@
-// Package telemetry is how a running gateway tells of itself: structured logs.
+// Package telemetry sets up structured logging for the gateway's commands and its event loops.
 package telemetry
 
 import (
@@ -11,23 +11,23 @@
 	"github.com/lmittmann/tint"
 )
 
-// Logger writes to w: for people if it is a terminal, else JSON, a line each. The
-// returned variable changes the level while running.
+// Logger returns a logger that writes to w, as coloured text if w is a terminal, else as JSON lines. The returned
+// variable changes the level at run time.
 func Logger(w io.Writer, level string) (*slog.Logger, *slog.LevelVar, error) {
-	lv := &slog.LevelVar{}
-	if err := lv.UnmarshalText([]byte(level)); err != nil {
-		return nil, nil, fmt.Errorf("log level %q: debug, info, warn or error", level)
+	levelVar := &slog.LevelVar{}
+	if err := levelVar.UnmarshalText([]byte(level)); err != nil {
+		return nil, nil, fmt.Errorf("log level %q: expected debug, info, warn or error", level)
 	}
 	if f, ok := w.(*os.File); ok {
 		if info, err := f.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
-			return slog.New(tint.NewHandler(w, &tint.Options{Level: lv, TimeFormat: time.TimeOnly})), lv, nil
+			return slog.New(tint.NewHandler(w, &tint.Options{Level: levelVar, TimeFormat: time.TimeOnly})), levelVar, nil
 		}
 	}
-	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: lv, ReplaceAttr: withUnit})), lv, nil
+	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: levelVar, ReplaceAttr: formatDuration})), levelVar, nil
 }
 
-// withUnit writes durations as text, as 1.5s: a bare number would be nanoseconds.
-func withUnit(_ []string, a slog.Attr) slog.Attr {
+// formatDuration writes a duration as text such as 1.5s. slog's JSON handler would write a number of nanoseconds.
+func formatDuration(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		a.Value = slog.StringValue(a.Value.Duration().String())
 	}
