--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -327,16 +327,16 @@
 // checkEffects checks rule 2: no request takes effect twice, and one that may take effect twice is not
 // repeated. An attempt that is sent after the request was served counts as a breach of rule 1.
 func (a *auditor) checkEffects() {
-	firstEffects := map[string]*Record{}
+	effectByKey := map[string]*Record{}
 	for i, r := range a.recs {
 		if r.What != Effect || r.Key == "" || a.classes[r.Class].Effect == "safe" {
 			continue
 		}
 		a.rep.Checked[2]++
-		if first := firstEffects[r.Key]; first != nil {
-			a.breach(2, r.T, "key %s took effect at node %s, after it had at node %s", r.Key, r.Node, first.Node)
+		if previous := effectByKey[r.Key]; previous != nil {
+			a.breach(2, r.T, "key %s took effect at node %s, after it had at node %s", r.Key, r.Node, previous.Node)
 		}
-		firstEffects[r.Key] = &a.recs[i]
+		effectByKey[r.Key] = &a.recs[i]
 	}
 	arrivals, requests := a.byRequest()
 	for _, k := range requests {
@@ -576,7 +576,7 @@
 // computeService adds up the worth earned and the worth due, in total and by class, plan and period.
 func (a *auditor) computeService() {
 	parts := map[string]*Service{}
-	asks := map[string]Record{}
+	asksByID := map[string]Record{}
 	add := func(by string, due, earned float64, served, inTime bool) {
 		s := parts[by]
 		if s == nil {
@@ -595,7 +595,7 @@
 	}
 	for _, r := range a.recs {
 		if r.What == Ask {
-			asks[r.ID] = r
+			asksByID[r.ID] = r
 		}
 	}
 	ends := map[string]Record{}
@@ -606,8 +606,8 @@
 	}
 	// Worth is counted by the second: a volume's units within its share for a second count in full, those
 	// beyond it at SpareWorth.
-	type answered struct {
-		q                   Record
+	type askResult struct {
+		ask                 Record
 		due, earned, served float64
 		inTime              bool
 	}
@@ -615,23 +615,23 @@
 		volume string
 		second int64
 	}
-	var all []answered
+	var results []askResult
 	askedUnits, earnedUnits := map[volumeSecond]float64{}, map[volumeSecond]float64{}
-	secondOf := func(q Record) volumeSecond {
-		return volumeSecond{q.Volume, int64(time.Duration(q.T-a.startTime) / time.Second)}
+	secondOf := func(ask Record) volumeSecond {
+		return volumeSecond{ask.Volume, int64(time.Duration(ask.T-a.startTime) / time.Second)}
 	}
-	for id, q := range asks {
+	for id, ask := range asksByID {
 		end := ends[id]
-		c, ok := a.classes[q.Class]
+		c, ok := a.classes[ask.Class]
 		if !ok || end.Result == "left" {
 			continue
 		}
-		price := a.plans[q.Plan].Price
+		price := a.plans[ask.Plan].Price
 		if price == 0 {
 			price = 1
 		}
-		x := answered{q: q, due: c.Worth * price * q.Units / max(a.rules.MeanUnits, 1e-9)}
-		aim := time.Duration(q.Aim)
+		x := askResult{ask: ask, due: c.Worth * price * ask.Units / max(a.rules.MeanUnits, 1e-9)}
+		aim := time.Duration(ask.Aim)
 		if aim == 0 {
 			aim = c.Aim
 		}
@@ -645,9 +645,9 @@
 			}
 		}
 		x.earned = x.due * part
-		askedUnits[secondOf(q)] += q.Units
-		earnedUnits[secondOf(q)] += q.Units * part
-		all = append(all, x)
+		askedUnits[secondOf(ask)] += ask.Units
+		earnedUnits[secondOf(ask)] += ask.Units * part
+		results = append(results, x)
 	}
 	// countedPart is the mean part of its worth that a unit counts, if the volume has this many units in a second.
 	countedPart := func(volume string, units float64) float64 {
@@ -657,11 +657,13 @@
 		}
 		return (share + a.rules.SpareWorth*(units-share)) / units
 	}
-	slices.SortFunc(all, func(x, y answered) int { return cmp.Or(cmp.Compare(x.q.T, y.q.T), cmp.Compare(x.q.ID, y.q.ID)) })
-	for _, x := range all {
-		due, earned := x.due*countedPart(x.q.Volume, askedUnits[secondOf(x.q)]), x.earned*countedPart(x.q.Volume, earnedUnits[secondOf(x.q)])
-		second := int64(time.Duration(x.q.T-a.startTime)/servicePeriod) * int64(servicePeriod/time.Second)
-		for _, by := range []string{"", "class " + x.q.Class, "plan " + x.q.Plan, fmt.Sprintf("second %4d", second)} {
+	slices.SortFunc(results, func(x, y askResult) int {
+		return cmp.Or(cmp.Compare(x.ask.T, y.ask.T), cmp.Compare(x.ask.ID, y.ask.ID))
+	})
+	for _, x := range results {
+		due, earned := x.due*countedPart(x.ask.Volume, askedUnits[secondOf(x.ask)]), x.earned*countedPart(x.ask.Volume, earnedUnits[secondOf(x.ask)])
+		second := int64(time.Duration(x.ask.T-a.startTime)/servicePeriod) * int64(servicePeriod/time.Second)
+		for _, by := range []string{"", "class " + x.ask.Class, "plan " + x.ask.Plan, fmt.Sprintf("second %4d", second)} {
 			add(by, due, earned, x.served > 0, x.inTime)
 		}
 	}
--- a/internal/nodewire/frame.go
+++ b/internal/nodewire/frame.go
@@ -205,8 +205,7 @@
 }
 
 // Need returns the number of bytes of the frame at the start of b, at most that of the longest valid frame, or 4 if
-// b does not contain the whole length
-// field.
+// b does not contain the whole length field.
 func Need(b []byte) int {
 	if len(b) < lengthBytes {
 		return lengthBytes
