--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -44,7 +44,7 @@
 	DownFor      config.Duration `toml:"down_for" comment:"... and accepts no connection for this time."`
 	RecentItems  int             `toml:"recent_items" comment:"Number of most recently read items that cost less to read."`
 	RecentPart   float64         `toml:"recent_part" comment:"Part of the work that reading one of them takes."`
-	PutOff       float64         `toml:"put_off" comment:"Part of a write's work that is done after its answer."`
+	DeferredPart float64         `toml:"put_off" comment:"Part of a write's work that is done after its answer."`
 }
 
 // Gateways describes the gateway processes.
@@ -55,9 +55,9 @@
 
 // Shares says how worth is counted for volumes with shares, and which shares the register sends to gateways.
 type Shares struct {
-	Problem string  `toml:"problem" comment:"A problem as eiderhold shares solve reads it; its nodes are node-0, node-1, ..., its volumes the modules. Empty: worth is counted without shares."`
-	Told    string  `toml:"told" comment:"none; right: the register sends the solution; wrong: it sends the solution with wrong shares for a third of the volumes."`
-	Off     float64 `toml:"off" comment:"With wrong: the factor by which they are too large and too small in turn."`
+	Problem     string  `toml:"problem" comment:"A problem as eiderhold shares solve reads it; its nodes are node-0, node-1, ..., its volumes the modules. Empty: worth is counted without shares."`
+	Told        string  `toml:"told" comment:"none; right: the register sends the solution; wrong: it sends the solution with wrong shares for a third of the volumes."`
+	WrongFactor float64 `toml:"off" comment:"With wrong: the factor by which they are too large and too small in turn."`
 }
 
 // The values of Shares.Told.
@@ -128,7 +128,7 @@
 	require(s.Zones >= 0 && s.Zones <= s.Nodes, "site.zones = %d: 0 to %d", s.Zones, s.Nodes)
 	require(s.DiskBytes >= 0, "site.disk_bytes = %d: not negative", s.DiskBytes)
 	require(s.Cores >= 1 && s.Queue >= 1, "site: cores and queue are at least 1")
-	require(s.UnitTime >= 0 && s.PutOff >= 0 && s.PutOff < 1, "site: unit_time is not negative, put_off is 0 to 1")
+	require(s.UnitTime >= 0 && s.DeferredPart >= 0 && s.DeferredPart < 1, "site: unit_time is not negative, put_off is 0 to 1")
 	require(s.ColdFor == 0 || s.ColdCapacity > 0 && s.ColdCapacity <= 1, "site.cold_capacity = %v: more than 0, at most 1", s.ColdCapacity)
 	require(d.Gateways.Count >= 1 && d.Gateways.Count <= 50, "gateways.count = %d: 1 to 50", d.Gateways.Count)
 	cfg, err := d.config("check", "http://127.0.0.1:1/nodes", "dir")
@@ -223,8 +223,8 @@
 	if !slices.Contains([]string{ToldNone, ToldRight, ToldWrong}, s.Told) {
 		errs = append(errs, fmt.Errorf("shares.told = %q: none, right or wrong", s.Told))
 	}
-	if s.Told == ToldWrong && s.Off <= 1 {
-		errs = append(errs, fmt.Errorf("shares.off = %v: more than 1", s.Off))
+	if s.Told == ToldWrong && s.WrongFactor <= 1 {
+		errs = append(errs, fmt.Errorf("shares.off = %v: more than 1", s.WrongFactor))
 	}
 	if s.Problem == "" {
 		if s.Told != ToldNone {
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -37,10 +37,10 @@
 
 // Result is the result of a day.
 type Result struct {
-	Report  *audit.Report
-	Dropped int      // arrivals beyond a load's AtOnce
-	Exits   []string // exit status of each gateway's process
-	Lasted  time.Duration
+	Report       *audit.Report
+	Dropped      int      // arrivals beyond a load's AtOnce
+	ExitStatuses []string // exit status of each gateway's process
+	Lasted       time.Duration
 }
 
 // runner runs one day.
@@ -123,7 +123,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Result{Report: audit.Check(recs, rules), Dropped: int(r.dropped.Load()), Exits: exits,
+	return &Result{Report: audit.Check(recs, rules), Dropped: int(r.dropped.Load()), ExitStatuses: exits,
 		Lasted: time.Since(began)}, nil
 }
 
@@ -176,9 +176,9 @@
 			for n, share := range told.Shares[v] {
 				switch i % 6 {
 				case 0:
-					told.Shares[v][n] = int64(float64(share) * s.Off)
+					told.Shares[v][n] = int64(float64(share) * s.WrongFactor)
 				case 3:
-					told.Shares[v][n] = int64(float64(share) / s.Off)
+					told.Shares[v][n] = int64(float64(share) / s.WrongFactor)
 				}
 			}
 		}
@@ -247,7 +247,7 @@
 	return standin.NodeOptions{ID: fmt.Sprintf("node-%d", n), Zone: zone, Shard: n, Cores: s.Cores, UnitTime: s.UnitTime.D(), Queue: s.Queue,
 		Started: started, ColdFor: s.ColdFor.D(), ColdCapacity: s.ColdCapacity, FallMultiple: s.FallMultiple,
 		FallSpan: s.FallSpan.D(), ColdBears: s.ColdBears, DownFor: s.DownFor.D(), RecentItems: s.RecentItems,
-		RecentPart: s.RecentPart, PutOff: s.PutOff, KeyWindow: 1200 * time.Millisecond, Seed: r.opt.Seed + int64(n), Meter: r.meter}
+		RecentPart: s.RecentPart, DeferredPart: s.DeferredPart, KeyWindow: 1200 * time.Millisecond, Seed: r.opt.Seed + int64(n), Meter: r.meter}
 }
 
 // prepareGateway writes a gateway's settings file.
--- a/internal/rehearsal/trouble.go
+++ b/internal/rehearsal/trouble.go
@@ -88,9 +88,9 @@
 		r.sleep(ctx, duration)
 		r.site.Register.Down(false)
 	case "discovery_stale":
-		r.site.Register.Late(time.Duration(t.Amount * float64(time.Second)))
+		r.site.Register.SetDelay(time.Duration(t.Amount * float64(time.Second)))
 		r.sleep(ctx, duration)
-		r.site.Register.Late(0)
+		r.site.Register.SetDelay(0)
 	case "balancer_stall":
 		p := r.gatewayByName(t.Target)
 		began := time.Now()
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -37,7 +37,7 @@
 
 	RecentItems  int           // number of most recently read items that cost less to read
 	RecentPart   float64       // part of the work that reading one of them takes
-	PutOff       float64       // part of a write's work that is done after its answer
+	DeferredPart float64       // part of a write's work that is done after its answer
 	KeyWindow    time.Duration // time in which a write with the same key has no second effect
 	KeyedClasses map[string]bool
 
@@ -451,7 +451,7 @@
 		n.recentItems = n.recentItems[max(0, len(n.recentItems)-o.RecentItems):]
 	}
 	if j.Op == nodewire.Write {
-		return time.Duration(work * (1 - o.PutOff)), time.Duration(work * o.PutOff)
+		return time.Duration(work * (1 - o.DeferredPart)), time.Duration(work * o.DeferredPart)
 	}
 	return time.Duration(work), 0
 }
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Late holds changes back for a duration before they are sent.
-func (r *Register) Late(d time.Duration) {
+// SetDelay holds changes back for a duration before they are sent.
+func (r *Register) SetDelay(d time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.delay = d
