--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -59,8 +59,8 @@
 	leaveParts  map[string]float64 // load name -> part of its clients that leave early; "": all loads
 	nextNode    int                // number of the next node
 
-	foundShares *shares.Found  // nil: worth is counted without shares
-	meter       *standin.Meter // nil: nodes do not meter volumes
+	foundShares *shares.SearchResult // nil: worth is counted without shares
+	meter       *standin.Meter       // nil: nodes do not meter volumes
 
 	dropped   atomic.Int64
 	transfers atomic.Int64
