--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,11 +1,14 @@
-// Package store is what lasts on this host's disk: the catalogue of modules, with
-// files, their extents, and what nothing refers to any more. It survives SIGKILL at
-// any moment: a file's entry changes in one transaction, after its last extent is
-// served. It is never the only copy of a node's state.
+// Package store keeps a gateway's catalogue on disk: the entries of each module, the
+// extents of each file, and the items that nothing refers to any more. The rsync front
+// reads and changes it, and the collector and the migrator work through its garbage and
+// its entries. It survives SIGKILL at any moment: a file's entry changes in one
+// transaction, after the last extent of the file has been stored. It is never the only
+// copy of a node's state.
 //
-// One bbolt file. Bucket "module/NAME": path -> entry; "begun": base -> what a push
-// that is under way may have written; "garbage": sequence -> items that nothing
-// refers to; "meta": format version and start count.
+// The catalogue is one bbolt file. Bucket "module/NAME" maps a path to its entry, "begun"
+// maps a base to what a push in progress may have written, "garbage" maps a sequence number
+// to items that nothing refers to, and "meta" holds the format version, the number of times
+// the file was opened and the usage of each module.
 package store
 
 import (
@@ -27,9 +30,9 @@
 )
 
 const (
-	format    = 1    // of the file
-	groupMost = 256  // changes in one transaction
-	queueMost = 4096 // changes that wait for one
+	formatVersion    = 1
+	maxGroupChanges  = 256  // in one transaction
+	maxQueuedChanges = 4096 // that wait for a transaction
 )
 
 // Entry is one path of a module. Mode has the type bits of st_mode.
@@ -42,21 +45,21 @@
 	UID   uint32
 	GID   uint32
 	Link  string
-	Base  string // what the names of its items begin with
+	Base  string // prefix of the names of its items
 	Parts []Part
 }
 
-// Part is one extent, without what follows from the one before.
+// Part is one extent of an entry. Its offset is the sum of the lengths of the parts before it.
 type Part struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Shard  int
 	Length int
 	Sum    uint64 // xxhash64
-	Try    int    // which name it has
+	Try    int    // number of the write attempt that succeeded; part of the item's name
 }
 
-// Item is the name of part i of a base, written at the given try.
+// Item returns the name of the item that holds part i of a base, as written at the given try.
 func Item(base string, i, try int) string {
 	if try == 0 {
 		return fmt.Sprintf("%s.%d", base, i)
@@ -64,7 +67,7 @@
 	return fmt.Sprintf("%s.%d.%d", base, i, try)
 }
 
-// Extents lists an entry's extents with their names.
+// Extents returns the extents of the entry, with the names of their items.
 func (e *Entry) Extents() []extent.Extent {
 	all := make([]extent.Extent, len(e.Parts))
 	off := int64(0)
@@ -75,24 +78,24 @@
 	return all
 }
 
-// Named is an entry with its path.
-type Named struct {
+// NamedEntry is an entry with its path.
+type NamedEntry struct {
 	Path string
 	Entry
 }
 
-// begun says what a push may have written.
-type begun struct {
+// pendingPush records what a push in progress may have written: up to Parts items, at up to maxTry+1 names each.
+type pendingPush struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Volume   string
 	Parts    int
 }
 
-// NotGarbage is the shard of a part of a run of garbage that is none.
+// NotGarbage is the Shard of a part listed in a Garbage whose item is still in use.
 const NotGarbage = -2
 
-// Garbage is a run of items that nothing refers to. A part whose shard is -1 may lie
-// anywhere, or nowhere; one whose shard is NotGarbage stays.
+// Garbage lists items of one base that nothing refers to. A part whose Shard is -1 may be
+// on any shard or on none; a part whose Shard is NotGarbage must not be removed.
 type Garbage struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
@@ -102,16 +105,16 @@
 	Lost   []Lost
 }
 
-// Lost is one item that may have been written before its bytes were written again
-// under another name; it may lie anywhere.
+// Lost is an item that may have been written before its bytes were written again under
+// another name. Its shard is unknown.
 type Lost struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index, Try int
 }
 
-// Items calls each with the name and shard of every item that may be there; shard -1
-// for anywhere.
+// Items calls each with the name and shard of every item that may exist; shard -1 means
+// that the shard is unknown.
 func (g *Garbage) Items(each func(item string, shard int)) {
 	for i, p := range g.Parts {
 		if p.Shard == NotGarbage {
@@ -130,51 +133,51 @@
 	}
 }
 
-// mostTry is the highest number of a try in an item's name.
-const mostTry = 3
+// maxTry is the highest Try that an item's name contains.
+const maxTry = 3
 
-// Catalogue is the open file.
+// Catalogue is an open catalogue file. Its methods may be called by several goroutines at once.
 type Catalogue struct {
-	db    *bolt.DB
-	name  string // of this gateway
-	start uint64 // how often the catalogue was opened
+	db        *bolt.DB
+	name      string // of this gateway
+	openCount uint64 // times the catalogue was opened; part of each base
 
-	queue chan *change
-	ended chan struct{}
+	queue   chan *change
+	stopped chan struct{}
 
-	mu    sync.Mutex
-	bases uint64
-	pins  map[uint64]int // garbage sequence at the start of a reader -> readers
-	seq   uint64         // of the newest garbage
-	stats Stats
+	mu          sync.Mutex
+	basesIssued uint64
+	pins        map[uint64]int // garbage sequence when a reader started -> number of readers
+	garbageSeq  uint64         // of the newest garbage when the catalogue was opened
+	stats       Stats
 
 	closed bool
 }
 
-// Stats are counts since the start.
+// Stats are counts since the catalogue was opened.
 type Stats struct{ Commits, Changes, Errors uint64 }
 
-// change is one change that waits for a transaction.
+// change is a change that waits for a transaction. done is called once it has committed or failed.
 type change struct {
-	do   func(*bolt.Tx) error
-	done func(error)
+	apply func(*bolt.Tx) error
+	done  func(error)
 }
 
 var (
-	bucketBegun   = []byte("begun")
+	bucketPending = []byte("begun")
 	bucketGarbage = []byte("garbage")
 	bucketMeta    = []byte("meta")
 	keyFormat     = []byte("format")
 	keyStart      = []byte("start")
 )
 
-func bucketOf(module string) []byte { return []byte("module/" + module) }
+func moduleBucket(module string) []byte { return []byte("module/" + module) }
 
-// ErrHeld says that another process has the catalogue open.
-var ErrHeld = errors.New("another process has the catalogue open; end it first or use another folder")
+// ErrLocked means that another process has the catalogue open.
+var ErrLocked = errors.New("another process has the catalogue open; end it first or use another folder")
 
-// Open opens the catalogue of a folder, and makes it where there is none. What a
-// process that was killed had begun becomes garbage.
+// Open opens the catalogue in a folder, or creates it. Pushes that were in progress when
+// the previous process was killed become garbage. name is the gateway's; every base begins with it.
 func Open(dir, name string, modules []string) (*Catalogue, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("store: %w", err)
@@ -183,43 +186,43 @@
 	db, err := bolt.Open(file, 0o600, &bolt.Options{Timeout: 2 * time.Second, FreelistType: bolt.FreelistMapType,
 		NoFreelistSync: true})
 	if errors.Is(err, bolt.ErrTimeout) {
-		err = ErrHeld
+		err = ErrLocked
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store: %s: %w", file, err)
 	}
-	c := &Catalogue{db: db, name: name, queue: make(chan *change, queueMost), ended: make(chan struct{}), pins: map[uint64]int{}}
-	if err := db.Update(func(tx *bolt.Tx) error { return c.begin(tx, modules) }); err != nil {
+	c := &Catalogue{db: db, name: name, queue: make(chan *change, maxQueuedChanges), stopped: make(chan struct{}), pins: map[uint64]int{}}
+	if err := db.Update(func(tx *bolt.Tx) error { return c.initialize(tx, modules) }); err != nil {
 		db.Close()
 		return nil, fmt.Errorf("store: %s: %w", file, err)
 	}
-	go c.commit()
+	go c.commitLoop()
 	return c, nil
 }
 
-// begin prepares the file for this start.
-func (c *Catalogue) begin(tx *bolt.Tx, modules []string) error {
+// initialize creates missing buckets, counts the opening and turns pending pushes into garbage.
+func (c *Catalogue) initialize(tx *bolt.Tx, modules []string) error {
 	meta, err := tx.CreateBucketIfNotExists(bucketMeta)
 	if err != nil {
 		return err
 	}
 	if v := meta.Get(keyFormat); v == nil {
-		if err := meta.Put(keyFormat, []byte{format}); err != nil {
+		if err := meta.Put(keyFormat, []byte{formatVersion}); err != nil {
 			return err
 		}
-	} else if len(v) != 1 || v[0] != format {
-		return fmt.Errorf("format %v: this program writes %d; it was left alone", v, format)
+	} else if len(v) != 1 || v[0] != formatVersion {
+		return fmt.Errorf("format %v: expected format %d; the file was not changed", v, formatVersion)
 	}
 	if v := meta.Get(keyStart); len(v) == 8 {
-		c.start = binary.BigEndian.Uint64(v)
+		c.openCount = binary.BigEndian.Uint64(v)
 	}
-	c.start++
-	if err := meta.Put(keyStart, binary.BigEndian.AppendUint64(nil, c.start)); err != nil {
+	c.openCount++
+	if err := meta.Put(keyStart, binary.BigEndian.AppendUint64(nil, c.openCount)); err != nil {
 		return err
 	}
-	names := [][]byte{bucketBegun, bucketGarbage}
+	names := [][]byte{bucketPending, bucketGarbage}
 	for _, m := range modules {
-		names = append(names, bucketOf(m))
+		names = append(names, moduleBucket(m))
 	}
 	for _, name := range names {
 		if _, err := tx.CreateBucketIfNotExists(name); err != nil {
@@ -227,16 +230,16 @@
 		}
 	}
 	for _, m := range modules {
-		if err := count(tx, m); err != nil {
+		if err := initUsage(tx, m); err != nil {
 			return fmt.Errorf("module %s: %w", m, err)
 		}
 	}
-	b := tx.Bucket(bucketBegun)
+	b := tx.Bucket(bucketPending)
 	var bases [][]byte
 	err = b.ForEach(func(base, v []byte) error {
-		var g begun
+		var g pendingPush
 		if err := msgpack.Unmarshal(v, &g); err != nil {
-			return fmt.Errorf("begun %q: %w", base, err)
+			return fmt.Errorf("pending push %q: %w", base, err)
 		}
 		bases = append(bases, bytes.Clone(base))
 		return c.addGarbage(tx, Garbage{Volume: g.Volume, Base: string(base), Parts: unknownParts(g.Parts)})
@@ -246,15 +249,15 @@
 			err = b.Delete(base)
 		}
 	}
-	c.seq = tx.Bucket(bucketGarbage).Sequence()
+	c.garbageSeq = tx.Bucket(bucketGarbage).Sequence()
 	return err
 }
 
-// unknownParts are parts that may lie anywhere.
+// unknownParts returns n parts whose shard and try are unknown.
 func unknownParts(n int) []Part {
 	parts := make([]Part, n)
 	for i := range parts {
-		parts[i].Shard, parts[i].Try = -1, mostTry
+		parts[i].Shard, parts[i].Try = -1, maxTry
 	}
 	return parts
 }
@@ -275,7 +278,7 @@
 	return b.Put(binary.BigEndian.AppendUint64(nil, seq), v)
 }
 
-// Close waits for the changes that are under way and closes the file.
+// Close waits for the queued changes and closes the file.
 func (c *Catalogue) Close() error {
 	c.mu.Lock()
 	closed := c.closed
@@ -285,7 +288,7 @@
 		return nil
 	}
 	close(c.queue)
-	<-c.ended
+	<-c.stopped
 	if err := c.db.Close(); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
@@ -299,13 +302,14 @@
 	return c.stats
 }
 
-// commit runs changes, as many as wait in one transaction.
-func (c *Catalogue) commit() {
-	defer close(c.ended)
+// commitLoop applies queued changes until the queue is closed, as many as are waiting in one
+// transaction.
+func (c *Catalogue) commitLoop() {
+	defer close(c.stopped)
 	for first := range c.queue {
 		group := []*change{first}
 	more:
-		for len(group) < groupMost {
+		for len(group) < maxGroupChanges {
 			select {
 			case next, ok := <-c.queue:
 				if !ok {
@@ -316,15 +320,16 @@
 				break more
 			}
 		}
-		c.run(group)
+		c.commitGroup(group)
 	}
 }
 
-// run commits a group; if one of it fails, each alone.
-func (c *Catalogue) run(group []*change) {
+// commitGroup commits a group in one transaction. If a change fails, it commits each change
+// on its own, so that only the faulty one fails.
+func (c *Catalogue) commitGroup(group []*change) {
 	err := c.db.Update(func(tx *bolt.Tx) error {
 		for _, ch := range group {
-			if err := ch.do(tx); err != nil {
+			if err := ch.apply(tx); err != nil {
 				return err
 			}
 		}
@@ -332,7 +337,7 @@
 	})
 	if err != nil && len(group) > 1 {
 		for _, ch := range group {
-			c.run([]*change{ch})
+			c.commitGroup([]*change{ch})
 		}
 		return
 	}
@@ -349,17 +354,17 @@
 	}
 }
 
-// ErrQueue says that more changes wait for the disk than may.
-var ErrQueue = fmt.Errorf("catalogue: %d changes wait for the disk already", queueMost)
+// ErrQueueFull means that maxQueuedChanges changes are waiting for the disk.
+var ErrQueueFull = fmt.Errorf("catalogue: %d changes wait for the disk already", maxQueuedChanges)
 
 func (c *Catalogue) enqueue(done func(error), do func(*bolt.Tx) error) {
 	c.mu.Lock()
-	err := ErrQueue
+	err := ErrQueueFull
 	if c.closed {
 		err = errClosed
 	} else {
 		select {
-		case c.queue <- &change{do: do, done: done}:
+		case c.queue <- &change{apply: do, done: done}:
 			err = nil
 		default:
 		}
@@ -372,37 +377,38 @@
 
 var errClosed = errors.New("catalogue: closed")
 
-// NewBase is a name that no other file's items begin with, ever.
+// NewBase returns an item name prefix that no other file version has used or will use.
 func (c *Catalogue) NewBase() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bases++
-	return fmt.Sprintf("%s-%x-%x", c.name, c.start, c.bases)
+	c.basesIssued++
+	return fmt.Sprintf("%s-%x-%x", c.name, c.openCount, c.basesIssued)
 }
 
-// Begin notes that a file's items are about to be written. Only then may they be.
+// Begin records that the items of a file are about to be written. No item may be written
+// before done is called without an error, or it could not be collected after a crash.
 func (c *Catalogue) Begin(volume, base string, parts int, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
-		v, err := msgpack.Marshal(&begun{Volume: volume, Parts: parts})
+		v, err := msgpack.Marshal(&pendingPush{Volume: volume, Parts: parts})
 		if err != nil {
 			return err
 		}
-		return tx.Bucket(bucketBegun).Put([]byte(base), v)
+		return tx.Bucket(bucketPending).Put([]byte(base), v)
 	})
 }
 
-// Abort turns what was begun into garbage.
+// Abort turns what a push that began has written into garbage.
 func (c *Catalogue) Abort(g Garbage, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
-		if err := tx.Bucket(bucketBegun).Delete([]byte(g.Base)); err != nil {
+		if err := tx.Bucket(bucketPending).Delete([]byte(g.Base)); err != nil {
 			return err
 		}
 		return c.addGarbage(tx, g)
 	})
 }
 
-// Commit puts an entry at a path; from then on it is what readers find. The items of
-// the entry that it replaces become garbage.
+// Commit stores an entry at a path, where readers then find it. The items of the entry
+// that it replaces and the lost ones become garbage.
 func (c *Catalogue) Commit(module, path string, e Entry, lost []Lost, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
 		if err := c.addGarbage(tx, Garbage{Volume: module, Base: e.Base, Lost: lost}); err != nil {
@@ -413,7 +419,7 @@
 }
 
 func (c *Catalogue) put(tx *bolt.Tx, module, path string, e Entry) error {
-	b := tx.Bucket(bucketOf(module))
+	b := tx.Bucket(moduleBucket(module))
 	old, ok, err := get(b, path)
 	if err != nil {
 		return err
@@ -424,7 +430,7 @@
 		}
 	}
 	if e.Base != "" {
-		if err := tx.Bucket(bucketBegun).Delete([]byte(e.Base)); err != nil {
+		if err := tx.Bucket(bucketPending).Delete([]byte(e.Base)); err != nil {
 			return err
 		}
 	}
@@ -435,20 +441,20 @@
 	if err := b.Put([]byte(path), v); err != nil {
 		return err
 	}
-	u, _ := usage(tx, module)
+	u, _ := readUsage(tx, module)
 	if !ok {
 		u.Files++
 	}
-	return putUsage(tx, module, Usage{u.Files, u.Bytes + e.bytes() - old.bytes()})
+	return writeUsage(tx, module, Usage{u.Files, u.Bytes + e.contentBytes() - old.contentBytes()})
 }
 
-// Usage is what a module's entries come to: each version that readers find, once.
+// Usage is the number and size of a module's entries, without versions that were replaced.
 type Usage struct {
 	Files int64 // entries of any kind
-	Bytes int64 // of content
+	Bytes int64 // of content, as stored in extents, as stored in extents
 }
 
-func (e *Entry) bytes() (n int64) {
+func (e *Entry) contentBytes() (n int64) {
 	for _, p := range e.Parts {
 		n += int64(p.Length)
 	}
@@ -457,8 +463,8 @@
 
 func usageKey(module string) []byte { return []byte("usage/" + module) }
 
-// usage reads what is booked; false: nothing is.
-func usage(tx *bolt.Tx, module string) (u Usage, ok bool) {
+// readUsage reads a module's stored usage; ok is false if there is none.
+func readUsage(tx *bolt.Tx, module string) (u Usage, ok bool) {
 	v := tx.Bucket(bucketMeta).Get(usageKey(module))
 	if len(v) != 16 {
 		return u, false
@@ -466,43 +472,44 @@
 	return Usage{int64(binary.BigEndian.Uint64(v)), int64(binary.BigEndian.Uint64(v[8:]))}, true
 }
 
-func putUsage(tx *bolt.Tx, module string, u Usage) error {
+func writeUsage(tx *bolt.Tx, module string, u Usage) error {
 	v := binary.BigEndian.AppendUint64(nil, uint64(u.Files))
 	return tx.Bucket(bucketMeta).Put(usageKey(module), binary.BigEndian.AppendUint64(v, uint64(u.Bytes)))
 }
 
-// count books a module's usage in a file that was written before it was.
-func count(tx *bolt.Tx, module string) error {
-	if _, ok := usage(tx, module); ok {
+// initUsage computes a module's usage from its entries if none is stored, as in a new file or
+// in one written before usage was stored.
+func initUsage(tx *bolt.Tx, module string) error {
+	if _, ok := readUsage(tx, module); ok {
 		return nil
 	}
 	var u Usage
-	err := tx.Bucket(bucketOf(module)).ForEach(func(path, v []byte) error {
+	err := tx.Bucket(moduleBucket(module)).ForEach(func(path, v []byte) error {
 		var e Entry
 		if err := msgpack.Unmarshal(v, &e); err != nil {
 			return fmt.Errorf("entry %q cannot be read: %w", path, err)
 		}
-		u.Files, u.Bytes = u.Files+1, u.Bytes+e.bytes()
+		u.Files, u.Bytes = u.Files+1, u.Bytes+e.contentBytes()
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	return putUsage(tx, module, u)
+	return writeUsage(tx, module, u)
 }
 
-// Run is the parts of one file version on one shard.
+// Run describes the parts of one file version that are on one shard.
 type Run struct {
 	Volume, Path, Base string
 	Shard, Parts       int
 	Bytes              int64
 }
 
-// Versions calls each with the entry of every path of some modules, in the order of paths.
+// Versions calls each with every entry of the given modules, module by module in order of path.
 func (c *Catalogue) Versions(modules []string, each func(module, path string, e *Entry)) error {
 	err := c.db.View(func(tx *bolt.Tx) error {
 		for _, m := range modules {
-			b := tx.Bucket(bucketOf(m))
+			b := tx.Bucket(moduleBucket(m))
 			if b == nil {
 				return fmt.Errorf("%s: no such module", m)
 			}
@@ -525,12 +532,12 @@
 	return nil
 }
 
-// Runs calls each with every run of every module, in the order of paths.
+// Runs calls each with every run of the given modules, module by module in order of path.
 func (c *Catalogue) Runs(modules []string, each func(Run)) error {
-	return c.Versions(modules, func(module, path string, e *Entry) { runs(module, path, e, each) })
+	return c.Versions(modules, func(module, path string, e *Entry) { forEachRun(module, path, e, each) })
 }
 
-func runs(module, path string, e *Entry, each func(Run)) {
+func forEachRun(module, path string, e *Entry, each func(Run)) {
 	var list []Run
 	for _, p := range e.Parts {
 		i := slices.IndexFunc(list, func(r Run) bool { return r.Shard == p.Shard })
@@ -546,11 +553,11 @@
 	}
 }
 
-// Usage is what a module's entries come to now.
+// Usage returns the current usage of a module.
 func (c *Catalogue) Usage(module string) (u Usage, err error) {
 	err = c.db.View(func(tx *bolt.Tx) error {
 		var ok bool
-		if u, ok = usage(tx, module); !ok {
+		if u, ok = readUsage(tx, module); !ok {
 			return fmt.Errorf("catalogue: %s: no such module", module)
 		}
 		return nil
@@ -558,16 +565,16 @@
 	return u, err
 }
 
-// Amend gives the entry at a path other attributes, if its content is still that of
-// base; else nothing changes.
-func (c *Catalogue) Amend(module, path, base string, with func(*Entry), done func(error)) {
+// Amend changes attributes of the entry at a path if its base is still the given one;
+// otherwise it changes nothing.
+func (c *Catalogue) Amend(module, path, base string, update func(*Entry), done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
-		b := tx.Bucket(bucketOf(module))
+		b := tx.Bucket(moduleBucket(module))
 		e, ok, err := get(b, path)
 		if err != nil || !ok || e.Base != base {
 			return err
 		}
-		with(&e)
+		update(&e)
 		v, err := msgpack.Marshal(&e)
 		if err != nil {
 			return err
@@ -576,12 +583,12 @@
 	})
 }
 
-// ErrElsewhere says that parts are not where they were to be moved from: nothing was changed.
+// ErrElsewhere means that the parts are not on the expected shards and that nothing was changed.
 var ErrElsewhere = errors.New("catalogue: the version is gone, or its parts lie elsewhere")
 
-// Rehome says that parts of a file version, by index, lie on another shard from now on: all of them, or with
-// ErrElsewhere none. What they leave is garbage from then on, which is collected once nobody reads it. Asked
-// again it does nothing and is done.
+// Rehome records that parts of a file version, given by index, have moved from the shard source to the shard
+// target: all of them, or none with ErrElsewhere. The copies on the source become garbage, which is collected
+// once no reader needs it. Parts that are on the target already stay as they are, so a call may be repeated.
 func (c *Catalogue) Rehome(module, path, base string, parts []int, source, target int, done func(error)) {
 	elsewhere := false
 	c.enqueue(func(err error) {
@@ -590,20 +597,20 @@
 		}
 		done(err)
 	}, func(tx *bolt.Tx) (err error) {
-		elsewhere, err = c.rehome(tx, module, path, base, parts, source, target)
+		elsewhere, err = c.moveParts(tx, module, path, base, parts, source, target)
 		return err
 	})
 }
 
-func (c *Catalogue) rehome(tx *bolt.Tx, module, path, base string, parts []int, source, target int) (elsewhere bool, err error) {
-	b := tx.Bucket(bucketOf(module))
+func (c *Catalogue) moveParts(tx *bolt.Tx, module, path, base string, parts []int, source, target int) (elsewhere bool, err error) {
+	b := tx.Bucket(moduleBucket(module))
 	e, ok, err := get(b, path)
 	if err != nil || !ok || e.Base != base {
 		return err == nil, err
 	}
-	left := Garbage{Volume: module, Base: base, Parts: slices.Clone(e.Parts)}
-	for i := range left.Parts {
-		left.Parts[i].Shard = NotGarbage
+	freed := Garbage{Volume: module, Base: base, Parts: slices.Clone(e.Parts)}
+	for i := range freed.Parts {
+		freed.Parts[i].Shard = NotGarbage
 	}
 	moved := false
 	for _, i := range parts {
@@ -611,7 +618,7 @@
 			return true, nil
 		}
 		if e.Parts[i].Shard == source {
-			left.Parts[i].Shard, e.Parts[i].Shard, moved = source, target, true
+			freed.Parts[i].Shard, e.Parts[i].Shard, moved = source, target, true
 		}
 	}
 	if !moved {
@@ -622,7 +629,7 @@
 		err = b.Put([]byte(path), v)
 	}
 	if err == nil {
-		err = c.addGarbage(tx, left)
+		err = c.addGarbage(tx, freed)
 	}
 	return false, err
 }
@@ -642,10 +649,10 @@
 	return e, true, nil
 }
 
-// Stat finds the entry at a path.
+// Stat returns the entry at a path; ok is false if there is none.
 func (c *Catalogue) Stat(module, path string) (e Entry, ok bool, err error) {
 	err = c.db.View(func(tx *bolt.Tx) error {
-		e, ok, err = get(tx.Bucket(bucketOf(module)), path)
+		e, ok, err = get(tx.Bucket(moduleBucket(module)), path)
 		return err
 	})
 	if err != nil {
@@ -654,7 +661,7 @@
 	return e, ok, err
 }
 
-// Resolve finds the extents of a range of a file.
+// Resolve returns the extents that hold a range of a file.
 func (c *Catalogue) Resolve(volume, path string, offset, length int64) ([]extent.Extent, error) {
 	e, ok, err := c.Stat(volume, path)
 	if err == nil && !ok {
@@ -666,15 +673,15 @@
 	return extent.Within(e.Extents(), offset, length), nil
 }
 
-// Scan returns up to n entries below a directory, in the order of their bytes, that
-// come after the given path; only the directory's own entries unless deep.
-func (c *Catalogue) Scan(module, dir, after string, deep bool, n int) (list []Named, err error) {
+// Scan returns up to n entries below a directory that come after the given path, in byte
+// order of their paths. Unless deep, it returns only the directory's direct entries.
+func (c *Catalogue) Scan(module, dir, after string, deep bool, n int) (list []NamedEntry, err error) {
 	prefix := dir + "/"
 	if dir == "." || dir == "" {
 		prefix = ""
 	}
 	err = c.db.View(func(tx *bolt.Tx) error {
-		b := tx.Bucket(bucketOf(module))
+		b := tx.Bucket(moduleBucket(module))
 		if b == nil {
 			return errors.New("no such module")
 		}
@@ -691,7 +698,7 @@
 				continue
 			}
 			if i := strings.IndexByte(path[len(prefix):], '/'); i >= 0 && !deep {
-				// inside a directory of its own: on to what comes behind it
+				// The entry is in a subdirectory: skip the whole subdirectory.
 				k, v = cur.Seek([]byte(path[:len(prefix)+i] + "0")) // '0' follows '/'
 				continue
 			}
@@ -699,7 +706,7 @@
 			if err := msgpack.Unmarshal(v, &e); err != nil {
 				return fmt.Errorf("entry %q cannot be read: %w", path, err)
 			}
-			list = append(list, Named{path, e})
+			list = append(list, NamedEntry{path, e})
 			k, v = cur.Next()
 		}
 		return nil
@@ -710,10 +717,10 @@
 	return list, err
 }
 
-// Count is the number of entries of a module.
+// Count returns the number of entries of a module; 0 if there is no such module.
 func (c *Catalogue) Count(module string) (n int) {
 	_ = c.db.View(func(tx *bolt.Tx) error {
-		if b := tx.Bucket(bucketOf(module)); b != nil {
+		if b := tx.Bucket(moduleBucket(module)); b != nil {
 			n = b.Stats().KeyN
 		}
 		return nil
@@ -721,33 +728,33 @@
 	return n
 }
 
-// Pin keeps the items of what can be found now from being collected until the
-// returned function is called.
+// Pin protects the items of all entries that exist now from collection, also if an entry is
+// replaced meanwhile, until the returned function is called.
 func (c *Catalogue) Pin() (release func()) {
-	at := uint64(0)
+	seq := uint64(0)
 	_ = c.db.View(func(tx *bolt.Tx) error {
-		at = tx.Bucket(bucketGarbage).Sequence()
+		seq = tx.Bucket(bucketGarbage).Sequence()
 		return nil
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pins[at]++
+	c.pins[seq]++
 	return func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.pins[at]--; c.pins[at] == 0 {
-			delete(c.pins, at)
+		if c.pins[seq]--; c.pins[seq] == 0 {
+			delete(c.pins, seq)
 		}
 	}
 }
 
-// Collectable returns up to n runs of garbage that no reader may still need, by
-// sequence.
+// Collectable returns up to n records of garbage that no reader may still need, with their
+// sequence numbers, oldest first.
 func (c *Catalogue) Collectable(n int) (seqs []uint64, list []Garbage, err error) {
 	c.mu.Lock()
 	limit := ^uint64(0)
-	for at := range c.pins {
-		limit = min(limit, at)
+	for pinned := range c.pins {
+		limit = min(limit, pinned)
 	}
 	c.mu.Unlock()
 	err = c.db.View(func(tx *bolt.Tx) error {
@@ -771,8 +778,8 @@
 	return seqs, list, err
 }
 
-// GarbageAt says of some bases on which shards items of theirs wait to be collected: none may come back there
-// before they are.
+// GarbageAt returns, for the given bases, the shards on which items wait to be collected. No part of a base may
+// move to such a shard before that, or it would be collected too.
 func (c *Catalogue) GarbageAt(bases map[string]bool) (shards map[string]map[int]bool, err error) {
 	shards = map[string]map[int]bool{}
 	err = c.db.View(func(tx *bolt.Tx) error {
@@ -799,7 +806,7 @@
 	return shards, nil
 }
 
-// Collected forgets a run of garbage whose items are gone.
+// Collected removes a record of garbage whose items have been deleted.
 func (c *Catalogue) Collected(seq uint64, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketGarbage).Delete(binary.BigEndian.AppendUint64(nil, seq))
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -24,7 +24,7 @@
 	return c
 }
 
-// wait turns a done callback into a call that waits.
+// wait calls f with a callback and returns the error that the callback receives.
 func wait(f func(done func(error))) error {
 	ended := make(chan error, 1)
 	f(func(err error) { ended <- err })
@@ -38,7 +38,7 @@
 	}
 }
 
-func parts(n int) (list []Part) {
+func testParts(n int) (list []Part) {
 	for i := range n {
 		list = append(list, Part{Shard: i % 3, Length: 100 + i, Sum: uint64(i)})
 	}
@@ -48,7 +48,7 @@
 func TestCommitAndRead(t *testing.T) {
 	dir := t.TempDir()
 	c := open(t, dir)
-	want := Entry{Mode: 0o100644, Size: 306, MTime: 5, UID: 1, GID: 2, Base: c.NewBase(), Parts: parts(3)}
+	want := Entry{Mode: 0o100644, Size: 306, MTime: 5, UID: 1, GID: 2, Base: c.NewBase(), Parts: testParts(3)}
 	want.Parts[1].Try = 2
 	c.mustCommit(t, "a/b", want)
 	got, ok, err := c.Stat("m", "a/b")
@@ -64,13 +64,13 @@
 		t.Errorf("resolved %+v %v", within, err)
 	}
 	if _, err := c.Resolve("m", "nothing", 0, 1); err == nil || !strings.Contains(err.Error(), "nothing") {
-		t.Errorf("resolve of nothing: %v", err)
+		t.Errorf("resolve of a missing file: %v", err)
 	}
 	if _, _, err := c.Stat("no such module", "a"); err == nil {
-		t.Error("no such module")
+		t.Error("stat in a missing module: no error")
 	}
-	if _, err := Open(dir, "g", nil); !errors.Is(err, ErrHeld) {
-		t.Errorf("a second opening: %v", err)
+	if _, err := Open(dir, "g", nil); !errors.Is(err, ErrLocked) {
+		t.Errorf("second Open: %v, want %v", err, ErrLocked)
 	}
 	base := c.NewBase()
 	c.Close()
@@ -79,15 +79,15 @@
 		t.Errorf("after a restart: %+v %v", got, ok)
 	}
 	if again.NewBase() == base {
-		t.Error("a base was given twice")
+		t.Errorf("base %q was returned twice", base)
 	}
 	if err := wait(func(d func(error)) { c.Begin("m", "x", 1, d) }); err == nil {
-		t.Error("a change after Close")
+		t.Error("change after Close: no error")
 	}
 }
 
-// TestScanAgainstList compares listings with a plain filter over all paths.
-func TestScanAgainstList(t *testing.T) {
+// TestScanMatchesFilter compares Scan's pages with a filter over all paths.
+func TestScanMatchesFilter(t *testing.T) {
 	name := rapid.StringMatching(`[-.0ab]{1,2}(/[-.0ab]{1,2}){0,2}`)
 	rapid.Check(t, func(rt *rapid.T) {
 		dir, err := os.MkdirTemp(t.TempDir(), "")
@@ -102,7 +102,7 @@
 		all := map[string]bool{}
 		for _, p := range rapid.SliceOfN(name, 0, 20).Draw(rt, "paths") {
 			all[p] = true
-			for i := range p { // the directories that it lies in
+			for i := range p { // its parent directories
 				if p[i] == '/' {
 					all[p[:i]] = true
 				}
@@ -139,12 +139,12 @@
 			}
 		}
 		if !slices.Equal(got, want) {
-			rt.Fatalf("below %s, deep %v, by %d: %q, want %q", base, deep, n, got, want)
+			rt.Fatalf("directory %s, deep %v, %d a page: %q, want %q", base, deep, n, got, want)
 		}
 	})
 }
 
-// garbage lists what may be collected.
+// garbage returns the collectable items, as ITEM@SHARD, and the sequence numbers of their records.
 func (c *Catalogue) garbage(t testing.TB) (items []string, seqs []uint64) {
 	t.Helper()
 	seqs, list, err := c.Collectable(1000)
@@ -157,23 +157,23 @@
 	return items, seqs
 }
 
-// TestGarbage: what a commit replaces, a push gives up, or a kill leaves behind is
-// found again, and nothing else.
+// TestGarbage checks that exactly the items that a commit replaces, an aborted push wrote or a
+// killed process left behind become collectable, and not before their readers have finished.
 func TestGarbage(t *testing.T) {
 	dir := t.TempDir()
 	c := open(t, dir)
-	c.mustCommit(t, "f", Entry{Base: "one", Parts: parts(2)})
-	pin := c.Pin() // someone reads the old version
+	c.mustCommit(t, "f", Entry{Base: "one", Parts: testParts(2)})
+	pin := c.Pin() // a reader of the old version
 	if err := wait(func(d func(error)) { c.Begin("m", "two", 3, d) }); err != nil {
 		t.Fatal(err)
 	}
 	if err := wait(func(d func(error)) {
-		c.Commit("m", "f", Entry{Base: "two", Parts: parts(3)}, []Lost{{Index: 1, Try: 0}}, d)
+		c.Commit("m", "f", Entry{Base: "two", Parts: testParts(3)}, []Lost{{Index: 1, Try: 0}}, d)
 	}); err != nil {
 		t.Fatal(err)
 	}
 	if items, _ := c.garbage(t); len(items) != 0 {
-		t.Errorf("collected under a reader: %v", items)
+		t.Errorf("collectable while a reader needs them: %v", items)
 	}
 	pin()
 	items, seqs := c.garbage(t)
@@ -195,7 +195,7 @@
 	}
 	items, seqs = c.garbage(t)
 	if want := []string{"three.0@2", "three.1@-1", "three.1.1@-1"}; !slices.Equal(items, want) {
-		t.Errorf("after a push was given up: %v, want %v", items, want)
+		t.Errorf("after an aborted push: %v, want %v", items, want)
 	}
 	for _, s := range seqs {
 		wait(func(d func(error)) { c.Collected(s, d) })
@@ -204,19 +204,19 @@
 		t.Fatal(err)
 	}
 	if items, _ = c.garbage(t); len(items) != 0 {
-		t.Errorf("a push that is under way: %v", items)
+		t.Errorf("collectable during a push: %v", items)
 	}
-	c.Close() // as after a kill: nothing was said of it
+	c.Close() // neither commits nor aborts the push, as when the process is killed
 	c = open(t, dir)
-	if items, _ = c.garbage(t); len(items) != 2*(mostTry+1) || items[0] != "four.0@-1" {
+	if items, _ = c.garbage(t); len(items) != 2*(maxTry+1) || items[0] != "four.0@-1" {
 		t.Errorf("after a restart: %v", items)
 	}
 }
 
-// TestAmendOnlyItsContent: attributes meant for one version do not go to another.
-func TestAmendOnlyItsContent(t *testing.T) {
+// TestAmendMatchesBase checks that attributes meant for one version are not applied to another.
+func TestAmendMatchesBase(t *testing.T) {
 	c := open(t, t.TempDir())
-	c.mustCommit(t, "f", Entry{Base: "new", MTime: 1, Parts: parts(1)})
+	c.mustCommit(t, "f", Entry{Base: "new", MTime: 1, Parts: testParts(1)})
 	for _, base := range []string{"old", "new"} {
 		if err := wait(func(d func(error)) { c.Amend("m", "f", base, func(e *Entry) { e.MTime++ }, d) }); err != nil {
 			t.Fatal(err)
@@ -227,10 +227,11 @@
 	}
 }
 
-// TestOneBadChangeDoesNotFailItsGroup: changes of one transaction end each for itself.
-func TestOneBadChangeDoesNotFailItsGroup(t *testing.T) {
+// TestFailedChangeDoesNotFailGroup checks that one failing change does not fail the others that
+// were grouped into its transaction.
+func TestFailedChangeDoesNotFailGroup(t *testing.T) {
 	c := open(t, t.TempDir())
-	bad := errors.New("on purpose")
+	bad := errors.New("injected failure")
 	ends := make(chan error, 3)
 	hold := make(chan bool)
 	c.enqueue(func(error) {}, func(*bolt.Tx) error { <-hold; return nil })
@@ -253,15 +254,16 @@
 	}
 }
 
-// TestForeignFiles: what is no catalogue, or a newer one, is left alone with a word.
-func TestForeignFiles(t *testing.T) {
+// TestOpenRejectsForeignFiles checks that Open returns an error for a file that is not a catalogue
+// and for a catalogue of a newer format.
+func TestOpenRejectsForeignFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "catalogue.db")
 	if err := os.WriteFile(file, []byte(strings.Repeat("not a catalogue", 1000)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, "g", nil); err == nil || !strings.Contains(err.Error(), file) {
-		t.Errorf("noise: %v", err)
+		t.Errorf("not a catalogue: %v", err)
 	}
 	os.Remove(file)
 	c := open(t, dir)
@@ -270,12 +272,11 @@
 	})
 	c.Close()
 	if _, err := Open(dir, "g", nil); err == nil || !strings.Contains(err.Error(), "format") {
-		t.Errorf("a newer format: %v", err)
+		t.Errorf("newer format: %v", err)
 	}
 }
 
-// BenchmarkOpen is the start on a catalogue of a million files. Its making is not
-// counted.
+// BenchmarkOpen measures Open on a catalogue of a million files, without the time to create it.
 func BenchmarkOpen(b *testing.B) {
 	dir := b.TempDir()
 	c, err := Open(dir, "g", []string{"m"})
