--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -13,17 +13,17 @@
 	"eiderhold/control"
 )
 
-var settings = control.Settings{Hosts: 1, LoadFields: []string{"queue", "latency_ms"}, MaxAttempts: 4, SecondCopies: true,
+var testSettings = control.Settings{Hosts: 1, LoadFields: []string{"queue", "latency_ms"}, MaxAttempts: 4, SecondCopies: true,
 	Classes: []control.Class{{Name: "read", Aim: 100 * time.Millisecond, Deadline: time.Second, Worth: 1}}}
 
-// play runs a small day through a controller and records it.
-func play(t testing.TB, opt Options, steps int) []string {
+// recordRun records requests, one each step, and their outcomes, and returns the record's files.
+func recordRun(t testing.TB, opt Options, steps int) []string {
 	t.Helper()
-	w, err := NewWriter(opt, settings, 7)
+	w, err := NewWriter(opt, testSettings, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, _ := control.New(settings, 7)
+	c, _ := control.New(testSettings, 7)
 	now := time.Hour
 	step := func(events ...control.Event) []control.Action {
 		a := c.Step(now, events)
@@ -49,10 +49,10 @@
 	return files
 }
 
-func TestReplayGetsTheSameActions(t *testing.T) {
-	files := play(t, Options{Dir: t.TempDir(), FileBytes: 4000, Files: 1000}, 200)
+func TestReplayReproducesActions(t *testing.T) {
+	files := recordRun(t, Options{Dir: t.TempDir(), FileBytes: 4000, Files: 1000}, 200)
 	if len(files) < 3 {
-		t.Fatalf("%d files: the record did not rotate", len(files))
+		t.Fatalf("%d files, want 3 or more", len(files))
 	}
 	res, err := Replay(files, nil)
 	if err != nil || res.Torn || res.Actions < 200 {
@@ -63,9 +63,9 @@
 	}
 }
 
-func TestReplayTellsADifference(t *testing.T) {
+func TestReplayReportsDifference(t *testing.T) {
 	dir := t.TempDir()
-	w, _ := NewWriter(Options{Dir: dir, FileBytes: 1 << 20, Files: 1}, settings, 7)
+	w, _ := NewWriter(Options{Dir: dir, FileBytes: 1 << 20, Files: 1}, testSettings, 7)
 	w.Batch(time.Second, []control.Event{control.Request{ID: "x", Class: "no such"}}, []control.Action{control.Refuse{ID: "x"}})
 	w.Close()
 	files, _ := filepath.Glob(filepath.Join(dir, "batches-*"))
@@ -77,15 +77,16 @@
 }
 
 func TestRotationIsBounded(t *testing.T) {
-	files := play(t, Options{Dir: t.TempDir(), FileBytes: 2000, Files: 2}, 300)
+	files := recordRun(t, Options{Dir: t.TempDir(), FileBytes: 2000, Files: 2}, 300)
 	if len(files) != 2 {
-		t.Fatalf("%d files are kept, want 2", len(files))
+		t.Fatalf("%d files kept, want 2", len(files))
 	}
 }
 
-// TestTornAndDamaged cuts the record at every byte, and flips bits.
-func TestTornAndDamaged(t *testing.T) {
-	files := play(t, Options{Dir: t.TempDir(), FileBytes: 1 << 20, Files: 1}, 5)
+// TestTruncatedAndDamaged cuts a record at every byte, which must keep the complete batches, and flips
+// bits, which must be detected.
+func TestTruncatedAndDamaged(t *testing.T) {
+	files := recordRun(t, Options{Dir: t.TempDir(), FileBytes: 1 << 20, Files: 1}, 5)
 	whole, _ := os.ReadFile(files[0])
 	cut := filepath.Join(t.TempDir(), "cut")
 	last := uint64(0)
@@ -105,13 +106,13 @@
 		bad[at] ^= 0x10
 		os.WriteFile(cut, bad, 0o644)
 		if res, err := Replay([]string{cut}, nil); err == nil && !res.Torn {
-			t.Fatalf("byte %d flipped and not found", at)
+			t.Fatalf("flipped bit in byte %d was not detected", at)
 		}
 	}
 }
 
 func FuzzReader(f *testing.F) {
-	files := play(f, Options{Dir: f.TempDir(), FileBytes: 1 << 20, Files: 1}, 3)
+	files := recordRun(f, Options{Dir: f.TempDir(), FileBytes: 1 << 20, Files: 1}, 3)
 	whole, _ := os.ReadFile(files[0])
 	f.Add(whole)
 	f.Add(whole[:len(whole)-5])
