--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -21,24 +21,24 @@
 	"eiderhold/rebalance"
 )
 
-// AdminSocket is where a running gateway answers commands, in its folder: HTTP over a Unix socket that only
-// its own user may open.
+// AdminSocket is the name of the Unix socket in a gateway's folder on which a running gateway answers commands
+// over HTTP. Only the gateway's own user may open it.
 const AdminSocket = "admin.sock"
 
-// longestSocket is what a Unix socket's name may have on Linux (unix(7), sun_path), without its last byte.
-const longestSocket = 107
+// maxSocketPathBytes is the size of sun_path on Linux (unix(7)) without its terminating zero byte.
+const maxSocketPathBytes = 107
 
-const adminTime = time.Minute // of one command
+const adminTimeout = time.Minute // for one command
 
-// admin begins to answer commands. A gateway serves without it if it cannot.
-func (g *Gateway) admin() {
+// serveAdmin starts to answer commands. If the socket cannot be opened, the gateway runs without it.
+func (g *Gateway) serveAdmin() {
 	file := filepath.Join(g.cfg.Gateway.Dir, AdminSocket)
-	err := os.Remove(file) // the catalogue's lock says that no other gateway uses it
+	err := os.Remove(file) // the catalogue's lock ensures that no other gateway uses the folder
 	if errors.Is(err, fs.ErrNotExist) {
 		err = nil
 	}
-	if err == nil && len(file) > longestSocket {
-		err = fmt.Errorf("its name has %d bytes, at most %d: a shorter gateway.dir", len(file), longestSocket)
+	if err == nil && len(file) > maxSocketPathBytes {
+		err = fmt.Errorf("socket path has %d bytes, at most %d allowed: set a shorter gateway.dir", len(file), maxSocketPathBytes)
 	}
 	var ln net.Listener
 	if err == nil {
@@ -48,7 +48,7 @@
 		err = os.Chmod(file, 0o600)
 	}
 	if err != nil {
-		g.log.Warn("admin: no commands are answered", "socket", file, "err", err)
+		g.log.Warn("admin: the socket could not be opened; commands are not answered", "socket", file, "err", err)
 		return
 	}
 	mux := http.NewServeMux()
@@ -57,25 +57,25 @@
 		answer(w, s, err)
 	})
 	mux.HandleFunc("GET /plan", func(w http.ResponseWriter, r *http.Request) {
-		set, err := planSettings(r.URL.Query())
+		settings, err := planSettings(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		p, err := g.Plan(set)
+		p, err := g.Plan(settings)
 		answer(w, p, err)
 	})
 	mux.HandleFunc("POST /rebalance", func(w http.ResponseWriter, r *http.Request) {
-		set, err := planSettings(r.URL.Query())
+		settings, err := planSettings(r.URL.Query())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		s, err := g.Rebalance(set)
+		s, err := g.Rebalance(settings)
 		answer(w, s, err)
 	})
 	mux.HandleFunc("GET /moves", func(w http.ResponseWriter, _ *http.Request) {
-		list, err := g.mig.Progress()
+		list, err := g.migrator.Progress()
 		answer(w, list, err)
 	})
 	mux.HandleFunc("POST /moves/undo", func(w http.ResponseWriter, r *http.Request) {
@@ -84,14 +84,14 @@
 			http.Error(w, fmt.Sprintf("id = %q: a number", r.URL.Query().Get("id")), http.StatusBadRequest)
 			return
 		}
-		answer(w, struct{}{}, g.mig.Undo(id))
+		answer(w, struct{}{}, g.migrator.Undo(id))
 	})
-	g.adm = &http.Server{Handler: mux, ReadTimeout: adminTime, WriteTimeout: adminTime, MaxHeaderBytes: 16 << 10}
+	g.adminServer = &http.Server{Handler: mux, ReadTimeout: adminTimeout, WriteTimeout: adminTimeout, MaxHeaderBytes: 16 << 10}
 	g.wg.Add(1)
 	go func() {
 		defer g.wg.Done()
-		if err := g.adm.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
-			g.log.Warn("admin: commands are no longer answered", "err", err)
+		if err := g.adminServer.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+			g.log.Warn("admin: the server stopped; commands are no longer answered", "err", err)
 		}
 	}()
 }
@@ -102,25 +102,25 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the client went
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// ErrNotRunning says that no gateway answers on a folder.
+// ErrNotRunning means that no gateway answers on the socket of a folder.
 var ErrNotRunning = errors.New("no gateway is running on this folder")
 
-// Command asks the gateway that runs on a folder and decodes its answer.
+// Command sends a GET request to the gateway that runs on a folder and decodes its answer.
 func Command(ctx context.Context, dir, path string, query url.Values, into any) error {
 	return command(ctx, http.MethodGet, dir, path, query, into)
 }
 
-// Order is Command for what changes something.
+// Order sends a POST request, for a command that changes something, and decodes its answer.
 func Order(ctx context.Context, dir, path string, query url.Values, into any) error {
 	return command(ctx, http.MethodPost, dir, path, query, into)
 }
 
 func command(ctx context.Context, method, dir, path string, query url.Values, into any) error {
 	file := filepath.Join(dir, AdminSocket)
-	c := &http.Client{Timeout: adminTime, Transport: &http.Transport{DisableKeepAlives: true,
+	c := &http.Client{Timeout: adminTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			var d net.Dialer
 			conn, err := d.DialContext(ctx, "unix", file)
@@ -148,31 +148,32 @@
 	return nil
 }
 
-// PlanQuery is settings as planSettings reads them.
-func PlanQuery(set rebalance.Settings) url.Values {
-	return url.Values{"least": {strconv.FormatFloat(set.Least, 'g', -1, 64)}, "moves": {strconv.Itoa(set.Moves)},
-		"per_node": {strconv.Itoa(set.PerNode)}, "rate": {strconv.FormatInt(set.Rate, 10)}}
+// PlanQuery encodes settings for the commands /plan and /rebalance.
+func PlanQuery(settings rebalance.Settings) url.Values {
+	return url.Values{"least": {strconv.FormatFloat(settings.Least, 'g', -1, 64)}, "moves": {strconv.Itoa(settings.Moves)},
+		"per_node": {strconv.Itoa(settings.PerNode)}, "rate": {strconv.FormatInt(settings.Rate, 10)}}
 }
 
-func planSettings(q url.Values) (set rebalance.Settings, err error) {
-	set = rebalance.Default
-	for key, into := range map[string]any{"least": &set.Least, "moves": &set.Moves, "per_node": &set.PerNode, "rate": &set.Rate} {
+// planSettings decodes a query as PlanQuery encodes it. Settings that it lacks keep their defaults.
+func planSettings(q url.Values) (settings rebalance.Settings, err error) {
+	settings = rebalance.Default
+	for key, into := range map[string]any{"least": &settings.Least, "moves": &settings.Moves, "per_node": &settings.PerNode, "rate": &settings.Rate} {
 		if q.Get(key) == "" {
 			continue
 		}
 		if _, err := fmt.Sscan(q.Get(key), into); err != nil {
-			return set, fmt.Errorf("%s = %q: a number", key, q.Get(key))
+			return settings, fmt.Errorf("%s = %q: a number", key, q.Get(key))
 		}
 	}
-	return set, set.Check()
+	return settings, settings.Check()
 }
 
-// Plan works out what is to move between shards so that they fill evenly. Nothing is moved.
-func (g *Gateway) Plan(set rebalance.Settings) (*rebalance.Plan, error) {
-	if g.plc == nil {
+// Plan computes moves that even out the fill of the shards. It does not start them.
+func (g *Gateway) Plan(settings rebalance.Settings) (*rebalance.Plan, error) {
+	if g.placer == nil {
 		return nil, errors.New("placement.choice = 0: no fill is known, and nothing is planned")
 	}
-	set.High = g.cfg.Place.Low // what is moved is to leave a shard taking new data
+	settings.High = g.cfg.Place.Low // so that a target of moves still takes new data afterwards
 	g.mu.Lock()
 	var modules []string
 	for _, m := range g.modules {
@@ -180,40 +181,40 @@
 	}
 	g.mu.Unlock()
 	var units []rebalance.Unit
-	if err := g.cat.Runs(modules, func(r store.Run) {
+	if err := g.catalogue.Runs(modules, func(r store.Run) {
 		units = append(units, rebalance.Unit{Volume: r.Volume, Base: r.Base, Shard: r.Shard, Parts: r.Parts, Bytes: r.Bytes})
 	}); err != nil {
 		return nil, err
 	}
-	shards, allowed := g.plc.rebalancing(func(shard int) bool { _, _, lost := g.out.lost(shard); return lost })
-	return rebalance.Make(set, shards, units, allowed)
+	shards, allowed := g.placer.rebalanceInput(func(shard int) bool { _, _, lost := g.outages.lost(shard); return lost })
+	return rebalance.Make(settings, shards, units, allowed)
 }
 
-// Started is a plan that is being carried out.
+// Started is the answer to a rebalance command: the plan and the number of its moves that were started.
 type Started struct {
-	Moves int             `json:"moves"` // begun; the others' data is on its way already or gone
+	Moves int             `json:"moves"` // started; the data of the others is being moved already or no longer exists
 	Plan  *rebalance.Plan `json:"plan"`
 }
 
-// Rebalance plans and has the moves begin.
-func (g *Gateway) Rebalance(set rebalance.Settings) (*Started, error) {
-	p, err := g.Plan(set)
+// Rebalance makes a plan and starts its moves.
+func (g *Gateway) Rebalance(settings rebalance.Settings) (*Started, error) {
+	p, err := g.Plan(settings)
 	if err != nil {
 		return nil, err
 	}
-	n, err := g.mig.Start(p)
+	n, err := g.migrator.Start(p)
 	return &Started{n, p}, err
 }
 
-// rebalancing is what a plan is made of: shards that are cold or lost neither give nor take, since moves
-// must not be what pushes them over.
-func (p *places) rebalancing(lost func(shard int) bool) ([]rebalance.Shard, func(volume string, shard int) bool) {
+// rebalanceInput returns the shards for a plan, and a function that reports whether a volume may be on a shard.
+// Shards that are cold or lost neither give nor take, since the load of moves could overload them.
+func (p *placer) rebalanceInput(lost func(shard int) bool) ([]rebalance.Shard, func(volume string, shard int) bool) {
 	levels := p.levels()
 	var list []rebalance.Shard
 	for _, l := range levels {
 		s := rebalance.Shard{ID: l.Shard, Used: l.Used, Capacity: l.Capacity}
 		listed, ready, warm := 0, 0, true
-		for _, n := range p.nodes.of(l.Shard) {
+		for _, n := range p.nodes.ofShard(l.Shard) {
 			listed++
 			if n.State == control.Ready {
 				ready++
@@ -226,9 +227,9 @@
 		list = append(list, s)
 	}
 	p.mu.Lock()
-	placed := p.nodes.placed(p.placed)
+	shardsByVolume := p.nodes.shardsByVolume(p.solutionNodes)
 	p.mu.Unlock()
 	return list, func(volume string, shard int) bool {
-		return len(placed[volume]) == 0 || slices.Contains(placed[volume], shard)
+		return len(shardsByVolume[volume]) == 0 || slices.Contains(shardsByVolume[volume], shard)
 	}
 }
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -15,88 +15,88 @@
 	"eiderhold/internal/config"
 )
 
-// DemandFile is where a gateway keeps what its volumes asked for, in its folder.
+// DemandFile is the name of the file in a gateway's folder that keeps the demand of its volumes.
 const DemandFile = "forecast.dat"
 
-// demand keeps the forecast's book: the host loop hands it counts once a second, and it
-// books and writes them on a goroutine of its own.
-type demand struct {
-	file  string
-	every time.Duration
-	log   *slog.Logger
-	bell  chan struct{}
+// demandRecorder records the demand of each volume for the forecast. The host loop passes it
+// counts once a second; it adds them to the book and saves the book on its own goroutine.
+type demandRecorder struct {
+	file          string
+	writeInterval time.Duration
+	log           *slog.Logger
+	wake          chan struct{}
 
-	mu    sync.Mutex
-	units map[string]float64 // asked for and not booked yet; guarded by mu
+	mu      sync.Mutex
+	pending map[string]float64 // units by volume that are not in the book yet; guarded by mu
 
-	book *forecast.Book // run's
+	book *forecast.Book // used only by run
 }
 
-func newDemand(cfg *config.Config, log *slog.Logger) (*demand, error) {
-	d := &demand{file: filepath.Join(cfg.Gateway.Dir, DemandFile), every: cfg.Forecast.Write.D(), log: log, bell: make(chan struct{}, 1)}
-	var before *forecast.Record
+func newDemandRecorder(cfg *config.Config, log *slog.Logger) (*demandRecorder, error) {
+	d := &demandRecorder{file: filepath.Join(cfg.Gateway.Dir, DemandFile), writeInterval: cfg.Forecast.Write.D(), log: log, wake: make(chan struct{}, 1)}
+	var previous *forecast.Record
 	b, err := os.ReadFile(d.file)
 	if err == nil {
-		before, err = forecast.ReadRecord(b)
+		previous, err = forecast.ReadRecord(b)
 	}
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
-		aside := d.file + ".bad"
-		log.Warn("forecast: the record cannot be used; it is put aside and a new one begun", "file", d.file, "as", aside, "err", err)
-		if err := os.Rename(d.file, aside); err != nil {
-			log.Warn("forecast: it could not be put aside", "err", err)
+		badFile := d.file + ".bad"
+		log.Warn("forecast: the record cannot be used; it is put aside and a new one begun", "file", d.file, "as", badFile, "err", err)
+		if err := os.Rename(d.file, badFile); err != nil {
+			log.Warn("forecast: the unusable record could not be renamed", "err", err)
 		}
 	}
-	if d.book, err = forecast.NewBook(cfg.ForecastSettings(), before); err != nil {
+	if d.book, err = forecast.NewBook(cfg.ForecastSettings(), previous); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	return d, nil
 }
 
-// asked takes counts from the host loop; it does not block.
-func (d *demand) asked(units map[string]float64) {
+// add adds counts from the host loop. It does not block on run, so it is safe to call on the loop.
+func (d *demandRecorder) add(units map[string]float64) {
 	d.mu.Lock()
-	if d.units == nil {
-		d.units = units
+	if d.pending == nil {
+		d.pending = units
 	} else {
 		for v, u := range units {
-			d.units[v] += u
+			d.pending[v] += u
 		}
 	}
 	d.mu.Unlock()
 	select {
-	case d.bell <- struct{}{}:
+	case d.wake <- struct{}{}:
 	default:
 	}
 }
 
-// run books what comes, and writes the record now and then and at the end.
-func (d *demand) run(stop <-chan struct{}) {
-	tick := time.NewTicker(d.every)
+// run adds counts to the book as they arrive, and saves the record periodically and when stop is closed.
+func (d *demandRecorder) run(stop <-chan struct{}) {
+	tick := time.NewTicker(d.writeInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-stop:
-			d.take()
-			d.write()
+			d.bookPending()
+			d.save()
 			return
 		case <-tick.C:
-			d.take()
-			d.write()
-		case <-d.bell:
-			d.take()
+			d.bookPending()
+			d.save()
+		case <-d.wake:
+			d.bookPending()
 		}
 	}
 }
 
-func (d *demand) take() {
+func (d *demandRecorder) bookPending() {
 	d.mu.Lock()
-	units := d.units
-	d.units = nil
+	units := d.pending
+	d.pending = nil
 	d.mu.Unlock()
 	d.book.Add(time.Now(), units)
 }
 
-func (d *demand) write() {
+func (d *demandRecorder) save() {
 	b, err := d.book.Record().Encode()
 	if err == nil {
 		err = renameio.WriteFile(d.file, b, 0o644)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,7 @@
-// Package gateway puts a gateway together: host loop, backend, register feed,
-// catalogue, collector and fronts, in the order in which they need each other, and
-// takes it apart in the reverse order. It decides nothing. cmd/eiderhold and the
+// Package gateway assembles a gateway: it starts the host loop, the backend, the register
+// feed, the catalogue, the collector, the migrator and the rsync front in the order of their
+// dependencies, and stops them again. It also keeps the list of nodes, chooses shards for new
+// data, tracks lost shards and answers administrative commands. cmd/eiderhold and the
 // rehearsal start it.
 package gateway
 
@@ -32,46 +33,47 @@
 
 // Gateway is a running gateway.
 type Gateway struct {
-	cfg  *config.Config
-	log  *slog.Logger
-	rec  *record.Writer // nil: off
-	back *backend.Backend
-	host *host.Host
-	feed *register.Feed
-	cat  *store.Catalogue
-	rs   *front.Front
-	keep *solution.Keeper
-	dem  *demand // nil: off
-	plc  *places // nil: off
-	out  *outages
-	adm  *http.Server // nil: off
-	mig  *migrate.Runner
+	cfg         *config.Config
+	log         *slog.Logger
+	recorder    *record.Writer // nil if off
+	backend     *backend.Backend
+	host        *host.Host
+	feed        *register.Feed
+	catalogue   *store.Catalogue
+	front       *front.Front
+	keeper      *solution.Keeper
+	demand      *demandRecorder // nil if off
+	placer      *placer         // nil if off
+	outages     *outageMonitor
+	adminServer *http.Server // nil if it could not be started
+	migrator    *migrate.Runner
 
-	nodes *roster
+	nodes *nodeTable
 
 	mu      sync.Mutex
-	modules []config.Module // as last reloaded
+	modules []config.Module // as of the last reload
 
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	running bool // the host loop was started
-	ended   chan struct{}
-	err     error // of the host loop, once ended is closed
+	cancel      context.CancelFunc
+	wg          sync.WaitGroup
+	hostStarted bool
+	ended       chan struct{} // closed when the host loop has ended
+	err         error         // of the host loop; set before ended is closed
 }
 
-// Start starts a gateway; it serves when Start returns.
+// Start starts a gateway. When it returns without an error, the gateway accepts connections.
 func Start(cfg *config.Config, log *slog.Logger) (*Gateway, error) {
-	g := &Gateway{cfg: cfg, log: log, modules: cfg.Modules, nodes: newRoster(), ended: make(chan struct{})}
+	g := &Gateway{cfg: cfg, log: log, modules: cfg.Modules, nodes: newNodeTable(), ended: make(chan struct{})}
 	if err := g.start(); err != nil {
 		return nil, errors.Join(err, g.Close())
 	}
 	return g, nil
 }
 
-// start starts the parts, each after those that it needs. Close ends what there is.
+// start starts the components, each after those that it depends on. After an error, Close
+// stops those that were started.
 func (g *Gateway) start() error {
 	cfg, log := g.cfg, g.log
-	set, err := cfg.Settings()
+	settings, err := cfg.Settings()
 	if err != nil {
 		return err
 	}
@@ -85,62 +87,64 @@
 	for i, m := range modules {
 		names[i] = m.Name
 	}
-	if g.cat, err = store.Open(cfg.Gateway.Dir, cfg.Gateway.Name, names); err != nil {
+	if g.catalogue, err = store.Open(cfg.Gateway.Dir, cfg.Gateway.Name, names); err != nil {
 		return err
 	}
 	n := &cfg.Nodes
-	bo := backend.Settings{Name: cfg.Gateway.Name, Conns: n.Conns, Streams: n.Streams, Waiting: n.Waiting,
+	backendSettings := backend.Settings{Name: cfg.Gateway.Name, Conns: n.Conns, Streams: n.Streams, Waiting: n.Waiting,
 		DialTimeout: n.Dial.D(), IdleClose: n.IdleClose.D(), Cancelling: n.Cancel, Loops: n.Loops}
-	if cfg.Place.Choice > 0 { // a connection comes after the first list, and that after g.plc
-		bo.Filled = func(shard int, used, capacity uint64, noRoom bool) { g.plc.filled(shard, used, capacity, noRoom) }
+	if cfg.Place.Choice > 0 { // g.placer is set before the feed runs; nodes are dialled only after its first list
+		backendSettings.Filled = func(shard int, used, capacity uint64, noRoom bool) {
+			g.placer.reportFill(shard, used, capacity, noRoom)
+		}
 	}
-	if g.back, err = backend.New(bo, nil, log); err != nil {
+	if g.backend, err = backend.New(backendSettings, nil, log); err != nil {
 		return err
 	}
 	seed := cfg.Gateway.Seed
 	if seed == 0 {
 		seed = rand.Int63()
 	}
-	ho := host.Options{Heard: func(shard int, answered bool) { g.out.heard(shard, answered) }, Settings: set, Seed: seed, Backend: g.back, Log: log, MostOpen: cfg.Gateway.Open}
+	hostOptions := host.Options{Heard: func(shard int, answered bool) { g.outages.recordAnswer(shard, answered) }, Settings: settings, Seed: seed, Backend: g.backend, Log: log, MostOpen: cfg.Gateway.Open}
 	if rc := &cfg.Recorder; rc.On {
-		if g.rec, err = record.NewWriter(record.Options{Dir: filepath.Join(cfg.Gateway.Dir, "record"),
-			FileBytes: rc.FileSize, Files: rc.Files}, set, seed); err != nil {
+		if g.recorder, err = record.NewWriter(record.Options{Dir: filepath.Join(cfg.Gateway.Dir, "record"),
+			FileBytes: rc.FileSize, Files: rc.Files}, settings, seed); err != nil {
 			return err
 		}
-		ho.Recorder = g.rec
+		hostOptions.Recorder = g.recorder
 	}
 	if cfg.Forecast.Write > 0 {
-		if g.dem, err = newDemand(cfg, log); err != nil {
+		if g.demand, err = newDemandRecorder(cfg, log); err != nil {
 			return err
 		}
-		ho.Demand = g.dem.asked
+		hostOptions.Demand = g.demand.add
 	}
-	if g.host, err = host.New(ho); err != nil {
+	if g.host, err = host.New(hostOptions); err != nil {
 		return err
 	}
-	if g.out, err = newOutages(outage.Default, g.nodes, log, g.host.Now, g.back.Probe); err != nil {
+	if g.outages, err = newOutageMonitor(outage.Default, g.nodes, log, g.host.Now, g.backend.Probe); err != nil {
 		return err
 	}
 	g.wg.Add(1)
-	go func() { defer g.wg.Done(); g.out.run(ctx.Done()) }()
+	go func() { defer g.wg.Done(); g.outages.run(ctx.Done()) }()
 	if cfg.Place.Choice > 0 {
-		if g.plc, err = newPlaces(cfg, g.nodes, log, g.host.Now, g.back.Probe); err != nil {
+		if g.placer, err = newPlacer(cfg, g.nodes, log, g.host.Now, g.backend.Probe); err != nil {
 			return err
 		}
 		g.wg.Add(1)
-		go func() { defer g.wg.Done(); g.plc.run(ctx.Done()) }()
+		go func() { defer g.wg.Done(); g.placer.run(ctx.Done()) }()
 	}
 	sh := &cfg.Shares
-	if g.keep, err = solution.New(solution.Settings{Dir: filepath.Join(cfg.Gateway.Dir, "shares"), Keep: sh.Keep, Inputs: sh.Inputs,
+	if g.keeper, err = solution.New(solution.Settings{Dir: filepath.Join(cfg.Gateway.Dir, "shares"), Keep: sh.Keep, Inputs: sh.Inputs,
 		File: sh.File, Poll: sh.Poll.D()}, g, log, time.Now); err != nil {
 		return err
 	}
-	g.back.Own(g.host)
+	g.backend.Own(g.host)
 	g.feed = register.New(register.Settings{URL: cfg.Register.URL, Gateway: cfg.Gateway.Name,
 		Cache: filepath.Join(cfg.Gateway.Dir, "nodes.json"), Silence: cfg.Register.Silence.D(),
 		Settle: cfg.Register.Settle.D(), Seed: seed}, g, log)
 	g.host.Follow(g.feed)
-	g.running = true
+	g.hostStarted = true
 	go func() {
 		g.err = g.host.Run()
 		close(g.ended)
@@ -148,50 +152,50 @@
 	g.wg.Add(1)
 	go func() { defer g.wg.Done(); g.feed.Run(ctx) }()
 	g.wg.Add(1)
-	go func() { defer g.wg.Done(); g.keep.Follow(ctx.Done()) }()
-	if g.dem != nil {
+	go func() { defer g.wg.Done(); g.keeper.Follow(ctx.Done()) }()
+	if g.demand != nil {
 		g.wg.Add(1)
-		go func() { defer g.wg.Done(); g.dem.run(ctx.Done()) }()
+		go func() { defer g.wg.Done(); g.demand.run(ctx.Done()) }()
 	}
 	g.wg.Add(1)
-	go func() { defer g.wg.Done(); g.keepSpace(ctx.Done()) }()
+	go func() { defer g.wg.Done(); g.writeSpace(ctx.Done()) }()
 	plans := map[string]string{}
 	for _, m := range modules {
 		plans[m.Name] = m.Plan
 	}
 	plan := func(volume string) string { return plans[volume] }
 	deadline := time.Second
-	for _, c := range set.Classes {
+	for _, c := range settings.Classes {
 		if c.Name == cfg.Worth.Collect {
 			deadline = c.Deadline
 		}
 	}
-	if g.mig, err = migrate.New(migrate.Options{Dir: cfg.Gateway.Dir, Settings: cfg.MoveSettings(), Store: g.cat, Host: g.host,
+	if g.migrator, err = migrate.New(migrate.Options{Dir: cfg.Gateway.Dir, Settings: cfg.MoveSettings(), Store: g.catalogue, Host: g.host,
 		Work: cfg.Work(), Plan: plan, Deadline: deadline, Log: log}); err != nil {
 		return err
 	}
 	g.wg.Add(1)
-	go func() { defer g.wg.Done(); g.mig.Run(ctx) }()
-	g.admin()
+	go func() { defer g.wg.Done(); g.migrator.Run(ctx) }()
+	g.serveAdmin()
 	r := &cfg.Rsync
-	fo := front.Options{Listen: r.Listen, Loops: r.Loops, Host: g.host, Catalogue: g.cat,
-		Classes: set.Classes, Work: cfg.Work(), Pacing: cfg.PacingSettings(), Modules: modules, MOTD: r.MOTD, Seed: seed,
-		ExtentBytes: r.Extent, Lost: g.out.lost, MaxConns: r.Conns, MaxFiles: r.Files, Budget: r.Budget, Handshake: r.Handshake.D(),
+	frontOptions := front.Options{Listen: r.Listen, Loops: r.Loops, Host: g.host, Catalogue: g.catalogue,
+		Classes: settings.Classes, Work: cfg.Work(), Pacing: cfg.PacingSettings(), Modules: modules, MOTD: r.MOTD, Seed: seed,
+		ExtentBytes: r.Extent, Lost: g.outages.lost, MaxConns: r.Conns, MaxFiles: r.Files, Budget: r.Budget, Handshake: r.Handshake.D(),
 		Stall: r.Stall.D(), Log: log}
-	if g.plc != nil {
-		fo.Place = g.plc.spot
+	if g.placer != nil {
+		frontOptions.Place = g.placer.place
 	}
-	if g.rs, err = front.Start(fo); err != nil {
+	if g.front, err = front.Start(frontOptions); err != nil {
 		return err
 	}
 	c := collect.New(collect.Settings{Deadline: deadline, Plan: plan},
-		g.cat, g.host, cfg.Work(), g.Shards, log)
+		g.catalogue, g.host, cfg.Work(), g.Shards, log)
 	g.wg.Add(1)
 	go func() { defer g.wg.Done(); c.Run(ctx) }()
 	return nil
 }
 
-// Modules turns the settings' modules into the front's, with their secrets.
+// Modules returns the configured modules in the front's form, with their users' secrets read from file.
 func Modules(cfg *config.Config) ([]front.Module, error) {
 	var list []front.Module
 	for _, m := range cfg.Modules {
@@ -214,61 +218,71 @@
 	return list, nil
 }
 
-// List hands news of the register to the host, and notes which shards there are.
+// List receives a node list from the register feed and passes it to all components that use it.
 func (g *Gateway) List(l host.List) {
 	if l.Kind != control.ListFailed {
-		g.out.news(g.nodes.take(l))
-		if g.plc != nil {
-			g.plc.news()
+		g.outages.nodesChanged(g.nodes.update(l))
+		if g.placer != nil {
+			g.placer.nodesChanged()
 		}
 	}
 	g.host.List(l)
 	if l.Kind != control.ListFailed {
-		g.keep.Listed(g.nodes.ids())
+		g.keeper.Listed(g.nodes.ids())
 	}
 }
 
-// Shares takes a solution's shares and placement into use. The keeper calls it.
+// Shares puts the shares and the placement of a solution in use. The solution keeper calls it.
 func (g *Gateway) Shares(s control.Shares, placement map[string][]string) {
-	if g.plc != nil {
-		g.plc.solution(placement)
+	if g.placer != nil {
+		g.placer.setSolution(placement)
 	}
 	g.host.Shares(s)
 }
 
-// Solution takes a solution that the register hands out.
-func (g *Gateway) Solution(b []byte) { _ = g.keep.Offer("the register", b) } // it says why one is refused
+// Solution receives a solution from the register feed. The keeper logs why it refuses one.
+func (g *Gateway) Solution(b []byte) { _ = g.keeper.Offer("the register", b) }
 
-// StartedAt is the host's.
+// StartedAt calls StartedAt of the host.
 func (g *Gateway) StartedAt(node string, wall time.Time) time.Duration {
 	return g.host.StartedAt(node, wall)
 }
 
-// Shards are those of all nodes that were ever listed since the start.
+// Shards returns the shards of all nodes that the register has listed since the start.
 func (g *Gateway) Shards() []int { return g.nodes.everShards() }
 
-// Addr is where the rsync front listens.
-func (g *Gateway) Addr() string { return g.rs.Addr() }
+// Addr returns the address that the rsync front listens on.
+func (g *Gateway) Addr() string { return g.front.Addr() }
+
+// Host returns the host loop.
+func (g *Gateway) Host() *host.Host { return g.host }
+
+// Front returns the rsync front.
+func (g *Gateway) Front() *front.Front { return g.front }
+
+// Catalogue returns the catalogue of modules and files.
+func (g *Gateway) Catalogue() *store.Catalogue { return g.catalogue }
+
+// Backend returns the connections to the nodes.
+func (g *Gateway) Backend() *backend.Backend { return g.backend }
+
+// Feed returns the register feed.
+func (g *Gateway) Feed() *register.Feed { return g.feed }
 
-// Host, Front, Catalogue, Backend and Feed are the parts, for reports and tests.
-func (g *Gateway) Host() *host.Host            { return g.host }
-func (g *Gateway) Front() *front.Front         { return g.rs }
-func (g *Gateway) Catalogue() *store.Catalogue { return g.cat }
-func (g *Gateway) Backend() *backend.Backend   { return g.back }
-func (g *Gateway) Feed() *register.Feed        { return g.feed }
-func (g *Gateway) Keeper() *solution.Keeper    { return g.keep }
+// Keeper returns the keeper of solutions.
+func (g *Gateway) Keeper() *solution.Keeper { return g.keeper }
 
-// Ended is closed when the host loop has ended; Err then says why.
+// Ended returns a channel that is closed when the host loop has ended.
 func (g *Gateway) Ended() <-chan struct{} { return g.ended }
 
-// Err is why the host loop ended: nil if it was told to.
+// Err waits until the host loop has ended and returns its error, which is nil after Close.
 func (g *Gateway) Err() error {
 	<-g.ended
 	return g.err
 }
 
-// Reload takes what can be changed while running: the modules and the greeting.
-// Nothing changes if any of it cannot be used.
+// Reload applies the settings that can change while the gateway runs: the modules and the
+// message of the day. After an error nothing has changed.
 func (g *Gateway) Reload(cfg *config.Config) error {
 	modules, err := Modules(cfg)
 	if err != nil {
@@ -280,44 +294,44 @@
 	}
 	for _, m := range cfg.Modules {
 		if !known[m.Name] {
-			return fmt.Errorf("module %s is new: that needs a restart", m.Name)
+			return fmt.Errorf("module %s is new: adding a module needs a restart", m.Name)
 		}
 	}
-	g.rs.Reload(modules, cfg.Rsync.MOTD)
+	g.front.Reload(modules, cfg.Rsync.MOTD)
 	g.mu.Lock()
 	g.modules = cfg.Modules
 	g.mu.Unlock()
 	return nil
 }
 
-// Drain lets transfers end, for as long as ctx lasts, and takes no new ones.
-func (g *Gateway) Drain(ctx context.Context) error { return g.rs.Drain(ctx) }
+// Drain stops accepting transfers and waits until those in progress have ended or ctx is done.
+func (g *Gateway) Drain(ctx context.Context) error { return g.front.Drain(ctx) }
 
-// Close ends everything. What is open is answered failed.
+// Close stops all components. Requests that are still open fail.
 func (g *Gateway) Close() error {
 	var errs []error
-	if g.rs != nil {
-		errs = append(errs, g.rs.Close())
+	if g.front != nil {
+		errs = append(errs, g.front.Close())
 	}
 	if g.cancel != nil {
 		g.cancel()
 	}
-	if g.adm != nil {
-		g.adm.Close()
+	if g.adminServer != nil {
+		g.adminServer.Close()
 	}
-	if g.running {
+	if g.hostStarted {
 		g.host.Stop(nil)
 		<-g.ended
 	}
 	g.wg.Wait()
-	if g.back != nil {
-		errs = append(errs, g.back.Close())
+	if g.backend != nil {
+		errs = append(errs, g.backend.Close())
 	}
-	if g.cat != nil {
-		errs = append(errs, g.cat.Close())
+	if g.catalogue != nil {
+		errs = append(errs, g.catalogue.Close())
 	}
-	if g.rec != nil {
-		errs = append(errs, g.rec.Close())
+	if g.recorder != nil {
+		errs = append(errs, g.recorder.Close())
 	}
 	return errors.Join(errs...)
 }
--- a/internal/gateway/hard_test.go
+++ b/internal/gateway/hard_test.go
@@ -23,36 +23,36 @@
 	"eiderhold/internal/standin"
 )
 
-// TestDrainInTheMiddle: the node that holds a long file is announced draining while
-// the file is read slowly. Nothing new reaches it after the grace, counted at the node;
-// the rest comes from the successor that takes its shard.
-func TestDrainInTheMiddle(t *testing.T) {
+// TestNodeDrainDuringPull drains the node that holds a large file while a client pulls the
+// file slowly. After the drain grace no new request may arrive at the node, and the successor
+// that takes over its shard must serve the rest.
+func TestNodeDrainDuringPull(t *testing.T) {
 	dir := t.TempDir()
 	trace, err := audit.Create(dir, "sockets")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := startTraced(t, 2, standin.NodeOptions{UnitTime: 10 * time.Millisecond}, func(c *config.Config) {
+	r := newTracedFixture(t, 2, standin.NodeOptions{UnitTime: 10 * time.Millisecond}, func(c *config.Config) {
 		c.Safety.DrainGrace = config.Duration(300 * time.Millisecond)
 		c.Pacing.WindowTop = 2
 		c.Safety.ColdFor = 0
 	}, trace)
-	all := r.only("node-1", 2)
-	f := file("long", content(1, 8<<20)) // 32 extents of 40 ms
+	restore := r.onlyReady("node-1", 2)
+	f := testFile("long", content(1, 8<<20)) // 32 extents of 40 ms
 	r.push("", f)
-	all()
+	restore()
 
 	ended := make(chan error, 1)
 	go func() {
 		rep, err := r.client().Pull(context.Background(), "records", "long", nil)
 		if err == nil && (len(rep.Files) != 1 || string(rep.Files[0].Data) != string(f.Data)) {
-			err = fmt.Errorf("%d files, said %q", len(rep.Files), rep.Said)
+			err = fmt.Errorf("%d files or other content, said %q", len(rep.Files), rep.Said)
 		}
 		ended <- err
 	}()
 	old := r.site.Node("node-1")
 	before := old.Counts().Arrived
-	r.until("the first extents", func() bool { return old.Counts().Arrived >= before+3 })
+	r.waitFor("the first extents", func() bool { return old.Counts().Arrived >= before+3 })
 	next, err := r.site.Replace("node-1", "node-9", 600*time.Millisecond, func(d time.Duration) { time.Sleep(d) })
 	if err != nil {
 		t.Fatal(err)
@@ -76,16 +76,16 @@
 		t.Errorf("rule %d: %s", b.Rule, b.Text)
 	}
 	if rep.Checked[3] == 0 {
-		t.Error("no arrival was looked at")
+		t.Error("the audit checked no arrival")
 	}
 }
 
-// TestPushCutAnywhere cuts a push at 50 seeded positions. The old files stay whole and
-// readable, nothing half-written is ever listed, and what was left behind is collected.
-func TestPushCutAnywhere(t *testing.T) {
-	r := start(t, 3, standin.NodeOptions{}, nil)
-	old := []standin.ClientFile{file("a", content(1, 300_000)), file("b", content(2, 700_000))}
-	fresh := []standin.ClientFile{file("a", content(3, 310_000)), file("b", content(4, 650_000)), file("c", content(5, 200_000))}
+// TestInterruptedPush cuts the connection of a push at 50 seeded positions. Each file must be
+// completely old or completely new, and the items of aborted pushes must be collected.
+func TestInterruptedPush(t *testing.T) {
+	r := newFixture(t, 3, standin.NodeOptions{}, nil)
+	old := []standin.ClientFile{testFile("a", content(1, 300_000)), testFile("b", content(2, 700_000))}
+	fresh := []standin.ClientFile{testFile("a", content(3, 310_000)), testFile("b", content(4, 650_000)), testFile("c", content(5, 200_000))}
 	for i := range fresh {
 		fresh[i].MTime += 7
 	}
@@ -101,27 +101,27 @@
 		c.CutAfter = 60 + rng.Int63n(1_160_000)
 		rep, err := c.Push(context.Background(), "records", dir, fresh)
 		if err == nil {
-			t.Fatalf("cut %d at %d: the push ended well: %+v", i, c.CutAfter, rep)
+			t.Fatalf("cut %d at %d: the push succeeded: %+v", i, c.CutAfter, rep)
 		}
-		r.until("the connection's end", func() bool { return r.gw.Front().Stats().Conns == 0 })
+		r.waitFor("the connection's end", func() bool { return r.gw.Front().Stats().Conns == 0 })
 		rep = r.pull(dir)
 		got := map[string][]byte{}
 		for _, f := range rep.Files {
 			got[f.Path] = f.Data
 		}
-		for k, f := range fresh { // each is the old one or the new one, whole
+		for k, f := range fresh { // each has the complete old or the complete new content
 			data, there := got[f.Path]
 			isNew := there && string(data) == string(f.Data)
 			isOld := k < 2 && string(data) == string(old[k].Data) || k == 2 && !there
 			if !isNew && !isOld {
-				t.Fatalf("cut %d at %d: %s has %d bytes, neither old nor new", i, c.CutAfter, f.Path, len(data))
+				t.Fatalf("cut %d at %d: %s has %d bytes, neither the old nor the new content", i, c.CutAfter, f.Path, len(data))
 			}
 		}
 		r.push(dir, fresh...)
-		same(t, r.pull(dir), fresh...)
+		checkPulled(t, r.pull(dir), fresh...)
 	}
-	r.until("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
-	r.until("collection of what was left behind", func() bool {
+	r.waitFor("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
+	r.waitFor("the collection of replaced and aborted items", func() bool {
 		n := 0
 		for i := range 3 {
 			d, _ := r.site.Disk(i)
@@ -131,13 +131,13 @@
 	})
 }
 
-// TestClientStopsReading: one client stands still in the middle of a large file while
-// 500 others go on. Memory stays bounded, the others are all served, and the one goes
-// on to its end.
+// TestClientStopsReading has one client stop reading in the middle of a large file while 500
+// others pull a small one. Memory must stay bounded, the others must all be served, and the
+// slow client must get its file in the end.
 func TestClientStopsReading(t *testing.T) {
-	r := start(t, 4, standin.NodeOptions{}, nil)
-	big := file("big", content(1, 64<<20))
-	small := file("small", content(2, 100_000))
+	r := newFixture(t, 4, standin.NodeOptions{}, nil)
+	big := testFile("big", content(1, 64<<20))
+	small := testFile("small", content(2, 100_000))
 	r.push("", big, small)
 	runtime.GC()
 	var before, during runtime.MemStats
@@ -165,12 +165,12 @@
 			defer wg.Done()
 			gate <- true
 			defer func() { <-gate }()
-			for range 100 { // a client that is refused comes back
+			for range 100 { // a refused client retries
 				rep, err := r.client().Pull(context.Background(), "records", "small", nil)
 				if err == nil && len(rep.Files) == 1 && len(rep.Files[0].Data) == len(small.Data) {
 					return
 				}
-				if !told(rep) {
+				if !reportsCause(rep) {
 					errs <- fmt.Errorf("%v, said %q", err, rep.Said)
 					return
 				}
@@ -185,24 +185,24 @@
 	}
 	select {
 	case err := <-ended:
-		t.Errorf("the one that stands still has ended: %v", err)
+		t.Errorf("the client that stopped reading has ended: %v", err)
 	default:
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&during)
 	if grew := int64(during.HeapAlloc) - int64(before.HeapAlloc); grew > 48<<20 {
-		t.Errorf("%d MiB more are held while a client of a 64 MiB file stands still", grew>>20)
+		t.Errorf("%d MiB more heap while a client of a 64 MiB file does not read", grew>>20)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("the one that stood still: %v", err)
+		t.Errorf("the client that stopped reading: %v", err)
 	}
-	r.until("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
+	r.waitFor("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
 }
 
-// TestThousandConnections opens and closes them at once, some in the middle of a
-// greeting; over the ceiling clients are told so in rsync's own words.
+// TestThousandConnections opens and closes 1,000 connections at once, some in the middle of a
+// greeting. One above the limit gets rsync's error for too many connections.
 func TestThousandConnections(t *testing.T) {
-	r := start(t, 1, standin.NodeOptions{}, func(c *config.Config) { c.Rsync.Conns = 1000 })
+	r := newFixture(t, 1, standin.NodeOptions{}, func(c *config.Config) { c.Rsync.Conns = 1000 })
 	conns := make([]net.Conn, 1000)
 	var wg sync.WaitGroup
 	for i := range conns {
@@ -221,14 +221,14 @@
 		}()
 	}
 	wg.Wait()
-	r.until("a thousand connections", func() bool { return r.gw.Front().Stats().Conns == 1000 })
+	r.waitFor("a thousand connections", func() bool { return r.gw.Front().Stats().Conns == 1000 })
 	extra, err := net.Dial("tcp", r.gw.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	text, _ := io.ReadAll(extra)
 	if string(text) != "@ERROR: max connections (1000) reached -- try again later\n" {
-		t.Errorf("one more: %q", text)
+		t.Errorf("connection above the limit: %q", text)
 	}
 	extra.Close()
 	for _, c := range conns {
@@ -238,23 +238,23 @@
 		}
 	}
 	wg.Wait()
-	r.until("their end", func() bool { return r.gw.Front().Stats().Conns == 0 })
-	r.push("", file("f", []byte("still here")))
+	r.waitFor("the connections' end", func() bool { return r.gw.Front().Stats().Conns == 0 })
+	r.push("", testFile("f", []byte("still here")))
 }
 
-// told says that a transfer which did not bring everything said why.
-func told(rep *standin.Report) bool {
+// reportsCause reports whether an incomplete transfer told its client the reason.
+func reportsCause(rep *standin.Report) bool {
 	text := strings.Join(rep.Said, " ")
 	return strings.Contains(text, "refused") || strings.Contains(text, "failed") || strings.Contains(text, "no time left")
 }
 
-// TestManyAtOnce: 200 pulls and 50 pushes at a time, byte for byte right. A client that
-// is refused comes back until it has everything.
-func TestManyAtOnce(t *testing.T) {
-	r := start(t, 4, standin.NodeOptions{}, nil)
+// TestConcurrentTransfers runs 200 pulls and 50 pushes at once and checks every byte. A refused
+// client retries until it has everything.
+func TestConcurrentTransfers(t *testing.T) {
+	r := newFixture(t, 4, standin.NodeOptions{}, nil)
 	var tree []standin.ClientFile
 	for i := range 10 {
-		tree = append(tree, file(fmt.Sprintf("f%d", i), content(int64(i), 50_000+i*50_000)))
+		tree = append(tree, testFile(fmt.Sprintf("f%d", i), content(int64(i), 50_000+i*50_000)))
 	}
 	r.push("", tree...)
 	want := map[string][32]byte{}
@@ -262,13 +262,13 @@
 		want[f.Path] = blake3.Sum256(f.Data)
 	}
 	push := func(i int) error {
-		f := file(fmt.Sprintf("new-%d", i), content(int64(1000+i), 400_000))
+		f := testFile(fmt.Sprintf("new-%d", i), content(int64(1000+i), 400_000))
 		for range 100 {
 			rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f})
 			if err == nil && len(rep.Said) == 0 {
 				return nil
 			}
-			if !told(rep) {
+			if !reportsCause(rep) {
 				return fmt.Errorf("push %d: %v, said %q", i, err, rep.Said)
 			}
 		}
@@ -280,14 +280,14 @@
 			rep, err := r.client().Pull(context.Background(), "records", "f*", nil)
 			for _, f := range rep.Files {
 				if blake3.Sum256(f.Data) != want[f.Path] {
-					return fmt.Errorf("pull %d: %s came otherwise than it was pushed", i, f.Path)
+					return fmt.Errorf("pull %d: %s differs from what was pushed", i, f.Path)
 				}
 				got[f.Path] = true
 			}
 			if len(got) == len(tree) {
 				return nil
 			}
-			if !told(rep) {
+			if !reportsCause(rep) {
 				return fmt.Errorf("pull %d: %d files, %v, said %q", i, len(rep.Files), err, rep.Said)
 			}
 		}
@@ -319,7 +319,7 @@
 			var i int
 			fmt.Sscanf(f.Path, "new-%d", &i)
 			if blake3.Sum256(f.Data) != blake3.Sum256(content(int64(1000+i), 400_000)) {
-				t.Fatalf("%s came otherwise than it was pushed", f.Path)
+				t.Fatalf("%s differs from what was pushed", f.Path)
 			}
 		}
 		if news == 50 {
@@ -327,20 +327,21 @@
 		}
 	}
 	if news != 50 {
-		t.Errorf("%d of 50 pushed files came back", news)
+		t.Errorf("%d of 50 pushed files were pulled", news)
 	}
 }
 
-// TestHostileSockets: what parsers cannot see: slowness, silence, resets. Each is sent
-// away in bounded time, and others are served meanwhile.
-func TestHostileSockets(t *testing.T) {
-	r := start(t, 2, standin.NodeOptions{}, func(c *config.Config) {
+// TestMisbehavingConnections opens connections that are silent, slow, never read or never end,
+// which tests of the parsers do not cover. Each must be closed in bounded time, and a well-behaved
+// client must still be served.
+func TestMisbehavingConnections(t *testing.T) {
+	r := newFixture(t, 2, standin.NodeOptions{}, func(c *config.Config) {
 		c.Rsync.Handshake = config.Duration(500 * time.Millisecond)
 		c.Rsync.Stall = config.Duration(2 * time.Second)
 	})
-	f := file("f", content(1, 20<<20))
+	f := testFile("f", content(1, 20<<20))
 	r.push("", f)
-	gone := func(name string, c net.Conn, each func()) {
+	expectClosed := func(name string, c net.Conn, each func()) {
 		t.Helper()
 		ended := make(chan bool)
 		go func() { io.Copy(io.Discard, c); close(ended) }()
@@ -349,7 +350,7 @@
 			case <-ended:
 				return
 			case <-time.After(30 * time.Second):
-				t.Errorf("%s: not sent away", name)
+				t.Errorf("%s: connection was not closed", name)
 				return
 			default:
 				each()
@@ -364,9 +365,9 @@
 		return c
 	}
 	silent := dial()
-	gone("silent", silent, func() { time.Sleep(10 * time.Millisecond) })
+	expectClosed("silent", silent, func() { time.Sleep(10 * time.Millisecond) })
 	slow, text := dial(), "@RSYNCD: 29\nrecords\n--server\n--sender\n-r\n--timeout=1000\n"
-	gone("a byte at a time", slow, func() {
+	expectClosed("a byte at a time", slow, func() {
 		if len(text) > 0 {
 			slow.Write([]byte(text[:1]))
 			text = text[1:]
@@ -374,13 +375,13 @@
 		time.Sleep(20 * time.Millisecond)
 	})
 
-	never := dial() // asks for all and never reads
+	never := dial() // pulls everything and never reads
 	none := "\x00\x00\x00\x00"
 	fmt.Fprint(never, "@RSYNCD: 29\nrecords\n--server\n--sender\n-r\n.\nrecords/\n\n"+none+"\x01\x00\x00\x00\x00\x80"+none+none+none+none)
-	r.until("its shedding", func() bool { return r.gw.Front().Stats().Shed >= 3 })
+	r.waitFor("three connections to be shed", func() bool { return r.gw.Front().Stats().Shed >= 3 })
 	never.Close()
 
-	flood := dial() // pushes and never reads what is for it, nor ends
+	flood := dial() // pushes without end and never reads
 	fmt.Fprint(flood, "@RSYNCD: 29\nrecords\n--server\n-r\n.\nrecords/\n\n")
 	go func() {
 		junk := make([]byte, 1<<16)
@@ -390,16 +391,16 @@
 			}
 		}
 	}()
-	r.until("the flood's end", func() bool { return r.gw.Front().Stats().Conns == 0 })
+	r.waitFor("all connections to be closed", func() bool { return r.gw.Front().Stats().Conns == 0 })
 	flood.Close()
-	same(t, r.pull("f"), f)
+	checkPulled(t, r.pull("f"), f)
 }
 
-// TestCorruptionIsFound: a bit that flips on a node's disk never reaches a client as
-// data.
-func TestCorruptionIsFound(t *testing.T) {
-	r := start(t, 1, standin.NodeOptions{}, nil)
-	f, g := file("f", content(1, 600_000)), file("g", []byte("good"))
+// TestCorruptionIsDetected checks that a file with a bit flipped on a node's disk is left out of
+// a pull instead of reaching the client.
+func TestCorruptionIsDetected(t *testing.T) {
+	r := newFixture(t, 1, standin.NodeOptions{}, nil)
+	f, g := testFile("f", content(1, 600_000)), testFile("g", []byte("good"))
 	r.push("", f, g)
 	d, _ := r.site.Disk(0)
 	e, ok, err := r.gw.Catalogue().Stat("records", "f")
@@ -410,24 +411,24 @@
 	if err != nil || len(rep.LeftOut) != 1 || rep.LeftOut[0] != "f" || !strings.Contains(strings.Join(rep.Said, ""), "other bytes") {
 		t.Fatalf("%v, left out %q, said %q", err, rep.LeftOut, rep.Said)
 	}
-	same(t, rep, g)
+	checkPulled(t, rep, g)
 	if r.gw.Front().Stats().Corrupt == 0 {
-		t.Error("not counted")
+		t.Error("the corruption was not counted")
 	}
 }
 
-// TestModuleRules: who may enter, which way, and how many.
+// TestModuleRules checks the rules of modules: users and passwords, write only, connection limit.
 func TestModuleRules(t *testing.T) {
 	secrets := filepath.Join(t.TempDir(), "secrets")
 	if err := os.WriteFile(secrets, []byte("# staff\nanna:sesame\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	r := start(t, 1, standin.NodeOptions{}, func(c *config.Config) {
+	r := newFixture(t, 1, standin.NodeOptions{}, func(c *config.Config) {
 		c.Modules = append(c.Modules, config.Module{Name: "staff", Plan: "standard", Users: []string{"anna"}, Secrets: secrets},
 			config.Module{Name: "one", Plan: "standard", Conns: 1}, config.Module{Name: "in", Plan: "standard", WriteOnly: true})
 	})
 	ctx := context.Background()
-	f := file("f", []byte("x"))
+	f := testFile("f", []byte("x"))
 	c := r.client()
 	c.User, c.Password = "anna", "sesame"
 	if rep, err := c.Push(ctx, "staff", "", []standin.ClientFile{f}); err != nil || len(rep.Said) > 0 {
@@ -452,10 +453,10 @@
 	}
 	rep, err = r.client().Pull(ctx, "one", "", nil)
 	if rep.Exit(err) != 5 || err.Error() != "@ERROR: max connections (1) reached -- try again later" {
-		t.Errorf("second client of a module for one: %v", err)
+		t.Errorf("second client of a module with a limit of one: %v", err)
 	}
 	held.Close()
-	r.until("its leaving", func() bool {
+	r.waitFor("the first client's connection to be closed", func() bool {
 		_, err := r.client().Pull(ctx, "one", "", nil)
 		return err == nil
 	})
@@ -464,10 +465,11 @@
 	}
 }
 
-// TestDrainOfTheGateway: transfers end, new clients are told to come back.
-func TestDrainOfTheGateway(t *testing.T) {
-	r := start(t, 2, standin.NodeOptions{UnitTime: 5 * time.Millisecond}, nil)
-	f := file("f", content(1, 4<<20))
+// TestGatewayDrain checks that a drain lets a transfer in progress end, closes idle connections and
+// refuses new clients.
+func TestGatewayDrain(t *testing.T) {
+	r := newFixture(t, 2, standin.NodeOptions{UnitTime: 5 * time.Millisecond}, nil)
+	f := testFile("f", content(1, 4<<20))
 	r.push("", f)
 	idle, _ := net.Dial("tcp", r.gw.Addr())
 	ended := make(chan error, 1)
@@ -477,7 +479,7 @@
 		c.Before = func(string) { close(began) }
 		rep, err := c.Pull(context.Background(), "records", "f", nil)
 		if err == nil && len(rep.Files) != 1 {
-			err = errors.New("it did not come")
+			err = errors.New("the file was not pulled")
 		}
 		ended <- err
 	}()
@@ -488,7 +490,7 @@
 		t.Error(err)
 	}
 	if err := <-ended; err != nil {
-		t.Errorf("the transfer under way: %v", err)
+		t.Errorf("the transfer in progress: %v", err)
 	}
 	if _, err := io.Copy(io.Discard, idle); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the idle connection: %v", err)
@@ -501,11 +503,11 @@
 	}
 }
 
-// TestReaderOfTheOldVersion: a file is replaced while it is being read, and what was
-// replaced is due for collection; the reader finishes on the version that it began.
-func TestReaderOfTheOldVersion(t *testing.T) {
-	r := start(t, 2, standin.NodeOptions{}, func(c *config.Config) { c.Rsync.Stall = config.Duration(time.Minute) })
-	old, fresh := file("f", content(1, 64<<20)), file("f", content(2, 300_000))
+// TestReadDuringReplacement replaces a file while a client reads it for longer than the collector
+// waits. The client must get the complete old version, which is collected afterwards.
+func TestReadDuringReplacement(t *testing.T) {
+	r := newFixture(t, 2, standin.NodeOptions{}, func(c *config.Config) { c.Rsync.Stall = config.Duration(time.Minute) })
+	old, fresh := testFile("f", content(1, 64<<20)), testFile("f", content(2, 300_000))
 	fresh.MTime++
 	r.push("", old)
 	began, ended := make(chan bool), make(chan error, 1)
@@ -521,25 +523,24 @@
 	}()
 	<-began
 	r.push("", fresh)
-	same(t, r.pull("f"), fresh)
+	checkPulled(t, r.pull("f"), fresh)
 	if err := <-ended; err != nil {
 		t.Errorf("the reader of the old version: %v", err)
 	}
-	r.until("collection of the old version", func() bool {
+	r.waitFor("collection of the old version", func() bool {
 		a, _ := r.site.Disk(0)
 		b, _ := r.site.Disk(1)
 		return a.Items()+b.Items() == 2
 	})
 }
 
-// TestBudgetOfAllTransfers: clients that stand still hold all the memory that extents
-// may take. Another client is served or told within its own time, and memory is given
-// back in the end.
-func TestBudgetOfAllTransfers(t *testing.T) {
-	r := start(t, 2, standin.NodeOptions{}, func(c *config.Config) {
+// TestMemoryBudget has clients that stop reading use up the memory budget for extents. Another
+// client must be served or told the reason within its timeout, and the budget must be free in the end.
+func TestMemoryBudget(t *testing.T) {
+	r := newFixture(t, 2, standin.NodeOptions{}, func(c *config.Config) {
 		c.Rsync.Budget = 4 * int64(c.Rsync.Extent)
 	})
-	big, small := file("big", content(1, 32<<20)), file("small", content(2, 200_000))
+	big, small := testFile("big", content(1, 32<<20)), testFile("small", content(2, 200_000))
 	r.push("", big, small)
 	var wg sync.WaitGroup
 	for range 12 {
@@ -550,25 +551,25 @@
 			c.StopRead = 6 * time.Second
 			rep, err := c.Pull(context.Background(), "records", "big", nil)
 			if err == nil && len(rep.LeftOut) == 0 && (len(rep.Files) != 1 || blake3.Sum256(rep.Files[0].Data) != blake3.Sum256(big.Data)) {
-				t.Errorf("one that stood still has %d files, said %q", len(rep.Files), rep.Said)
+				t.Errorf("client that stopped reading: %d files or other content, said %q", len(rep.Files), rep.Said)
 			}
-			if err != nil || len(rep.LeftOut) > 0 && !told(rep) {
-				t.Errorf("one that stood still: %v, left out %q, said %q", err, rep.LeftOut, rep.Said)
+			if err != nil || len(rep.LeftOut) > 0 && !reportsCause(rep) {
+				t.Errorf("client that stopped reading: %v, left out %q, said %q", err, rep.LeftOut, rep.Said)
 			}
 		}()
 	}
-	r.until("the memory to be taken", func() bool { return r.gw.Front().Stats().Budget >= 3*int64(r.cfg.Rsync.Extent) })
+	r.waitFor("the budget to be used up", func() bool { return r.gw.Front().Stats().Budget >= 3*int64(r.cfg.Rsync.Extent) })
 	for range 5 {
 		c := r.client()
 		c.Timeout = 3 * time.Second
 		rep, err := c.Pull(context.Background(), "records", "small", nil)
-		if err != nil || len(rep.Files) == 0 && !told(rep) {
+		if err != nil || len(rep.Files) == 0 && !reportsCause(rep) {
 			t.Errorf("another client: %v, said %q after %v", err, rep.Said, rep.Took)
 		}
 		if b := r.gw.Front().Stats().Budget; b > r.cfg.Rsync.Budget {
-			t.Errorf("%d bytes are held, %d may be", b, r.cfg.Rsync.Budget)
+			t.Errorf("%d bytes in use, budget is %d", b, r.cfg.Rsync.Budget)
 		}
 	}
 	wg.Wait()
-	r.until("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
+	r.waitFor("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
 }
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -16,8 +16,8 @@
 	"eiderhold/internal/standin"
 )
 
-// rig is a site with a gateway before it.
-type rig struct {
+// fixture is a site of stand-in nodes and a register, with a gateway that uses them.
+type fixture struct {
 	t    testing.TB
 	site *standin.Site
 	cfg  *config.Config
@@ -25,19 +25,20 @@
 	dir  string
 }
 
-// start starts nodes and a gateway. change may be nil.
-func start(t testing.TB, nodes int, node standin.NodeOptions, change func(*config.Config)) *rig {
+// newFixture starts nodes and a gateway. change, which may be nil, edits the gateway's settings.
+func newFixture(t testing.TB, nodes int, node standin.NodeOptions, change func(*config.Config)) *fixture {
 	t.Helper()
-	return startTraced(t, nodes, node, change, nil)
+	return newTracedFixture(t, nodes, node, change, nil)
 }
 
-func startTraced(t testing.TB, nodes int, node standin.NodeOptions, change func(*config.Config), trace *audit.Writer) *rig {
+// newTracedFixture is newFixture with a trace, which the site writes for package audit.
+func newTracedFixture(t testing.TB, nodes int, node standin.NodeOptions, change func(*config.Config), trace *audit.Writer) *fixture {
 	t.Helper()
 	site, err := standin.StartSite("", trace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, site: site, cfg: config.Default(), dir: t.TempDir()}
+	r := &fixture{t: t, site: site, cfg: config.Default(), dir: t.TempDir()}
 	for i := range nodes {
 		o := node
 		o.ID, o.Shard, o.Seed = fmt.Sprintf("node-%d", i), i, int64(i)
@@ -52,38 +53,38 @@
 	if change != nil {
 		change(r.cfg)
 	}
-	r.boot()
+	r.startGateway()
 	t.Cleanup(func() {
 		if r.gw != nil {
-			r.stop()
+			r.stopGateway()
 		}
 		site.Close()
 	})
 	return r
 }
 
-// boot starts the gateway and waits until it knows its nodes.
-func (r *rig) boot() {
+// startGateway starts the gateway and waits until it has the current node list.
+func (r *fixture) startGateway() {
 	r.t.Helper()
 	if err := r.cfg.Check(); err != nil {
 		r.t.Fatal(err)
 	}
-	gw, err := Start(r.cfg, r.gwLog())
+	gw, err := Start(r.cfg, r.logger())
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.gw = gw
-	r.until("the node list", func() bool { return gw.Feed().State().Version >= r.site.Register.Version() })
+	r.waitFor("the node list", func() bool { return gw.Feed().State().Version >= r.site.Register.Version() })
 }
 
-func (r *rig) gwLog() *slog.Logger {
+func (r *fixture) logger() *slog.Logger {
 	if os.Getenv("EIDERHOLD_TEST_LOG") != "" {
 		return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	return slog.New(slog.DiscardHandler)
 }
 
-func (r *rig) stop() {
+func (r *fixture) stopGateway() {
 	r.t.Helper()
 	if err := r.gw.Close(); err != nil {
 		r.t.Error("close:", err)
@@ -92,25 +93,25 @@
 		r.t.Error("host loop:", err)
 	}
 	if d := r.gw.Host().Stats().Defects; d != 0 {
-		r.t.Errorf("%d answers were given as the last resort", d)
+		r.t.Errorf("%d defects counted by the host", d)
 	}
 	r.gw = nil
 }
 
-// until waits for a condition.
-func (r *rig) until(what string, ok func() bool) {
+// waitFor waits up to 30 s for a condition.
+func (r *fixture) waitFor(what string, ok func() bool) {
 	r.t.Helper()
 	for limit := time.Now().Add(30 * time.Second); !ok(); {
 		if time.Now().After(limit) {
-			r.t.Fatalf("not within 30 s: %s", what)
+			r.t.Fatalf("timed out after 30 s waiting for %s", what)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-// only has the gateway put new objects on one node, until the returned function is
-// called: all others are announced draining meanwhile.
-func (r *rig) only(id string, nodes int) (all func()) {
+// onlyReady lists all nodes but one as draining, so that the gateway stores new items only
+// there, until the returned function is called.
+func (r *fixture) onlyReady(id string, nodes int) (restore func()) {
 	set := func(state string) {
 		for i := range nodes {
 			if other := fmt.Sprintf("node-%d", i); other != id {
@@ -118,15 +119,15 @@
 			}
 		}
 		r.site.State(id, "ready")
-		r.until("news of the nodes", func() bool { return r.gw.Feed().State().Version >= r.site.Register.Version() })
+		r.waitFor("the node list", func() bool { return r.gw.Feed().State().Version >= r.site.Register.Version() })
 	}
 	set("draining")
 	return func() { set("ready") }
 }
 
-func (r *rig) client() *standin.Client { return &standin.Client{Addr: r.gw.Addr()} }
+func (r *fixture) client() *standin.Client { return &standin.Client{Addr: r.gw.Addr()} }
 
-func (r *rig) push(path string, files ...standin.ClientFile) *standin.Report {
+func (r *fixture) push(path string, files ...standin.ClientFile) *standin.Report {
 	r.t.Helper()
 	rep, err := r.client().Push(context.Background(), "records", path, files)
 	if err != nil || !rep.Goodbye || len(rep.Said) > 0 {
@@ -135,7 +136,7 @@
 	return rep
 }
 
-func (r *rig) pull(path string) *standin.Report {
+func (r *fixture) pull(path string) *standin.Report {
 	r.t.Helper()
 	rep, err := r.client().Pull(context.Background(), "records", path, nil)
 	if err != nil || !rep.Goodbye || len(rep.Said) > 0 {
@@ -144,19 +145,19 @@
 	return rep
 }
 
-// content is seeded bytes.
+// content returns n random bytes that depend only on the seed.
 func content(seed int64, n int) []byte {
 	p := make([]byte, n)
 	rand.New(rand.NewSource(seed)).Read(p)
 	return p
 }
 
-func file(path string, data []byte) standin.ClientFile {
+func testFile(path string, data []byte) standin.ClientFile {
 	return standin.ClientFile{Path: path, Data: data, MTime: 1_700_000_000}
 }
 
-// same compares pulled files with those that were pushed, by path.
-func same(t *testing.T, rep *standin.Report, want ...standin.ClientFile) {
+// checkPulled compares the pulled files with those that were pushed, by path.
+func checkPulled(t *testing.T, rep *standin.Report, want ...standin.ClientFile) {
 	t.Helper()
 	got := map[string][]byte{}
 	for _, f := range rep.Files {
@@ -169,18 +170,18 @@
 			continue
 		}
 		if p, ok := got[f.Path]; !ok || !bytes.Equal(p, f.Data) {
-			t.Fatalf("%s: %d bytes came (there: %v), want %d", f.Path, len(p), ok, len(f.Data))
+			t.Fatalf("%s: pulled %d bytes (found: %v), want %d", f.Path, len(p), ok, len(f.Data))
 		}
 		delete(got, f.Path)
 	}
 	if len(got) > 0 {
-		t.Fatalf("%d files more than were pushed", len(got))
+		t.Fatalf("%d files pulled that were not pushed", len(got))
 	}
 }
 
-// clients has so many clients do something again and again, each until it returns false or the returned
-// function, which waits for them, is called.
-func clients(n int, do func(client, i int) bool) (stop func()) {
+// runClients starts n goroutines that call do repeatedly, each until do returns false or the returned function is
+// called, which waits for them to end.
+func runClients(n int, do func(client, i int) bool) (stop func()) {
 	end := make(chan struct{})
 	var wg sync.WaitGroup
 	for c := range n {
--- a/internal/gateway/outages.go
+++ b/internal/gateway/outages.go
@@ -10,42 +10,43 @@
 	"eiderhold/outage"
 )
 
-// outageTick is how often lost shards are looked at.
-const outageTick = 50 * time.Millisecond
+// outagePollInterval is how often run checks which lost shards are due for a probe.
+const outagePollInterval = 50 * time.Millisecond
 
-// outages keeps the book of lost shards: the host tells how attempts ended, lost shards are probed, and
-// fronts ask before they want anything of one.
-type outages struct {
+// outageMonitor tracks lost shards. The host reports whether attempts were answered, run probes lost
+// shards, and the front asks whether a shard is lost before it sends requests there.
+type outageMonitor struct {
 	log   *slog.Logger
 	now   func() time.Duration
 	probe func(node string)
 
-	nodes *roster
+	nodes *nodeTable
 
 	mu   sync.Mutex
 	book *outage.Book
 }
 
-func newOutages(set outage.Settings, nodes *roster, log *slog.Logger, now func() time.Duration, probe func(string)) (*outages, error) {
-	book, err := outage.New(set)
+func newOutageMonitor(settings outage.Settings, nodes *nodeTable, log *slog.Logger, now func() time.Duration, probe func(string)) (*outageMonitor, error) {
+	book, err := outage.New(settings)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	return &outages{log: log, now: now, probe: probe, book: book, nodes: nodes}, nil
+	return &outageMonitor{log: log, now: now, probe: probe, book: book, nodes: nodes}, nil
 }
 
-// news takes that the list changed: fresh are the shards of nodes that are new, restarted or moved.
-func (o *outages) news(fresh []int) {
+// nodesChanged is called after each change of the node list. changed are the shards of nodes that are new,
+// restarted or at another address, which may answer again.
+func (o *outageMonitor) nodesChanged(changed []int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, shard := range fresh {
+	for _, shard := range changed {
 		o.book.Word(shard, o.now())
 	}
-	o.book.Keep(func(shard int) bool { return len(o.nodes.of(shard)) > 0 })
+	o.book.Keep(func(shard int) bool { return len(o.nodes.ofShard(shard)) > 0 })
 }
 
-// heard takes how an attempt or a probe at a shard ended. The host calls it on its loop.
-func (o *outages) heard(shard int, answered bool) {
+// recordAnswer records whether a shard answered an attempt or a probe. The host calls it on its loop.
+func (o *outageMonitor) recordAnswer(shard int, answered bool) {
 	o.mu.Lock()
 	change, silent := o.book.Heard(shard, answered, o.now())
 	o.mu.Unlock()
@@ -57,38 +58,38 @@
 	}
 }
 
-// lost says whether a shard is lost, why it is to be refused, and when to come back.
-func (o *outages) lost(shard int) (why string, back time.Duration, lost bool) {
+// lost reports whether a shard is lost, with the reason for the client and the time after which to retry.
+func (o *outageMonitor) lost(shard int) (why string, retryAfter time.Duration, lost bool) {
 	o.mu.Lock()
-	silent, back, lost := o.book.Lost(shard, o.now())
+	silent, retryAfter, lost := o.book.Lost(shard, o.now())
 	o.mu.Unlock()
 	if !lost {
 		return "", 0, false
 	}
-	return fmt.Sprintf("shard %d (%s) has given no answer for %v", shard, o.holders(shard), silent.Round(100*time.Millisecond)), back, true
+	return fmt.Sprintf("shard %d (%s) has given no answer for %v", shard, o.nodeNames(shard), silent.Round(100*time.Millisecond)), retryAfter, true
 }
 
-// mostNamed is how many of a shard's nodes are named to clients.
-const mostNamed = 4
+// maxNamedNodes is the number of a shard's nodes that a refusal names.
+const maxNamedNodes = 4
 
-// holders names the nodes of a shard.
-func (o *outages) holders(shard int) string {
+// nodeNames lists the nodes of a shard for a refusal.
+func (o *outageMonitor) nodeNames(shard int) string {
 	var ids []string
-	for _, n := range o.nodes.of(shard) {
+	for _, n := range o.nodes.ofShard(shard) {
 		ids = append(ids, n.ID)
 	}
 	switch {
 	case len(ids) == 0:
 		return "no node is listed"
-	case len(ids) > mostNamed:
-		return fmt.Sprintf("%s and %d more", strings.Join(ids[:mostNamed], ", "), len(ids)-mostNamed)
+	case len(ids) > maxNamedNodes:
+		return fmt.Sprintf("%s and %d more", strings.Join(ids[:maxNamedNodes], ", "), len(ids)-maxNamedNodes)
 	}
 	return strings.Join(ids, ", ")
 }
 
 // run probes lost shards until stop is closed.
-func (o *outages) run(stop <-chan struct{}) {
-	tick := time.NewTicker(outageTick)
+func (o *outageMonitor) run(stop <-chan struct{}) {
+	tick := time.NewTicker(outagePollInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -100,7 +101,7 @@
 		due := o.book.Due(o.now())
 		o.mu.Unlock()
 		for _, shard := range due {
-			for _, n := range o.nodes.of(shard) {
+			for _, n := range o.nodes.ofShard(shard) {
 				o.probe(n.ID)
 			}
 		}
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -15,59 +15,60 @@
 	"eiderhold/placement"
 )
 
-// warmEvery is how often the weights of nodes that warm up are worked out anew.
-const warmEvery = time.Second
-
-// places keeps the map of who takes new extents up to date: from the node list, which nodes are
-// warm by now, how full shards are, and the solution in use. The fronts read it without a lock.
-type places struct {
-	set  placement.Settings
-	safe config.Safety
-	log  *slog.Logger
-	now  func() time.Duration // the host's clock
-	ask  func(node string)    // for a load report
-	bell chan struct{}        // who takes extents has changed
-
-	nodes *roster
-
-	fillMu sync.Mutex // guards fill; never held with what blocks
+// warmupInterval is how often the weights of nodes that warm up are recomputed.
+const warmupInterval = time.Second
+
+// placer maintains the placement map for new extents. It rebuilds the map from the node list, the
+// warmth of nodes, the fill of shards and the solution in use. The front reads it without a lock.
+type placer struct {
+	settings      placement.Settings
+	safety        config.Safety
+	log           *slog.Logger
+	now           func() time.Duration // the host's clock
+	requestReport func(node string)    // asks a node for a load report
+	wake          chan struct{}        // signals run that the set of shards that take extents has changed
+
+	nodes *nodeTable
+
+	fillMu sync.Mutex // guards fill; never held during a blocking call
 	fill   *placement.Fill
 
-	mu     sync.Mutex
-	placed map[string][]string // volume -> nodes, of the solution in use
+	mu            sync.Mutex
+	solutionNodes map[string][]string // volume -> nodes, from the solution in use
 
-	current atomic.Pointer[placed]
+	current atomic.Pointer[placementMap]
 }
 
-// placed is a map with what goes with it.
-type placed struct {
+// placementMap is a placement map with the shards that take no new extents.
+type placementMap struct {
 	*placement.Map
-	avoid []int // shards that are listed and take nothing, ascending
-	none  error // why none does
+	avoid     []int // listed shards that take no new extents, ascending
+	noRoomErr error // set if no shard takes new extents
 
-	chosen [chosenSlots]atomic.Pointer[chosen] // of late, by key: extents that are to lie together ask one after the other
+	tierCache [tierCacheSlots]atomic.Pointer[cachedTiers] // by key, modulo its size; extents of one key are usually placed one after the other
 }
 
-const chosenSlots = 512
+const tierCacheSlots = 512
 
-// chosen is where extents of one key go. It does not change.
-type chosen struct {
+// cachedTiers holds the candidate shards for extents of one key, by tier. It is never modified.
+type cachedTiers struct {
 	volume string
 	key    uint64
 	tiers  [][]int
 }
 
-func newPlaces(cfg *config.Config, nodes *roster, log *slog.Logger, now func() time.Duration, ask func(string)) (*places, error) {
+func newPlacer(cfg *config.Config, nodes *nodeTable, log *slog.Logger, now func() time.Duration, requestReport func(string)) (*placer, error) {
 	fill, err := placement.NewFill(cfg.Marks())
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	return &places{set: cfg.PlacementSettings(), safe: cfg.Safety, log: log, now: now, ask: ask, bell: make(chan struct{}, 1),
+	return &placer{settings: cfg.PlacementSettings(), safety: cfg.Safety, log: log, now: now, requestReport: requestReport, wake: make(chan struct{}, 1),
 		fill: fill, nodes: nodes}, nil
 }
 
-// filled takes what a shard reports; it does not block. The backend calls it.
-func (p *places) filled(shard int, used, capacity uint64, noRoom bool) {
+// reportFill records the fill that a node of a shard reports, and whether it had no room. It does not
+// block. The backend calls it.
+func (p *placer) reportFill(shard int, used, capacity uint64, noRoom bool) {
 	now := p.now()
 	p.fillMu.Lock()
 	changed := capacity > 0 && p.fill.Report(shard, int64(min(used, 1<<62)), int64(min(capacity, 1<<62)), now)
@@ -77,93 +78,95 @@
 	p.fillMu.Unlock()
 	if changed {
 		select {
-		case p.bell <- struct{}{}:
+		case p.wake <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// levels is what is known of how full shards are.
-func (p *places) levels() []placement.Level {
+// levels returns the known fill of all shards.
+func (p *placer) levels() []placement.Level {
 	p.fillMu.Lock()
 	defer p.fillMu.Unlock()
 	return p.fill.Levels(p.now())
 }
 
-// news takes that the list changed.
-func (p *places) news() {
+// nodesChanged rebuilds the map. It is called after each change of the node list.
+func (p *placer) nodesChanged() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.build()
+	p.rebuild()
 }
 
-// solution takes the placement of the solution in use.
-func (p *places) solution(placed map[string][]string) {
+// setSolution sets the placement of the solution in use and rebuilds the map.
+func (p *placer) setSolution(nodes map[string][]string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.placed = placed
-	p.build()
+	p.solutionNodes = nodes
+	p.rebuild()
 }
 
-// run works the weights of nodes that warm up out anew, until stop is closed.
-func (p *places) run(stop <-chan struct{}) {
-	tick := time.NewTicker(warmEvery)
+// run rebuilds the map when the fill of a shard calls for it and while nodes warm up, and requests
+// load reports, until stop is closed.
+func (p *placer) run(stop <-chan struct{}) {
+	tick := time.NewTicker(warmupInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-p.bell:
-			p.news()
+		case <-p.wake:
+			p.nodesChanged()
 		case <-tick.C:
-			p.askAround()
-			if p.warming() {
-				p.news()
+			p.requestReports()
+			if p.anyWarming() {
+				p.nodesChanged()
 			}
 		}
 	}
 }
 
-// askAround asks nodes for reports of shards that nothing was heard of for long, those that are full
-// more often.
-func (p *places) askAround() {
+// requestReports requests a load report for each shard whose last report is old. Full shards are
+// asked more often.
+func (p *placer) requestReports() {
 	p.fillMu.Lock()
-	p.fill.Keep(func(shard int) bool { return len(p.nodes.of(shard)) > 0 })
-	ask := p.fill.Ask(p.nodes.shards(), p.now())
+	p.fill.Keep(func(shard int) bool { return len(p.nodes.ofShard(shard)) > 0 })
+	due := p.fill.Ask(p.nodes.shards(), p.now())
 	p.fillMu.Unlock()
-	for _, shard := range ask {
-		if nodes := p.nodes.of(shard); len(nodes) > 0 { // one that is ready, before one that drains
-			p.ask(nodes[0].ID)
+	for _, shard := range due {
+		if nodes := p.nodes.ofShard(shard); len(nodes) > 0 { // a ready node, if there is one
+			p.requestReport(nodes[0].ID)
 		}
 	}
 }
 
-// warming says whether a node was not warm yet when the map was made last.
-func (p *places) warming() bool {
+// anyWarming reports whether a node was still cold warmupInterval ago, so that its weight has changed since then.
+func (p *placer) anyWarming() bool {
 	for _, shard := range p.nodes.shards() {
-		if slices.ContainsFunc(p.nodes.of(shard), func(n host.Node) bool { return p.warmth(n, warmEvery) < 1 }) {
+		if slices.ContainsFunc(p.nodes.ofShard(shard), func(n host.Node) bool { return p.warmth(n, warmupInterval) < 1 }) {
 			return true
 		}
 	}
 	return false
 }
 
-// warmth is the part of its capacity that a node had some time ago, as the rules state it.
-func (p *places) warmth(n host.Node, ago time.Duration) float64 {
-	cold := p.safe.ColdFor.D()
+// warmth returns the part of its capacity that a node had the given time ago: it grows linearly from
+// ColdCapacity to 1 within ColdFor after the node's start.
+func (p *placer) warmth(n host.Node, ago time.Duration) float64 {
+	cold := p.safety.ColdFor.D()
 	if n.StartedAt == 0 || cold == 0 {
 		return 1
 	}
 	age := float64(p.now()-ago-n.StartedAt) / float64(cold)
-	return min(1, p.safe.ColdCapacity+(1-p.safe.ColdCapacity)*max(0, age))
+	return min(1, p.safety.ColdCapacity+(1-p.safety.ColdCapacity)*max(0, age))
 }
 
-// build makes the map anew; the lock is held. A shard weighs what its ready nodes do.
-func (p *places) build() {
+// rebuild makes a new map; p.mu is held. The weight of a shard is the sum of those of its ready nodes.
+func (p *placer) rebuild() {
 	var shards []placement.Shard
 	for _, id := range p.nodes.shards() {
 		s := placement.Shard{ID: id, Warmth: 1, Headroom: 1}
-		for _, n := range p.nodes.of(id) {
+		for _, n := range p.nodes.ofShard(id) {
 			if n.State != control.Ready {
 				continue
 			}
@@ -172,7 +175,7 @@
 			}
 			size := n.Size
 			if size <= 0 {
-				size = 1 // the register tells no sizes
+				size = 1 // the register lists no size
 			}
 			s.Weight += size * p.warmth(n, 0)
 		}
@@ -180,7 +183,7 @@
 			shards = append(shards, s)
 		}
 	}
-	next := &placed{}
+	next := &placementMap{}
 	var order []int
 	p.fillMu.Lock()
 	for i := range shards {
@@ -191,48 +194,48 @@
 		}
 	}
 	if len(next.avoid) == len(order) && len(order) > 0 {
-		next.none = p.fill.None(order)
+		next.noRoomErr = p.fill.None(order)
 	}
 	p.fillMu.Unlock()
-	m, err := placement.New(p.set, shards, p.nodes.placed(p.placed))
+	m, err := placement.New(p.settings, shards, p.nodes.shardsByVolume(p.solutionNodes))
 	if err != nil {
 		p.log.Error("placement: the map could not be made; the one before stays", "err", err)
 		return
 	}
 	next.Map = m
-	before := p.current.Swap(next)
-	if before == nil {
-		before = &placed{}
+	previous := p.current.Swap(next)
+	if previous == nil {
+		previous = &placementMap{}
 	}
-	if !slices.Equal(before.avoid, next.avoid) {
+	if !slices.Equal(previous.avoid, next.avoid) {
 		p.log.Info("placement: shards that take nothing new, for want of room", "shards", next.avoid, "of", len(order))
 	}
-	if next.none != nil && before.none == nil {
-		p.log.Error("placement: no new data is taken", "err", next.none)
+	if next.noRoomErr != nil && previous.noRoomErr == nil {
+		p.log.Error("placement: no shard takes new data", "err", next.noRoomErr)
 	}
 }
 
-// spot is where an extent is to go; anywhere before the nodes are known. The error says that no
-// shard has room.
-func (p *places) spot(volume, file string, index int, size int64) (front.Spot, error) {
+// place returns the candidate shards for an extent, or an empty Spot, which allows any shard, before
+// the first node list. It returns an error if no shard has room.
+func (p *placer) place(volume, file string, index int, size int64) (front.Spot, error) {
 	m := p.current.Load()
 	if m == nil {
 		return front.Spot{}, nil
 	}
-	if m.none != nil {
-		return front.Spot{}, m.none
+	if m.noRoomErr != nil {
+		return front.Spot{}, m.noRoomErr
 	}
-	key := p.set.Key(volume, file, index, size)
-	slot := &m.chosen[key%chosenSlots]
+	key := p.settings.Key(volume, file, index, size)
+	slot := &m.tierCache[key%tierCacheSlots]
 	if c := slot.Load(); c != nil && c.key == key && c.volume == volume {
 		return front.Spot{Tiers: c.tiers, Avoid: m.avoid}, nil
 	}
 	var c placement.Choices
 	tiers := m.Candidates(volume, key, &c)
-	out := make([][]int, len(tiers)) // a request outlives c
+	out := make([][]int, len(tiers)) // the tiers point into c, which a request outlives
 	for i := range tiers {
 		out[i] = slices.Clone(tiers[i])
 	}
-	slot.Store(&chosen{volume, key, out})
+	slot.Store(&cachedTiers{volume, key, out})
 	return front.Spot{Tiers: out, Avoid: m.avoid}, nil
 }
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -12,8 +12,8 @@
 	"eiderhold/internal/standin"
 )
 
-// perNode counts the writes that nodes have done.
-func (r *rig) perNode(nodes int) (counts []int, most, sum int) {
+// writesPerNode returns the number of writes done by each node, the highest and the sum.
+func (r *fixture) writesPerNode(nodes int) (counts []int, most, sum int) {
 	for i := range nodes {
 		n := r.site.Node(fmt.Sprintf("node-%d", i))
 		c := 0
@@ -26,18 +26,18 @@
 	return counts, most, sum
 }
 
-// TestNewDataIsSpread: 24 nodes, one idle gateway, 2,000 small pushes: every node takes
+// TestNewDataIsSpread pushes 2,000 small files through a gateway with 24 nodes. Every node must take
 // some, and none more than 1.5 times the mean.
 func TestNewDataIsSpread(t *testing.T) {
 	const nodes, pushes, clients = 24, 2000, 4
-	r := start(t, nodes, standin.NodeOptions{}, nil)
+	r := newFixture(t, nodes, standin.NodeOptions{}, nil)
 	var wg sync.WaitGroup
 	for c := range clients {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for i := range pushes / clients {
-				f := file(fmt.Sprint(c, "-", i), []byte{byte(i)})
+				f := testFile(fmt.Sprint(c, "-", i), []byte{byte(i)})
 				if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f}); err != nil || len(rep.Said) > 0 {
 					t.Errorf("push: %v %q", err, rep.Said)
 					return
@@ -46,28 +46,28 @@
 		}()
 	}
 	wg.Wait()
-	counts, most, sum := r.perNode(nodes)
+	counts, most, sum := r.writesPerNode(nodes)
 	if sum < pushes || most*nodes*2 > 3*sum {
 		t.Errorf("%d writes, most %d: more than 1.5 times the mean of %.0f: %v", sum, most, float64(sum)/nodes, counts)
 	}
 	for i, c := range counts {
 		if c == 0 {
-			t.Errorf("node %d took none: %v", i, counts)
+			t.Errorf("node %d took no write: %v", i, counts)
 		}
 	}
 }
 
-// TestFilesStayTogether: the extents of a file up to placement.whole_up_to lie on one shard,
-// those of a larger one on at most placement.width, by the writes that nodes did.
+// TestFilesStayTogether checks that the extents of a file up to placement.whole_up_to are written to one
+// shard, and those of a larger file to at most placement.width shards.
 func TestFilesStayTogether(t *testing.T) {
 	const nodes = 16
-	r := start(t, nodes, standin.NodeOptions{}, func(c *config.Config) {
+	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) {
 		c.Rsync.Extent, c.Place.Whole, c.Place.Width, c.Place.Choice = 4096, 64<<10, 3, 1
 	})
 	touched := func(path string, size int) (n int) {
-		before, _, _ := r.perNode(nodes)
-		r.push("", file(path, content(1, size)))
-		after, _, _ := r.perNode(nodes)
+		before, _, _ := r.writesPerNode(nodes)
+		r.push("", testFile(path, content(1, size)))
+		after, _, _ := r.writesPerNode(nodes)
 		for i := range after {
 			if after[i] > before[i] {
 				n++
@@ -77,26 +77,26 @@
 	}
 	for i := range 5 {
 		if n := touched(fmt.Sprint("small", i), 60<<10); n != 1 {
-			t.Errorf("a small file touches %d nodes", n)
+			t.Errorf("a small file was written to %d nodes, want 1", n)
 		}
 		if n := touched(fmt.Sprint("large", i), 200<<10); n < 2 || n > 3 {
-			t.Errorf("a large file touches %d nodes, not up to 3", n)
+			t.Errorf("a large file was written to %d nodes, want 2 or 3", n)
 		}
 	}
 }
 
-// TestNodeVanishes: one of six nodes vanishes without a word. What is pushed meanwhile lands
-// elsewhere, what lay on the others is served, and what lay there is served once it is back,
-// cold and at another address. The same for two of them one after the other.
+// TestNodeVanishes stops one of six nodes without notice, and later another. Files pushed meanwhile
+// must be stored elsewhere, files on the other nodes must be served, and those on the stopped node
+// must be served once it is back, cold and at another address.
 func TestNodeVanishes(t *testing.T) {
 	const nodes = 6
-	r := start(t, nodes, standin.NodeOptions{ColdFor: 2 * time.Second, ColdCapacity: 0.5}, func(c *config.Config) {
-		c.Pacing.Patience = config.Duration(300 * time.Millisecond) // what lies on a lost node is given up soon
+	r := newFixture(t, nodes, standin.NodeOptions{ColdFor: 2 * time.Second, ColdCapacity: 0.5}, func(c *config.Config) {
+		c.Pacing.Patience = config.Duration(300 * time.Millisecond) // requests to a lost node fail soon
 	})
 	var files []standin.ClientFile
 	push := func(n int) {
 		for range n {
-			f := file(fmt.Sprint("f", len(files)), content(int64(len(files)), 5000))
+			f := testFile(fmt.Sprint("f", len(files)), content(int64(len(files)), 5000))
 			files = append(files, f)
 			r.push("", f)
 		}
@@ -104,21 +104,21 @@
 	push(48)
 	for _, gone := range []int{2, 4} {
 		id := fmt.Sprintf("node-%d", gone)
-		before, _, _ := r.perNode(nodes)
+		before, _, _ := r.writesPerNode(nodes)
 		if before[gone] == 0 {
-			t.Fatalf("%s took nothing: %v", id, before)
+			t.Fatalf("%s took no write: %v", id, before)
 		}
 		r.site.Node(id).Close()
 		push(24)
 		reached, left := 0, 0
-		known := false // that the shard is lost: from then on nothing is tried there
+		known := false // the shard is known as lost: from then on no request is sent there
 		for _, f := range files {
 			rep, err := r.client().Pull(context.Background(), "records", f.Path, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if len(rep.Said) == 0 {
-				same(t, rep, f)
+				checkPulled(t, rep, f)
 				reached++
 				continue
 			}
@@ -127,20 +127,20 @@
 			if known && (!strings.Contains(said, fmt.Sprintf("after 0 tries: shard %d (%s) has given no answer for", gone, id)) || !strings.Contains(said, "retry-after=")) {
 				t.Errorf("%s: %q", f.Path, said)
 			}
-			_, _, lost := r.gw.out.lost(gone)
+			_, _, lost := r.gw.outages.lost(gone)
 			known = known || lost
 		}
 		if !known {
-			t.Errorf("%s gone: not known as lost after %d files that lie there", id, left)
+			t.Errorf("%s stopped: not known as lost after %d refused files", id, left)
 		}
 		if left == 0 || left > len(files)/2 {
-			t.Errorf("%s gone: %d files were served, %d were not: what lay there is about a sixth", id, reached, left)
+			t.Errorf("%s stopped: %d files were served, %d were not; about a sixth were on the node", id, reached, left)
 		}
 		if err := r.site.Return(id); err != nil {
 			t.Fatal(err)
 		}
 		for _, f := range files {
-			r.until(f.Path+" again", func() bool {
+			r.waitFor(f.Path+" again", func() bool {
 				rep, err := r.client().Pull(context.Background(), "records", f.Path, nil)
 				return err == nil && len(rep.Said) == 0
 			})
@@ -148,40 +148,39 @@
 	}
 }
 
-// TestSuccessorKeepsAPlace: a solution places a volume on one node. When that is rolled, its
-// successor, which the solution does not name, takes the volume's new data; when the solution
-// is withdrawn by one that places it elsewhere, that node does. (Without a successor's place
-// the other nodes of a solution took all of a deploy's new data.)
-func TestSuccessorKeepsAPlace(t *testing.T) {
+// TestSuccessorInheritsPlacement replaces the node on which a solution places a volume. The successor,
+// which the solution does not name, must take the volume's new data, until another solution places the
+// volume elsewhere. Otherwise the other nodes of a solution would take all new data during a deployment.
+func TestSuccessorInheritsPlacement(t *testing.T) {
 	const nodes = 4
-	r := start(t, nodes, standin.NodeOptions{}, nil)
-	told := func(version uint64, node string) {
-		_, b := sealedSolution(t, version, 1000, node)
+	r := newFixture(t, nodes, standin.NodeOptions{}, nil)
+	useSolution := func(version uint64, node string) {
+		_, b := encodedSolution(t, version, 1000, node)
 		r.site.Register.SetShares(b)
-		r.until("the solution", func() bool { return r.gw.Keeper().State().Version == version })
+		r.waitFor("the solution", func() bool { return r.gw.Keeper().State().Version == version })
 	}
-	lands := func(on string) {
+	checkWrites := func(on string) {
 		t.Helper()
 		before := map[string]int{}
 		for _, id := range r.site.IDs() {
 			before[id] = r.site.Node(id).Counts().Done
 		}
 		for i := range 20 {
-			r.push("", file(fmt.Sprint(on, i), content(int64(i), 1000)))
+			r.push("", testFile(fmt.Sprint(on, i), content(int64(i), 1000)))
 		}
 		for _, id := range r.site.IDs() {
 			if did := r.site.Node(id).Counts().Done - before[id]; id == on && did < 15 || id != on && did > 5 {
-				t.Errorf("%s took %d writes; the 20 are %s's, but for what could not end there in time", id, did, on)
+				t.Errorf("%s took %d writes; all 20 belong on %s, except for a few that could not be written there in time", id, did, on)
 			}
 		}
 	}
-	told(1, "node-1")
-	lands("node-1")
+	useSolution(1, "node-1")
+	checkWrites("node-1")
 	if _, err := r.site.Replace("node-1", "next", 0, func(time.Duration) {}); err != nil {
 		t.Fatal(err)
 	}
-	r.until("news of it", func() bool { return r.gw.Feed().State().Version >= r.site.Register.Version() })
-	lands("next")
-	told(2, "node-3")
-	lands("node-3")
+	r.waitFor("the node list", func() bool { return r.gw.Feed().State().Version >= r.site.Register.Version() })
+	checkWrites("next")
+	useSolution(2, "node-3")
+	checkWrites("node-3")
 }
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -11,89 +11,89 @@
 	"eiderhold/placement"
 )
 
-// roster is the nodes as the register lists them, and the shards of nodes ever listed. What it hands out
-// does not change.
-type roster struct {
-	mu    sync.RWMutex
-	nodes map[string]host.Node
-	at    map[int][]host.Node // by shard, in order of state and id: ready ones first
-	ever  map[string]int      // shards of nodes ever listed: a successor takes over a shard
-	seen  map[int]bool        // shards ever listed
+// nodeTable holds the nodes that the register lists and the shards of all nodes listed since the start. The
+// slices that it returns are never modified.
+type nodeTable struct {
+	mu         sync.RWMutex
+	nodes      map[string]host.Node
+	byShard    map[int][]host.Node // by shard, sorted by state and ID, ready nodes first
+	lastShard  map[string]int      // node ID -> its shard, also for nodes no longer listed: a solution may name a node whose successor has its shard
+	everListed map[int]bool        // shards of all nodes listed since the start
 }
 
-func newRoster() *roster {
-	return &roster{nodes: map[string]host.Node{}, at: map[int][]host.Node{}, ever: map[string]int{}, seen: map[int]bool{}}
+func newNodeTable() *nodeTable {
+	return &nodeTable{nodes: map[string]host.Node{}, byShard: map[int][]host.Node{}, lastShard: map[string]int{}, everListed: map[int]bool{}}
 }
 
-// take takes news of the nodes and returns the shards of those that are new, restarted or moved.
-func (r *roster) take(l host.List) (fresh []int) {
+// update applies a node list and returns the shards of nodes that are new, restarted or at another address.
+func (r *nodeTable) update(l host.List) (changed []int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before := r.nodes
+	previous := r.nodes
 	r.nodes = map[string]host.Node{}
 	if l.Kind != control.ListFull && l.Kind != control.ListCached {
-		maps.Copy(r.nodes, before)
+		maps.Copy(r.nodes, previous)
 	}
-	if len(r.ever) > 2*placement.MostShards {
-		clear(r.ever)
+	if len(r.lastShard) > 2*placement.MostShards {
+		clear(r.lastShard)
 	}
 	for _, n := range l.Nodes {
-		r.ever[n.ID], r.seen[n.Shard] = n.Shard, true
+		r.lastShard[n.ID], r.everListed[n.Shard] = n.Shard, true
 		if n.State == control.Gone {
 			delete(r.nodes, n.ID)
 			continue
 		}
 		r.nodes[n.ID] = n
-		if old, known := before[n.ID]; !known || old.Addr != n.Addr || old.StartedAt != n.StartedAt {
-			fresh = append(fresh, n.Shard)
+		if old, known := previous[n.ID]; !known || old.Addr != n.Addr || old.StartedAt != n.StartedAt {
+			changed = append(changed, n.Shard)
 		}
 	}
-	r.at = map[int][]host.Node{}
+	r.byShard = map[int][]host.Node{}
 	for _, n := range r.nodes {
-		r.at[n.Shard] = append(r.at[n.Shard], n)
+		r.byShard[n.Shard] = append(r.byShard[n.Shard], n)
 	}
-	for _, list := range r.at {
+	for _, list := range r.byShard {
 		slices.SortFunc(list, func(a, b host.Node) int { return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.ID, b.ID)) })
 	}
-	return fresh
+	return changed
 }
 
-// ids are the nodes listed, in order.
-func (r *roster) ids() []string {
+// ids returns the IDs of the listed nodes, sorted.
+func (r *nodeTable) ids() []string {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	return slices.Sorted(maps.Keys(r.nodes))
 }
 
-// shards are those listed, in order.
-func (r *roster) shards() []int {
+// shards returns the shards of the listed nodes, sorted.
+func (r *nodeTable) shards() []int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return slices.Sorted(maps.Keys(r.at))
+	return slices.Sorted(maps.Keys(r.byShard))
 }
 
-// everShards are those of all nodes ever listed, in order.
-func (r *roster) everShards() []int {
+// everShards returns the shards of all nodes listed since the start, sorted.
+func (r *nodeTable) everShards() []int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return slices.Sorted(maps.Keys(r.seen))
+	return slices.Sorted(maps.Keys(r.everListed))
 }
 
-// of are the nodes of a shard, ready ones first.
-func (r *roster) of(shard int) []host.Node {
+// ofShard returns the nodes of a shard, ready nodes first.
+func (r *nodeTable) ofShard(shard int) []host.Node {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
-	return r.at[shard]
+	return r.byShard[shard]
 }
 
-// placed turns a solution's nodes for each volume into shards, without those never listed.
-func (r *roster) placed(nodes map[string][]string) map[string][]int {
+// shardsByVolume converts a solution's nodes for each volume to shards. It leaves out nodes that were never listed.
+func (r *nodeTable) shardsByVolume(nodes map[string][]string) map[string][]int {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	volumes := make(map[string][]int, len(nodes))
 	for v, ids := range nodes {
 		for _, id := range ids {
-			if shard, ok := r.ever[id]; ok {
+			if shard, ok := r.lastShard[id]; ok {
 				volumes[v] = append(volumes[v], shard)
 			}
 		}
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -21,8 +21,8 @@
 	"eiderhold/shares"
 )
 
-// sealedSolution is one that gives each of some volumes the same share at each node.
-func sealedSolution(t *testing.T, version uint64, share int64, nodes ...string) (*shares.Solution, []byte) {
+// encodedSolution returns a solution that gives each of 200 volumes the same share of each node, also encoded.
+func encodedSolution(t *testing.T, version uint64, share int64, nodes ...string) (*shares.Solution, []byte) {
 	t.Helper()
 	s := &shares.Solution{Version: version, Inputs: strings.Repeat("00", 32), By: "test", At: time.Now(), For: "1h", Nodes: nodes,
 		Placement: map[string][]string{}, Shares: map[string]map[string]int64{}, Weights: map[string]int64{}}
@@ -43,25 +43,25 @@
 	return s, b
 }
 
-// TestSharesSwappedInABurst: solutions change while clients push and pull. Every one that
-// the controller gets is whole, the transfers go on, a solution that names a node which the
-// register does not know is refused whole, and the record of it all replays.
-func TestSharesSwappedInABurst(t *testing.T) {
-	r := start(t, 3, standin.NodeOptions{}, func(c *config.Config) {
+// TestSolutionSwapUnderLoad changes solutions while clients push and pull. The controller must get each
+// of them complete, no transfer may fail, a solution that names a node which the register does not list
+// must be refused, and the record of the run must replay.
+func TestSolutionSwapUnderLoad(t *testing.T) {
+	r := newFixture(t, 3, standin.NodeOptions{}, func(c *config.Config) {
 		c.Recorder = config.Recorder{On: true, FileSize: 64 << 20, Files: 100}
 		c.Worth.ShareWorth, c.Worth.SpareWorth = 1, 0.05
 	})
 	data := content(1, 60_000)
-	r.push("", file("a", data))
+	r.push("", testFile("a", data))
 	nodes := []string{"node-0", "node-1", "node-2"}
 	errs := make(chan error, 100)
-	stop := clients(8, func(c, i int) bool {
+	stop := runClients(8, func(c, i int) bool {
 		if c%2 == 0 {
 			if rep, err := r.client().Pull(context.Background(), "records", "a", nil); err != nil || len(rep.Said) > 0 {
 				errs <- fmt.Errorf("pull: %v %q", err, rep.Said)
 				return false
 			}
-		} else if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{file(fmt.Sprint("p", c, "-", i), data)}); err != nil || len(rep.Said) > 0 {
+		} else if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{testFile(fmt.Sprint("p", c, "-", i), data)}); err != nil || len(rep.Said) > 0 {
 			errs <- fmt.Errorf("push: %v %q", err, rep.Said)
 			return false
 		}
@@ -70,20 +70,20 @@
 	whole := map[uint64]*shares.Solution{}
 	last := uint64(0)
 	for v := uint64(1); v <= 60; v++ {
-		if v%10 == 5 { // names a node that nobody knows
-			_, b := sealedSolution(t, v, int64(v)*1000, "node-0", "node-9")
+		if v%10 == 5 { // names a node that is not listed
+			_, b := encodedSolution(t, v, int64(v)*1000, "node-0", "node-9")
 			if err := r.gw.Keeper().Offer("test", b); !errors.Is(err, solution.ErrUnknown) {
 				t.Errorf("unknown node: %v", err)
 			}
 			if got := r.gw.Keeper().State().Version; got != last {
-				t.Errorf("version %d in use, not %d", got, last)
+				t.Errorf("version %d in use, want %d", got, last)
 			}
 			continue
 		}
-		s, b := sealedSolution(t, v, int64(v)*1000, nodes...)
+		s, b := encodedSolution(t, v, int64(v)*1000, nodes...)
 		whole[v], last = s, v
 		r.site.Register.SetShares(b)
-		r.until("the solution", func() bool { return r.gw.Keeper().State().Version == v })
+		r.waitFor("the solution", func() bool { return r.gw.Keeper().State().Version == v })
 	}
 	stop()
 	select {
@@ -91,7 +91,7 @@
 		t.Error(err)
 	default:
 	}
-	r.stop()
+	r.stopGateway()
 	files, err := filepath.Glob(filepath.Join(r.dir, "record", "*"))
 	if err != nil || len(files) == 0 {
 		t.Fatal(files, err)
@@ -122,30 +122,30 @@
 				seen++
 				want := solution.Told(whole[e.Version], whole[e.Version].At.Add(e.Age))
 				if !reflect.DeepEqual(e.Volumes, want.Volumes) {
-					t.Fatalf("version %d is not whole: %d volumes", e.Version, len(e.Volumes))
+					t.Fatalf("version %d is incomplete: %d volumes", e.Version, len(e.Volumes))
 				}
 			}
 		}
 	}
 	if seen != len(whole) || requests < 100 {
-		t.Errorf("%d solutions in the record, of %d; %d requests", seen, len(whole), requests)
+		t.Errorf("%d of %d solutions in the record; %d requests", seen, len(whole), requests)
 	}
 	if res, err := record.Replay(files, nil); err != nil || res.Batches == 0 {
 		t.Errorf("replay: %+v, %v", res, err)
 	}
 }
 
-// TestSharesOverRestart: a gateway that starts while the register is down goes on with the
-// solution that it kept; what its volumes asked for is on disk for shares gather.
-func TestSharesOverRestart(t *testing.T) {
-	r := start(t, 2, standin.NodeOptions{}, func(c *config.Config) { c.Forecast.Slot = config.Duration(time.Second) })
-	_, b := sealedSolution(t, 3, 1000, "node-0", "node-1")
+// TestSharesAfterRestart checks that a gateway that starts while the register is down uses the
+// solution that it kept, and that the demand of its volumes is on disk for shares gather.
+func TestSharesAfterRestart(t *testing.T) {
+	r := newFixture(t, 2, standin.NodeOptions{}, func(c *config.Config) { c.Forecast.Slot = config.Duration(time.Second) })
+	_, b := encodedSolution(t, 3, 1000, "node-0", "node-1")
 	r.site.Register.SetShares(b)
-	r.until("the solution", func() bool { return r.gw.Keeper().State().Version == 3 })
-	for began, i := time.Now().Unix(), 0; time.Now().Unix() <= began+1; i++ { // until a slot of a second is over
-		r.push("", file(fmt.Sprint("f", i), content(int64(i), 100_000)))
+	r.waitFor("the solution", func() bool { return r.gw.Keeper().State().Version == 3 })
+	for began, i := time.Now().Unix(), 0; time.Now().Unix() <= began+1; i++ { // until a forecast slot of one second is complete
+		r.push("", testFile(fmt.Sprint("f", i), content(int64(i), 100_000)))
 	}
-	r.stop()
+	r.stopGateway()
 	r.site.Register.Down(true)
 	raw, err := os.ReadFile(filepath.Join(r.dir, DemandFile))
 	if err != nil {
@@ -159,10 +159,10 @@
 	if err != nil || d["records"].Peak == 0 {
 		t.Errorf("%+v, %v", d, err)
 	}
-	gw, err := Start(r.cfg, r.gwLog())
+	gw, err := Start(r.cfg, r.logger())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.gw = gw
-	r.until("the kept solution", func() bool { return gw.Keeper().State().Version == 3 })
+	r.waitFor("the kept solution", func() bool { return gw.Keeper().State().Version == 3 })
 }
--- a/internal/gateway/space.go
+++ b/internal/gateway/space.go
@@ -13,58 +13,58 @@
 	"github.com/google/renameio/v2"
 )
 
-// SpaceFile is where a gateway says every few seconds what its shards and modules hold.
+// SpaceFile is the name of the file in a gateway's folder to which it writes its Space periodically.
 const SpaceFile = "space.json"
 
-const spaceEvery = 5 * time.Second
+const spaceInterval = 5 * time.Second
 
-// Space is what shards and modules hold, as one gateway knows it.
+// Space is the fill of the shards and the usage of the modules, as one gateway knows them.
 type Space struct {
 	Gateway string        `json:"gateway"`
 	At      time.Time     `json:"at"`
-	High    float64       `json:"high"` // mark at which a shard takes nothing new
-	Low     float64       `json:"low"`
+	High    float64       `json:"high"` // fill at which a shard stops taking new data
+	Low     float64       `json:"low"`  // fill below which it takes new data again
 	Shards  []ShardSpace  `json:"shards"`
 	Modules []ModuleSpace `json:"modules"`
 }
 
-// ShardSpace is one shard. Capacity 0: its nodes tell none.
+// ShardSpace is the fill of one shard. Capacity is 0 if its nodes have not reported one.
 type ShardSpace struct {
 	Shard    int      `json:"shard"`
-	Nodes    []string `json:"nodes"` // that are listed
+	Nodes    []string `json:"nodes"` // listed nodes of the shard, sorted
 	Zone     string   `json:"zone,omitempty"`
 	Used     int64    `json:"used"`     // bytes
 	Capacity int64    `json:"capacity"` // bytes
-	Age      string   `json:"age"`      // of its report
-	State    string   `json:"state"`    // takes, past its mark, full
+	Age      string   `json:"age"`      // of the last load report with a capacity
+	State    string   `json:"state"`    // StateTakes, StatePast or StateFull
 }
 
-// ModuleSpace is one module, as the gateway's own catalogue has it.
+// ModuleSpace is the usage of one module, as recorded in the gateway's own catalogue.
 type ModuleSpace struct {
 	Module string `json:"module"`
 	Files  int64  `json:"files"`
 	Bytes  int64  `json:"bytes"`
-	Quota  int64  `json:"quota"` // bytes; 0: no bound
+	Quota  int64  `json:"quota"` // bytes; 0 means unlimited
 }
 
-// The states of a shard.
+// The states of a shard. StatePast is a shard past its high mark, StateFull one that refused data for want of room.
 const (
 	StateTakes = "takes"
 	StatePast  = "past its mark"
 	StateFull  = "full"
 )
 
-// Space is what is known now.
+// Space returns the current fill of the shards and usage of the modules.
 func (g *Gateway) Space() (*Space, error) {
 	s := &Space{Gateway: g.cfg.Gateway.Name, At: time.Now(), High: g.cfg.Place.High, Low: g.cfg.Place.Low}
-	if g.plc != nil {
-		s.Shards = g.plc.space()
+	if g.placer != nil {
+		s.Shards = g.placer.shardSpaces()
 	}
 	g.mu.Lock()
 	modules := g.modules
 	g.mu.Unlock()
 	for _, m := range modules {
-		u, err := g.cat.Usage(m.Name)
+		u, err := g.catalogue.Usage(m.Name)
 		if err != nil {
 			return nil, err
 		}
@@ -73,8 +73,8 @@
 	return s, nil
 }
 
-// space lists the shards.
-func (p *places) space() (list []ShardSpace) {
+// shardSpaces returns the fill of all shards.
+func (p *placer) shardSpaces() (list []ShardSpace) {
 	for _, l := range p.levels() {
 		s := ShardSpace{Shard: l.Shard, Used: l.Used, Capacity: l.Capacity, State: StateTakes}
 		switch {
@@ -86,7 +86,7 @@
 		if l.Capacity > 0 {
 			s.Age = l.Age.Round(time.Millisecond).String()
 		}
-		for _, n := range p.nodes.of(l.Shard) {
+		for _, n := range p.nodes.ofShard(l.Shard) {
 			s.Nodes, s.Zone = append(s.Nodes, n.ID), n.Zone
 		}
 		slices.Sort(s.Nodes)
@@ -95,11 +95,11 @@
 	return list
 }
 
-// keepSpace writes the file until stop is closed. A disk that takes nothing is said once.
-func (g *Gateway) keepSpace(stop <-chan struct{}) {
-	tick := time.NewTicker(spaceEvery)
+// writeSpace writes SpaceFile periodically until stop is closed. It logs the first of several failures in a row.
+func (g *Gateway) writeSpace(stop <-chan struct{}) {
+	tick := time.NewTicker(spaceInterval)
 	defer tick.Stop()
-	file, said := filepath.Join(g.cfg.Gateway.Dir, SpaceFile), false
+	file, reported := filepath.Join(g.cfg.Gateway.Dir, SpaceFile), false
 	for {
 		s, err := g.Space()
 		if err == nil {
@@ -108,10 +108,10 @@
 				err = renameio.WriteFile(file, append(b, '\n'), 0o644)
 			}
 		}
-		if err != nil && !said {
-			g.log.Warn("space: it could not be written down; eiderhold space shows what was", "file", file, "err", err)
+		if err != nil && !reported {
+			g.log.Warn("space: the file could not be written; eiderhold space may show old figures", "file", file, "err", err)
 		}
-		said = err != nil
+		reported = err != nil
 		select {
 		case <-stop:
 			return
@@ -120,19 +120,19 @@
 	}
 }
 
-// ReadSpace reads what the gateway of a folder wrote last.
+// ReadSpace reads the Space that the gateway of a folder wrote last.
 func ReadSpace(dir string) (*Space, error) {
 	file := filepath.Join(dir, SpaceFile)
 	b, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("space: %s is not there: no gateway has run on this folder; name its gateway.dir", file)
+		return nil, fmt.Errorf("space: %s does not exist: no gateway has run on this folder; expected its gateway.dir", file)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("space: %w", err)
 	}
 	s := &Space{}
 	if err := json.Unmarshal(b, s); err != nil {
-		return nil, fmt.Errorf("space: %s: %w: the gateway writes it anew within %v", file, err, spaceEvery)
+		return nil, fmt.Errorf("space: %s: %w: a running gateway rewrites the file within %v", file, err, spaceInterval)
 	}
 	return s, nil
 }
--- a/internal/gateway/space_test.go
+++ b/internal/gateway/space_test.go
@@ -18,8 +18,8 @@
 	"eiderhold/rebalance"
 )
 
-// refused pushes a file and expects the refusal's words.
-func (r *rig) refused(f standin.ClientFile, words ...string) {
+// expectRefused pushes a file and checks that what the client is told contains words.
+func (r *fixture) expectRefused(f standin.ClientFile, words ...string) {
 	r.t.Helper()
 	rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f})
 	if err != nil {
@@ -28,40 +28,40 @@
 	said := strings.Join(rep.Said, "\n")
 	for _, w := range words {
 		if !strings.Contains(said, w) {
-			r.t.Errorf("push of %s: %q is not in %q", f.Path, w, said)
+			r.t.Errorf("push of %s: no %q in %q", f.Path, w, said)
 		}
 	}
 }
 
-// TestNodesFill: shards fill one by one, each with a last extent that it has no room for, which
-// goes elsewhere. When all are full a push is refused with the cause, the version that is there
-// stays, and reads are served. One that gets room again takes new data within the time of a question.
+// TestNodesFill fills shards one by one. An extent that a shard has no room for must go elsewhere. When all
+// are full, a push must be refused with the cause, the existing version must stay, and reads must be served.
+// A shard that has room again must take new data after its next load report.
 func TestNodesFill(t *testing.T) {
 	const nodes, size = 4, 100_000
-	r := start(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Place.Hold = config.Duration(time.Second) })
+	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Place.Hold = config.Duration(time.Second) })
 	for i := range nodes {
 		d, err := r.site.Disk(i)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Limit(int64(2+i)*size+size/2, 0) // two files on the first, five on the last
+		d.Limit(int64(2+i)*size+size/2, 0) // two files fit on the first, five on the last
 	}
 	const fit = 2 + 3 + 4 + 5
 	var files []standin.ClientFile
 	for i := range fit {
-		files = append(files, file(fmt.Sprint("f", i), content(int64(i), size)))
+		files = append(files, testFile(fmt.Sprint("f", i), content(int64(i), size)))
 		r.push("", files[i])
-		if i == fit/2 { // a gateway that starts again knows nothing of how full they are
-			r.stop()
-			r.boot()
+		if i == fit/2 { // a restarted gateway does not know how full the shards are
+			r.stopGateway()
+			r.startGateway()
 		}
 	}
-	r.refused(file("more", content(99, size)), "refused", "no room")
-	r.until("all to be known as full", func() bool { return r.gw.plc.current.Load().none != nil })
-	next := file("f0", content(98, size))
+	r.expectRefused(testFile("more", content(99, size)), "refused", "no room")
+	r.waitFor("all shards to be known as full", func() bool { return r.gw.placer.current.Load().noRoomErr != nil })
+	next := testFile("f0", content(98, size))
 	next.MTime++ // a newer version
-	r.refused(next, "refused", "none of 4 shards takes new data", "4 are full")
-	same(t, r.pull(""), files...)
+	r.expectRefused(next, "refused", "none of 4 shards takes new data", "4 are full")
+	checkPulled(t, r.pull(""), files...)
 	s, err := r.gw.Space()
 	if err != nil || len(s.Shards) != nodes || s.Modules[0].Files != fit || s.Modules[0].Bytes != fit*size {
 		t.Errorf("%+v, %v", s, err)
@@ -74,59 +74,59 @@
 	d, _ := r.site.Disk(2)
 	before := d.Items()
 	d.Limit(20*size, 0)
-	r.until("room again", func() bool { return r.gw.plc.current.Load().none == nil })
-	r.push("", next, file("more", content(99, size)))
+	r.waitFor("a shard to have room again", func() bool { return r.gw.placer.current.Load().noRoomErr == nil })
+	r.push("", next, testFile("more", content(99, size)))
 	if d.Items() != before+2 {
-		t.Errorf("%d items more on the shard that has room, not 2", d.Items()-before)
+		t.Errorf("%d more items on the shard that has room, want 2", d.Items()-before)
 	}
 }
 
-// TestPastTheMark: a shard past its mark takes no new extent although it has room, also when it
-// is the only one that a solution places the volume on.
-func TestPastTheMark(t *testing.T) {
+// TestHighMark checks that a shard past its high mark takes no new extent although it has room, even if
+// a solution places the volume only there, and that it takes extents again below its low mark.
+func TestHighMark(t *testing.T) {
 	const nodes = 3
-	r := start(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Place.High, c.Place.Low = 0.5, 0.4 })
-	_, b := sealedSolution(t, 1, 1000, "node-1")
+	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Place.High, c.Place.Low = 0.5, 0.4 })
+	_, b := encodedSolution(t, 1, 1000, "node-1")
 	r.site.Register.SetShares(b)
-	r.until("the solution", func() bool { return r.gw.Keeper().State().Version == 1 })
+	r.waitFor("the solution", func() bool { return r.gw.Keeper().State().Version == 1 })
 	d, _ := r.site.Disk(1)
-	for i := 0; d.Items() == 0 && i < 10; i++ { // one that could not end there in time lies elsewhere
-		r.push("", file("a", content(int64(i), 1000+i)))
+	for i := 0; d.Items() == 0 && i < 10; i++ { // a write that took too long there goes elsewhere
+		r.push("", testFile("a", content(int64(i), 1000+i)))
 	}
 	if d.Items() != 1 {
-		t.Fatalf("%d items where the solution places", d.Items())
+		t.Fatalf("%d items on the node that the solution names, want 1", d.Items())
 	}
 	d.Limit(10_000, 6000)
-	r.pull("a") // whose answer says how full it is
-	r.until("it is known", func() bool { return len(r.gw.plc.current.Load().avoid) == 1 })
+	r.pull("a") // the node's answer reports its fill
+	r.waitFor("the shard to be avoided", func() bool { return len(r.gw.placer.current.Load().avoid) == 1 })
 	for i := range 20 {
-		r.push("", file(fmt.Sprint("b", i), content(int64(i), 1000)))
+		r.push("", testFile(fmt.Sprint("b", i), content(int64(i), 1000)))
 	}
 	if d.Items() != 1 {
-		t.Errorf("%d items on the shard past its mark", d.Items())
+		t.Errorf("%d items on the shard past its high mark, want 1", d.Items())
 	}
 	d.Limit(10_000, 1000)
-	r.until("it is asked", func() bool { return len(r.gw.plc.current.Load().avoid) == 0 })
+	r.waitFor("a new load report of the shard", func() bool { return len(r.gw.placer.current.Load().avoid) == 0 })
 	for i := 0; d.Items() == 1 && i < 10; i++ {
-		r.push("", file(fmt.Sprint("c", i), content(int64(i), 1000)))
+		r.push("", testFile(fmt.Sprint("c", i), content(int64(i), 1000)))
 	}
 	if d.Items() != 2 {
-		t.Errorf("%d items once it is below the low mark", d.Items())
+		t.Errorf("%d items on the shard below its low mark, want 2", d.Items())
 	}
 }
 
-// TestQuotaOnSockets: pushes at the same time never pass a module's quota, the refusal names
-// it, and a smaller version of a file fits into a full module, also after a restart.
-func TestQuotaOnSockets(t *testing.T) {
+// TestModuleQuota checks that concurrent pushes never exceed a module's quota, that the refusal names
+// the quota, and that a smaller version of a file fits into a full module, also after a restart.
+func TestModuleQuota(t *testing.T) {
 	const size, fit = 50_000, 5
-	r := start(t, 3, standin.NodeOptions{}, func(c *config.Config) { c.Modules[0].Quota = fit*size + size/2 })
+	r := newFixture(t, 3, standin.NodeOptions{}, func(c *config.Config) { c.Modules[0].Quota = fit*size + size/2 })
 	var wg sync.WaitGroup
 	var done atomic.Int32
 	for c := range 12 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			f := file(fmt.Sprint("f", c), content(int64(c), size))
+			f := testFile(fmt.Sprint("f", c), content(int64(c), size))
 			rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f})
 			if err != nil {
 				t.Error(err)
@@ -139,18 +139,18 @@
 	}
 	wg.Wait()
 	if done.Load() != fit {
-		t.Errorf("%d pushes of %d bytes fit into %d", done.Load(), size, fit*size+size/2)
+		t.Errorf("%d pushes of %d bytes succeeded with a quota of %d bytes", done.Load(), size, fit*size+size/2)
 	}
-	r.stop()
-	r.boot()
-	r.refused(file("x", content(1, size)), "quota of module records: 250000 of 275000 bytes are used; 50000 more do not fit")
+	r.stopGateway()
+	r.startGateway()
+	r.expectRefused(testFile("x", content(1, size)), "quota of module records: 250000 of 275000 bytes are used; 50000 more do not fit")
 	whole := r.pull("")
-	r.push("", file(whole.Files[len(whole.Files)-1].Path, content(7, 10_000)))
-	r.push("", file("x", content(1, size)))
+	r.push("", testFile(whole.Files[len(whole.Files)-1].Path, content(7, 10_000)))
+	r.push("", testFile("x", content(1, size)))
 	if u, err := r.gw.Catalogue().Usage("records"); err != nil || u.Bytes != fit*size+10_000 {
 		t.Errorf("%+v, %v", u, err)
 	}
-	r.until("what was given up to be collected", func() bool { // the catalogue counts what the shards hold
+	r.waitFor("the items of refused pushes to be collected", func() bool { // then the shards hold what the catalogue counts
 		sum := int64(0)
 		for i := range 3 {
 			d, _ := r.site.Disk(i)
@@ -161,12 +161,12 @@
 	})
 }
 
-// TestPlanOverTheSocket: a node joins full ones, and the plan that the running gateway answers with
-// fills it; one that drains is planned empty, what it cannot give to a lost one goes elsewhere; a folder
-// without a gateway says so.
-func TestPlanOverTheSocket(t *testing.T) {
+// TestPlanCommand asks a running gateway for a plan over its socket. The plan must fill a node that has
+// joined full ones, empty a node that drains, and move nothing to or from a lost one. A command on a folder
+// without a gateway must return ErrNotRunning.
+func TestPlanCommand(t *testing.T) {
 	const nodes, size = 3, 40_000
-	r := start(t, nodes, standin.NodeOptions{}, nil)
+	r := newFixture(t, nodes, standin.NodeOptions{}, nil)
 	limit := func(shard int) *standin.Disk {
 		d, err := r.site.Disk(shard)
 		if err != nil {
@@ -179,7 +179,7 @@
 		limit(i)
 	}
 	for i := range 36 {
-		r.push("", file(fmt.Sprint("f", i), content(int64(i), size)))
+		r.push("", testFile(fmt.Sprint("f", i), content(int64(i), size)))
 	}
 	plan := func() *rebalance.Plan {
 		p := &rebalance.Plan{}
@@ -188,13 +188,13 @@
 		}
 		return p
 	}
-	known := func(n int) func() bool { return func() bool { return r.reported() == n } }
-	r.until("all to have reported", known(nodes))
+	known := func(n int) func() bool { return func() bool { return r.reportedShards() == n } }
+	r.waitFor("load reports of all shards", known(nodes))
 	limit(nodes)
 	if _, err := r.site.Add(standin.NodeOptions{ID: "new", Shard: nodes, Cores: 4, Queue: 256}); err != nil {
 		t.Fatal(err)
 	}
-	r.until("the new one to have reported", known(nodes+1))
+	r.waitFor("a load report of the new shard", known(nodes+1))
 	p := plan()
 	if x := p.Parts[nodes]; len(p.Moves) == 0 || x.Before != 0 || x.After < p.After.Mean-0.05 || p.After.Most-p.After.Least > 0.1 {
 		t.Errorf("%+v", p)
@@ -205,15 +205,15 @@
 		}
 	}
 	r.site.State("node-1", "draining")
-	r.site.Node("node-2").Close() // and what is to read of it now is refused, until it is known as lost
-	r.until("it to be known as lost", func() bool {
+	r.site.Node("node-2").Close() // reads from it fail until the shard is known as lost
+	r.waitFor("the shard to be known as lost", func() bool {
 		_, _ = r.client().Pull(context.Background(), "records", "", nil)
-		_, _, lost := r.gw.out.lost(2)
+		_, _, lost := r.gw.outages.lost(2)
 		return lost
 	})
 	p = plan()
 	if p.Parts[1].After != 0 || p.Parts[2].After != p.Parts[2].Before || p.Parts[2].Before == 0 {
-		t.Errorf("one drains and one is lost: %+v", p.Parts)
+		t.Errorf("plan with a draining and a lost node: %+v", p.Parts)
 	}
 	if info, err := os.Stat(filepath.Join(r.dir, AdminSocket)); err != nil || info.Mode().Perm() != 0o600 {
 		t.Errorf("%v, %v", info, err)
@@ -226,8 +226,8 @@
 	}
 }
 
-// reported is how many shards have told what they can hold.
-func (r *rig) reported() (n int) {
+// reportedShards returns the number of shards that have reported a capacity.
+func (r *fixture) reportedShards() (n int) {
 	r.t.Helper()
 	s := &Space{}
 	if err := gatewayCommand(r, "/space", nil, s); err != nil {
@@ -241,6 +241,6 @@
 	return n
 }
 
-func gatewayCommand(r *rig, path string, q url.Values, into any) error {
+func gatewayCommand(r *fixture, path string, q url.Values, into any) error {
 	return Command(context.Background(), r.dir, path, q, into)
 }
