--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -45,7 +45,8 @@
 	avoid     []int // listed shards that take no new extents, ascending
 	noRoomErr error // set if no shard takes new extents
 
-	tierCache [tierCacheSlots]atomic.Pointer[cachedTiers] // by key, modulo its size; extents of one key are usually placed one after the other
+	// tierCache holds candidates by key modulo its size. Extents of one key are usually placed one after the other.
+	tierCache [tierCacheSlots]atomic.Pointer[cachedTiers]
 }
 
 const tierCacheSlots = 512
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -16,8 +16,8 @@
 type nodeTable struct {
 	mu         sync.RWMutex
 	nodes      map[string]host.Node
-	byShard    map[int][]host.Node // by shard, sorted by state and ID, ready nodes first
-	lastShard  map[string]int      // node ID -> its shard, also for nodes no longer listed: a solution may name a node whose successor has its shard
+	byShard    map[int][]host.Node // sorted by state and ID, ready nodes first
+	lastShard  map[string]int      // by node ID, also of nodes no longer listed, whose successors have their shards
 	everListed map[int]bool        // shards of all nodes listed since the start
 }
 
--- a/internal/gateway/space.go
+++ b/internal/gateway/space.go
@@ -47,7 +47,8 @@
 	Quota  int64  `json:"quota"` // bytes; 0 means unlimited
 }
 
-// The states of a shard. StatePast is a shard past its high mark, StateFull one that refused data for want of room.
+// The states of a shard. A shard in StatePast has passed the high mark and is not yet below the low one; a shard in
+// StateFull has refused data for want of room.
 const (
 	StateTakes = "takes"
 	StatePast  = "past its mark"
