--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -150,14 +150,14 @@
 
 // PlanQuery encodes settings for the commands /plan and /rebalance.
 func PlanQuery(settings rebalance.Settings) url.Values {
-	return url.Values{"least": {strconv.FormatFloat(settings.Least, 'g', -1, 64)}, "moves": {strconv.Itoa(settings.Moves)},
-		"per_node": {strconv.Itoa(settings.PerNode)}, "rate": {strconv.FormatInt(settings.Rate, 10)}}
+	return url.Values{"least": {strconv.FormatFloat(settings.MinDifference, 'g', -1, 64)}, "moves": {strconv.Itoa(settings.MaxMoves)},
+		"per_node": {strconv.Itoa(settings.MaxMovesPerShard)}, "rate": {strconv.FormatInt(settings.BytesPerSecond, 10)}}
 }
 
 // planSettings decodes a query as PlanQuery encodes it. Settings that it lacks keep their defaults.
 func planSettings(q url.Values) (settings rebalance.Settings, err error) {
 	settings = rebalance.Default
-	for key, into := range map[string]any{"least": &settings.Least, "moves": &settings.Moves, "per_node": &settings.PerNode, "rate": &settings.Rate} {
+	for key, into := range map[string]any{"least": &settings.MinDifference, "moves": &settings.MaxMoves, "per_node": &settings.MaxMovesPerShard, "rate": &settings.BytesPerSecond} {
 		if q.Get(key) == "" {
 			continue
 		}
@@ -173,7 +173,7 @@
 	if g.placer == nil {
 		return nil, errors.New("placement.choice = 0: no fill is known, and nothing is planned")
 	}
-	settings.High = g.cfg.Place.Low // so that a target of moves still takes new data afterwards
+	settings.HighMark = g.cfg.Place.Low // so that a target of moves still takes new data afterwards
 	g.mu.Lock()
 	var modules []string
 	for _, m := range g.modules {
@@ -182,7 +182,7 @@
 	g.mu.Unlock()
 	var units []rebalance.Unit
 	if err := g.catalogue.Runs(modules, func(r store.Run) {
-		units = append(units, rebalance.Unit{Volume: r.Volume, Base: r.Base, Shard: r.Shard, Parts: r.Parts, Bytes: r.Bytes})
+		units = append(units, rebalance.Unit{Volume: r.Volume, Base: r.Base, Shard: r.Shard, Extents: r.Parts, Bytes: r.Bytes})
 	}); err != nil {
 		return nil, err
 	}
@@ -221,9 +221,9 @@
 				warm = warm && p.warmth(n, 0) >= 1
 			}
 		}
-		s.Leaves = listed > 0 && ready == 0
-		s.Gives = listed > 0 && (ready == 0 || warm) && !lost(l.Shard)
-		s.Takes = ready > 0 && warm && !l.Full && !l.Past && !lost(l.Shard)
+		s.Draining = listed > 0 && ready == 0
+		s.Readable = listed > 0 && (ready == 0 || warm) && !lost(l.Shard)
+		s.Writable = ready > 0 && warm && !l.Full && !l.PastHighMark && !lost(l.Shard)
 		list = append(list, s)
 	}
 	p.mu.Lock()
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -29,7 +29,7 @@
 	mu      sync.Mutex
 	pending map[string]float64 // units by volume that are not in the book yet; guarded by mu
 
-	book *forecast.Book // used only by run
+	book *forecast.Recorder // used only by run
 }
 
 func newDemandRecorder(cfg *config.Config, log *slog.Logger) (*demandRecorder, error) {
@@ -46,7 +46,7 @@
 			log.Warn("forecast: the unusable record could not be renamed", "err", err)
 		}
 	}
-	if d.book, err = forecast.NewBook(cfg.ForecastSettings(), previous); err != nil {
+	if d.book, err = forecast.NewRecorder(cfg.ForecastSettings(), previous); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	return d, nil
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -91,10 +91,10 @@
 		return err
 	}
 	n := &cfg.Nodes
-	backendSettings := backend.Settings{Name: cfg.Gateway.Name, Conns: n.Conns, Streams: n.Streams, Waiting: n.Waiting,
-		DialTimeout: n.Dial.D(), IdleClose: n.IdleClose.D(), Cancelling: n.Cancel, Loops: n.Loops}
+	backendSettings := backend.Settings{Name: cfg.Gateway.Name, MaxConns: n.Conns, AttemptsPerConn: n.Streams, MaxWaiting: n.Waiting,
+		DialTimeout: n.Dial.D(), IdleClose: n.IdleClose.D(), SendCancel: n.Cancel, Loops: n.Loops}
 	if cfg.Place.Choice > 0 { // g.placer is set before the feed runs; nodes are dialled only after its first list
-		backendSettings.Filled = func(shard int, used, capacity uint64, noRoom bool) {
+		backendSettings.OnFill = func(shard int, used, capacity uint64, noRoom bool) {
 			g.placer.reportFill(shard, used, capacity, noRoom)
 		}
 	}
@@ -105,7 +105,7 @@
 	if seed == 0 {
 		seed = rand.Int63()
 	}
-	hostOptions := host.Options{Heard: func(shard int, answered bool) { g.outages.recordAnswer(shard, answered) }, Settings: settings, Seed: seed, Backend: g.backend, Log: log, MostOpen: cfg.Gateway.Open}
+	hostOptions := host.Options{NodeAnswered: func(shard int, answered bool) { g.outages.recordAnswer(shard, answered) }, Settings: settings, Seed: seed, Backend: g.backend, Log: log, MaxOpen: cfg.Gateway.Open}
 	if rc := &cfg.Recorder; rc.On {
 		if g.recorder, err = record.NewWriter(record.Options{Dir: filepath.Join(cfg.Gateway.Dir, "record"),
 			FileBytes: rc.FileSize, Files: rc.Files}, settings, seed); err != nil {
@@ -139,11 +139,11 @@
 		File: sh.File, Poll: sh.Poll.D()}, g, log, time.Now); err != nil {
 		return err
 	}
-	g.backend.Own(g.host)
+	g.backend.SetOwner(g.host)
 	g.feed = register.New(register.Settings{URL: cfg.Register.URL, Gateway: cfg.Gateway.Name,
 		Cache: filepath.Join(cfg.Gateway.Dir, "nodes.json"), Silence: cfg.Register.Silence.D(),
 		Settle: cfg.Register.Settle.D(), Seed: seed}, g, log)
-	g.host.Follow(g.feed)
+	g.host.SetRegister(g.feed)
 	g.hostStarted = true
 	go func() {
 		g.err = g.host.Run()
@@ -228,7 +228,7 @@
 	}
 	g.host.List(l)
 	if l.Kind != control.ListFailed {
-		g.keeper.Listed(g.nodes.ids())
+		g.keeper.SetNodes(g.nodes.ids())
 	}
 }
 
--- a/internal/gateway/outages.go
+++ b/internal/gateway/outages.go
@@ -23,7 +23,7 @@
 	nodes *nodeTable
 
 	mu   sync.Mutex
-	book *outage.Book
+	book *outage.Tracker
 }
 
 func newOutageMonitor(settings outage.Settings, nodes *nodeTable, log *slog.Logger, now func() time.Duration, probe func(string)) (*outageMonitor, error) {
@@ -40,20 +40,20 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, shard := range changed {
-		o.book.Word(shard, o.now())
+		o.book.NodeChanged(shard, o.now())
 	}
-	o.book.Keep(func(shard int) bool { return len(o.nodes.ofShard(shard)) > 0 })
+	o.book.Retain(func(shard int) bool { return len(o.nodes.ofShard(shard)) > 0 })
 }
 
 // recordAnswer records whether a shard answered an attempt or a probe. The host calls it on its loop.
 func (o *outageMonitor) recordAnswer(shard int, answered bool) {
 	o.mu.Lock()
-	change, silent := o.book.Heard(shard, answered, o.now())
+	change, silent := o.book.RecordResult(shard, answered, o.now())
 	o.mu.Unlock()
 	switch change {
-	case outage.Gone:
+	case outage.ShardLost:
 		o.log.Warn("outage: a shard is lost; what lies there is refused, and probed for now and then", "shard", shard)
-	case outage.Back:
+	case outage.ShardRecovered:
 		o.log.Info("outage: a shard answers again", "shard", shard, "silent", silent.Round(time.Millisecond).String())
 	}
 }
@@ -98,7 +98,7 @@
 		case <-tick.C:
 		}
 		o.mu.Lock()
-		due := o.book.Due(o.now())
+		due := o.book.ProbesDue(o.now())
 		o.mu.Unlock()
 		for _, shard := range due {
 			for _, n := range o.nodes.ofShard(shard) {
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -131,8 +131,8 @@
 // asked more often.
 func (p *placer) requestReports() {
 	p.fillMu.Lock()
-	p.fill.Keep(func(shard int) bool { return len(p.nodes.ofShard(shard)) > 0 })
-	due := p.fill.Ask(p.nodes.shards(), p.now())
+	p.fill.Retain(func(shard int) bool { return len(p.nodes.ofShard(shard)) > 0 })
+	due := p.fill.ReportsDue(p.nodes.shards(), p.now())
 	p.fillMu.Unlock()
 	for _, shard := range due {
 		if nodes := p.nodes.ofShard(shard); len(nodes) > 0 { // a ready node, if there is one
@@ -190,12 +190,12 @@
 	for i := range shards {
 		s := &shards[i]
 		order = append(order, s.ID)
-		if s.Ready, s.Headroom = p.fill.Takes(s.ID), p.fill.Headroom(s.ID); !s.Ready {
+		if s.Ready, s.Headroom = p.fill.AcceptsExtents(s.ID), p.fill.Headroom(s.ID); !s.Ready {
 			next.avoid = append(next.avoid, s.ID)
 		}
 	}
 	if len(next.avoid) == len(order) && len(order) > 0 {
-		next.noRoomErr = p.fill.None(order)
+		next.noRoomErr = p.fill.NoRoomError(order)
 	}
 	p.fillMu.Unlock()
 	m, err := placement.New(p.settings, shards, p.nodes.shardsByVolume(p.solutionNodes))
@@ -231,7 +231,7 @@
 	if c := slot.Load(); c != nil && c.key == key && c.volume == volume {
 		return front.Spot{Tiers: c.tiers, Avoid: m.avoid}, nil
 	}
-	var c placement.Choices
+	var c placement.CandidateBuffer
 	tiers := m.Candidates(volume, key, &c)
 	out := make([][]int, len(tiers)) // the tiers point into c, which a request outlives
 	for i := range tiers {
--- a/internal/gateway/roster.go
+++ b/internal/gateway/roster.go
@@ -34,7 +34,7 @@
 	if l.Kind != control.ListFull && l.Kind != control.ListCached {
 		maps.Copy(r.nodes, previous)
 	}
-	if len(r.lastShard) > 2*placement.MostShards {
+	if len(r.lastShard) > 2*placement.MaxShards {
 		clear(r.lastShard)
 	}
 	for _, n := range l.Nodes {
--- a/internal/gateway/space.go
+++ b/internal/gateway/space.go
@@ -81,7 +81,7 @@
 		switch {
 		case l.Full:
 			s.State = StateFull
-		case l.Past:
+		case l.PastHighMark:
 			s.State = StatePast
 		}
 		if l.Capacity > 0 {
