--- a/internal/register/open.go
+++ b/internal/register/open.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// Opened is a stream that the register sends.
+// Opened is an open event stream of a server.
 type Opened struct {
 	*Stream
-	ctx     context.Context
-	cancel  context.CancelCauseFunc
-	body    io.Closer
-	silence *time.Timer
+	ctx          context.Context
+	cancel       context.CancelCauseFunc
+	body         io.Closer
+	silenceTimer *time.Timer
 }
 
-// Open asks for a stream as this gateway, after an event of the given id (empty: from the start). A stream from
-// which nothing comes for so long ends; so does one that End or ctx ends.
-func Open(ctx context.Context, client *http.Client, from, gateway, lastID string, silence time.Duration) (*Opened, error) {
-	u, err := url.Parse(from)
+// Open requests the stream at streamURL for the named gateway, resuming after the event lastID (empty: from
+// the start). The stream ends if no data comes within silenceTimeout, after End, and when ctx is done.
+func Open(ctx context.Context, client *http.Client, streamURL, gateway, lastID string, silenceTimeout time.Duration) (*Opened, error) {
+	u, err := url.Parse(streamURL)
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
 	}
@@ -48,17 +48,17 @@
 	if resp.StatusCode != http.StatusOK {
 		cancel(nil)
 		_ = resp.Body.Close()
-		return nil, fmt.Errorf("register: %s answers %s", u.Host, resp.Status)
+		return nil, fmt.Errorf("register: %s responded %s: expected 200 OK", u.Host, resp.Status)
 	}
-	o := &Opened{ctx: ctx, cancel: cancel, body: resp.Body, silence: time.AfterFunc(silence, func() { cancel(errSilent) })}
-	o.Stream = NewStream(&ticking{resp.Body, func() { o.silence.Reset(silence) }}, lastID)
+	o := &Opened{ctx: ctx, cancel: cancel, body: resp.Body, silenceTimer: time.AfterFunc(silenceTimeout, func() { cancel(errSilence) })}
+	o.Stream = NewStream(&activityReader{resp.Body, func() { o.silenceTimer.Reset(silenceTimeout) }}, lastID)
 	return o, nil
 }
 
-// End ends the stream, from anywhere, for a reason.
-func (o *Opened) End(why error) { o.cancel(why) }
+// End ends the stream with the given cause. It is safe to call from any goroutine.
+func (o *Opened) End(cause error) { o.cancel(cause) }
 
-// Ended says why a stream ended, of the error that Next gave.
+// Ended returns the cause of a stream's end, given the error that Next returned.
 func (o *Opened) Ended(err error) error {
 	if cause := context.Cause(o.ctx); cause != nil {
 		err = cause
@@ -69,23 +69,23 @@
 	return fmt.Errorf("register: %w", err)
 }
 
-// Close frees what the stream holds.
+// Close stops the silence timer and closes the connection.
 func (o *Opened) Close() {
-	o.silence.Stop()
+	o.silenceTimer.Stop()
 	o.cancel(nil)
 	_ = o.body.Close()
 }
 
-// ticking reports each read as a sign of life.
-type ticking struct {
+// activityReader calls onRead after each read that returned data.
+type activityReader struct {
 	io.Reader
-	alive func()
+	onRead func()
 }
 
-func (t *ticking) Read(p []byte) (int, error) {
+func (t *activityReader) Read(p []byte) (int, error) {
 	n, err := t.Reader.Read(p)
 	if n > 0 {
-		t.alive()
+		t.onRead()
 	}
 	return n, err
 }
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -20,7 +20,7 @@
 	"eiderhold/internal/standin"
 )
 
-// TestStream has events as the standard's section 9.2 gives them.
+// TestStream parses the cases of section 9.2 of the standard, and lines and events over their limits.
 func TestStream(t *testing.T) {
 	for _, c := range []struct{ name, in, want string }{
 		{"one", "data: x\n\n", "message/x/"},
@@ -57,11 +57,11 @@
 	}
 	s := register.NewStream(strings.NewReader("data: "+strings.Repeat("x", 33<<20)), "")
 	if _, err := s.Next(); err == nil || !strings.Contains(err.Error(), "a line of over") {
-		t.Errorf("endless line: %v", err)
+		t.Errorf("line over the limit: %v", err)
 	}
 	s = register.NewStream(strings.NewReader(strings.Repeat("data: "+strings.Repeat("x", 1<<20)+"\n", 33)), "")
 	if _, err := s.Next(); err == nil || !strings.Contains(err.Error(), "an event of over") {
-		t.Errorf("endless event: %v", err)
+		t.Errorf("event over the limit: %v", err)
 	}
 }
 
@@ -81,8 +81,8 @@
 	})
 }
 
-// hearer notes the lists that a feed hands on.
-type hearer struct {
+// recordingHost records the lists and solutions that a feed passes on.
+type recordingHost struct {
 	mu    sync.Mutex
 	lists []host.List
 	state map[string]control.NodeState
@@ -90,7 +90,7 @@
 	solutions []string
 }
 
-func (h *hearer) List(l host.List) {
+func (h *recordingHost) List(l host.List) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lists = append(h.lists, l)
@@ -102,16 +102,16 @@
 	}
 }
 
-func (h *hearer) Solution(b []byte) {
+func (h *recordingHost) Solution(b []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.solutions = append(h.solutions, string(b))
 }
 
-func (h *hearer) StartedAt(string, time.Time) time.Duration { return time.Second }
+func (h *recordingHost) StartedAt(string, time.Time) time.Duration { return time.Second }
 
-// want waits until the nodes known are those given, as "a b:draining".
-func (h *hearer) want(t *testing.T, want string) {
+// waitForNodes waits until the known nodes are those in want, written like "a b:draining".
+func (h *recordingHost) waitForNodes(t *testing.T, want string) {
 	t.Helper()
 	var got string
 	for limit := time.Now().Add(20 * time.Second); time.Now().Before(limit); time.Sleep(2 * time.Millisecond) {
@@ -130,7 +130,7 @@
 	t.Fatalf("nodes %q, want %q", got, want)
 }
 
-func (h *hearer) count(kind control.ListKind) (n int) {
+func (h *recordingHost) count(kind control.ListKind) (n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, l := range h.lists {
@@ -145,20 +145,20 @@
 	return register.Entry{ID: id, Addr: "127.0.0.1:1", State: state, StartedMS: 5}
 }
 
-func follow(t *testing.T, set register.Settings) (*hearer, *register.Feed, func()) {
-	h := &hearer{}
-	set.Gateway, set.RetryFirst, set.RetryTop = "g", 5*time.Millisecond, 20*time.Millisecond
+func startFeed(t *testing.T, set register.Settings) (*recordingHost, *register.Feed, func()) {
+	h := &recordingHost{}
+	set.Gateway, set.InitialRetryDelay, set.MaxRetryDelay = "g", 5*time.Millisecond, 20*time.Millisecond
 	f := register.New(set, h, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan bool)
-	go func() { f.Run(ctx); close(ended) }()
-	stop := func() { cancel(); <-ended }
+	done := make(chan bool)
+	go func() { f.Run(ctx); close(done) }()
+	stop := func() { cancel(); <-done }
 	t.Cleanup(stop)
 	return h, f, stop
 }
 
-// TestFeed: changes, the register gone and back, news while it was gone, one that has
-// forgotten, and a restart of the gateway without a register.
+// TestFeed checks changes, an outage of the register with a change in between, a register that lost
+// its history, and a restart of the gateway without a register and with an invalid cache.
 func TestFeed(t *testing.T) {
 	reg, err := standin.StartRegister("", nil)
 	if err != nil {
@@ -168,31 +168,31 @@
 	reg.Set(entry("a", "ready"))
 	reg.Set(entry("b", "ready"))
 	cache := filepath.Join(t.TempDir(), "nodes.json")
-	h, f, stop := follow(t, register.Settings{URL: reg.URL(), Cache: cache})
-	h.want(t, "a b")
+	h, f, stop := startFeed(t, register.Settings{URL: reg.URL(), Cache: cache})
+	h.waitForNodes(t, "a b")
 	reg.Set(entry("b", "draining"))
 	reg.Set(entry("c", "ready"))
-	h.want(t, "a b:draining c")
+	h.waitForNodes(t, "a b:draining c")
 	full := h.count(control.ListFull)
 
 	reg.Down(true)
 	for h.count(control.ListFailed) < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	h.want(t, "a b:draining c") // the list held applies
+	h.waitForNodes(t, "a b:draining c") // the list held applies
 	reg.Set(entry("b", "gone"))
 	reg.Down(false)
-	h.want(t, "a c")
+	h.waitForNodes(t, "a c")
 	if h.count(control.ListFull) != full {
-		t.Error("the whole list was sent though the feed resumed")
+		t.Error("the full list was sent although the feed resumed")
 	}
 	reg.Down(true)
 	reg.Set(entry("d", "ready"))
 	reg.Forget()
 	reg.Down(false)
-	h.want(t, "a c d")
+	h.waitForNodes(t, "a c d")
 	if h.count(control.ListFull) != full+1 {
-		t.Error("a register that has forgotten sends the whole list")
+		t.Error("a register that lost its history did not send the full list")
 	}
 	if s := f.State(); !s.Connected || s.Nodes != 3 || s.Failures == 0 {
 		t.Errorf("state %+v", s)
@@ -207,24 +207,24 @@
 	stop()
 	reg.Close()
 
-	h, _, stop = follow(t, register.Settings{URL: reg.URL(), Cache: cache})
-	h.want(t, "a c d")
+	h, _, stop = startFeed(t, register.Settings{URL: reg.URL(), Cache: cache})
+	h.waitForNodes(t, "a c d")
 	if h.count(control.ListCached) != 1 {
-		t.Error("the cached list was not told as one")
+		t.Error("the cached list was not passed on as a cached one")
 	}
 	stop()
 	os.WriteFile(cache, []byte(`{"nodes":[{"id":"x"}]}`), 0o644)
-	h, _, stop = follow(t, register.Settings{URL: reg.URL(), Cache: cache})
+	h, _, stop = startFeed(t, register.Settings{URL: reg.URL(), Cache: cache})
 	for h.count(control.ListFailed) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	if h.count(control.ListCached) != 0 {
-		t.Error("a cache that cannot be used was told")
+		t.Error("an invalid cache was passed on")
 	}
 	stop()
 }
 
-// TestHalfTheNodesGone: the list binds at once, but a restart does not begin with it.
+// TestHalfTheNodesGone checks that a list that lost half of its nodes takes effect at once but is not cached.
 func TestHalfTheNodesGone(t *testing.T) {
 	reg, err := standin.StartRegister("", nil)
 	if err != nil {
@@ -235,15 +235,15 @@
 		reg.Set(entry(id, "ready"))
 	}
 	cache := filepath.Join(t.TempDir(), "nodes.json")
-	h, _, stop := follow(t, register.Settings{URL: reg.URL(), Cache: cache, Settle: time.Hour})
-	h.want(t, "a b c d")
+	h, _, stop := startFeed(t, register.Settings{URL: reg.URL(), Cache: cache, Settle: time.Hour})
+	h.waitForNodes(t, "a b c d")
 	reg.Down(true)
 	for _, id := range []string{"a", "b", "c"} {
 		reg.Set(entry(id, "gone"))
 	}
-	reg.Forget() // so that one list drops them all
+	reg.Forget() // so that a single full list drops all three
 	reg.Down(false)
-	h.want(t, "d")
+	h.waitForNodes(t, "d")
 	stop()
 	b, _ := os.ReadFile(cache)
 	if !strings.Contains(string(b), `"a"`) {
@@ -251,11 +251,12 @@
 	}
 }
 
-// TestBadRegisters: a stream that falls silent, and ones that send what cannot be.
-func TestBadRegisters(t *testing.T) {
+// TestSilentOrInvalidStream checks that a feed keeps its list and reconnects after a stream that falls silent
+// or sends an invalid event.
+func TestSilentOrInvalidStream(t *testing.T) {
 	good := `event: full` + "\n" + `data: {"version":1,"nodes":[{"id":"a","addr":"x:1","state":"ready"}]}` + "\n\n"
 	var mu sync.Mutex
-	asked := 0
+	requests := 0
 	for name, body := range map[string]string{
 		"silent":        good,
 		"no JSON":       good + "event: delta\ndata: {\n\n",
@@ -264,30 +265,30 @@
 		"a gap":         good + `event: delta` + "\n" + `data: {"version":5,"nodes":[]}` + "\n\n",
 	} {
 		mu.Lock()
-		asked = 0
+		requests = 0
 		mu.Unlock()
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			mu.Lock()
-			asked++
+			requests++
 			mu.Unlock()
 			fmt.Fprint(w, body)
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}))
-		h, f, stop := follow(t, register.Settings{URL: server.URL, Silence: 50 * time.Millisecond})
-		h.want(t, "a")
+		h, f, stop := startFeed(t, register.Settings{URL: server.URL, Silence: 50 * time.Millisecond})
+		h.waitForNodes(t, "a")
 		for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 			mu.Lock()
-			n := asked
+			n := requests
 			mu.Unlock()
 			if n >= 3 {
 				break
 			}
 			if time.Now().After(limit) {
-				t.Fatalf("%s: asked %d times", name, n)
+				t.Fatalf("%s: %d requests, want at least 3", name, n)
 			}
 		}
-		h.want(t, "a")
+		h.waitForNodes(t, "a")
 		if f.State().Failures == 0 {
 			t.Errorf("%s: %+v", name, f.State())
 		}
--- a/internal/register/sse.go
+++ b/internal/register/sse.go
@@ -11,42 +11,42 @@
 	"time"
 )
 
-// The ceilings of an event stream.
+// Limits of an event stream.
 const (
-	maxLine = 32 << 20 // bytes of a line: a solution of 100,000 volumes is one
-	maxData = 32 << 20 // bytes of an event's data
+	maxLineBytes  = 32 << 20 // of a line: a solution of 100,000 volumes is one line
+	maxEventBytes = 32 << 20 // of an event's data
 )
 
-// Message is one event of a stream, as the HTML Living Standard (WHATWG), section
-// "Server-sent events", has it.
+// Message is one event of a stream, as defined by the HTML Living Standard (WHATWG), section
+// "Server-sent events".
 type Message struct {
 	Event string // "message" if not named
 	Data  string
-	ID    string // the last event id, which stays until another one comes
+	ID    string // the last event id, which applies until an event sets another one
 }
 
-// Stream reads events. It is a parser of its own after section 9.2.5 and 9.2.6 of
-// the standard: lines end in CR LF, LF or CR; a leading byte order mark is dropped;
-// an event that the end of the stream cuts is dropped.
+// Stream parses events according to sections 9.2.5 and 9.2.6 of the standard: lines end in
+// CR LF, LF or CR; a leading byte order mark is dropped; an event that the end of the stream
+// cuts off is dropped.
 type Stream struct {
 	r       *bufio.Reader
-	first   bool
+	atStart bool
 	skipLF  bool
 	lastID  string
-	Retry   time.Duration // reconnection time that the server asked for; 0: none
-	Comment func()        // called for a comment line: a sign of life
+	Retry   time.Duration // reconnection time that the server sent; 0: none
+	Comment func()        // called for each comment line, which servers send to keep a stream alive; nil: not called
 }
 
-// NewStream reads events from r, after an event of the given id.
+// NewStream returns a Stream that reads events from r. lastID is the id of the event before.
 func NewStream(r io.Reader, lastID string) *Stream {
-	return &Stream{r: bufio.NewReaderSize(r, 32<<10), first: true, lastID: lastID}
+	return &Stream{r: bufio.NewReaderSize(r, 32<<10), atStart: true, lastID: lastID}
 }
 
-// LastID is the id to resume from.
+// LastID returns the id to resume after.
 func (s *Stream) LastID() string { return s.lastID }
 
-// line reads one line without its end. io.EOF means that the stream ended, maybe
-// in the middle of one.
+// line reads one line and returns it without its terminator. io.EOF means that the stream
+// ended, possibly in the middle of a line.
 func (s *Stream) line() ([]byte, error) {
 	var line []byte
 	for {
@@ -67,23 +67,23 @@
 		if b == '\n' {
 			break
 		}
-		if len(line) >= maxLine {
-			return nil, fmt.Errorf("register: event stream: a line of over %d bytes", maxLine)
+		if len(line) >= maxLineBytes {
+			return nil, fmt.Errorf("register: event stream: a line of over %d bytes", maxLineBytes)
 		}
 		line = append(line, b)
 	}
-	if s.first {
-		s.first = false
+	if s.atStart {
+		s.atStart = false
 		line = bytes.TrimPrefix(line, []byte("\xef\xbb\xbf"))
 	}
 	return line, nil
 }
 
-// Next returns the next event.
+// Next returns the next event that has data.
 func (s *Stream) Next() (Message, error) {
 	m := Message{Event: "message"}
 	var data strings.Builder
-	has := false
+	hasData := false
 	id := s.lastID
 	for {
 		line, err := s.line()
@@ -92,7 +92,7 @@
 		}
 		if len(line) == 0 {
 			s.lastID = id
-			if !has {
+			if !hasData {
 				m.Event = "message"
 				continue
 			}
@@ -109,12 +109,12 @@
 		case "event":
 			m.Event = string(value)
 		case "data":
-			if data.Len()+len(value) > maxData {
-				return Message{}, fmt.Errorf("register: event stream: an event of over %d bytes", maxData)
+			if data.Len()+len(value) > maxEventBytes {
+				return Message{}, fmt.Errorf("register: event stream: an event of over %d bytes", maxEventBytes)
 			}
 			data.Write(value)
 			data.WriteByte('\n')
-			has = true
+			hasData = true
 		case "id":
 			if bytes.IndexByte(value, 0) < 0 {
 				id = string(value)
@@ -127,5 +127,5 @@
 	}
 }
 
-// errSilent ends a stream from which nothing comes.
-var errSilent = errors.New("nothing came for too long")
+// errSilence is the cause of a stream that ends because no data came.
+var errSilence = errors.New("no data within the silence timeout")
