--- a/cmd/eiderhold/bench_test.go
+++ b/cmd/eiderhold/bench_test.go
@@ -30,7 +30,7 @@
 	site *standin.Site
 }
 
-func startBench(b *testing.B, nodes int, change func(*config.Config)) *benchGateway {
+func startBenchGateway(b *testing.B, nodes int, change func(*config.Config)) *benchGateway {
 	b.Helper()
 	site, err := standin.StartSite("", nil)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	cfg := config.Default()
 	cfg.Gateway.Dir, cfg.Register.URL, cfg.Rsync.Listen = "data", site.Register.URL(), "127.0.0.1:0"
-	cfg.Worth.BulkAbove = 1 << 40
+	cfg.Worth.BulkAboveBytes = 1 << 40
 	if change != nil {
 		change(cfg)
 	}
@@ -64,7 +64,7 @@
 		b.Fatal(err)
 	}
 	g.cmd = exec.Command(os.Args[0], "serve", "--config", file)
-	g.cmd.Env = append(os.Environ(), asProgram+"=1")
+	g.cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	g.cmd.Stderr = log
 	out, err := g.cmd.StdoutPipe()
 	if err != nil {
@@ -104,7 +104,7 @@
 }
 
 // proc reads CPU time and resident memory of the gateway's process.
-func (g *benchGateway) proc() (cpu time.Duration, rss int64) {
+func (g *benchGateway) processUsage() (cpu time.Duration, rss int64) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	fields := strings.Fields(rest)
@@ -136,11 +136,11 @@
 func BenchmarkTransfers(b *testing.B) {
 	for _, clients := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(clients), func(b *testing.B) {
-			g := startBench(b, 8, nil)
+			g := startBenchGateway(b, 8, nil)
 			for i := range 32 {
-				g.push(b, standin.ClientFile{Path: fmt.Sprint("f", i), Data: seeded(int64(i), 16<<10), MTime: 1})
+				g.push(b, standin.ClientFile{Path: fmt.Sprint("f", i), Data: randomBytes(int64(i), 16<<10), MTime: 1})
 			}
-			before, _ := g.proc()
+			before, _ := g.processUsage()
 			b.ResetTimer()
 			var wg sync.WaitGroup
 			work := make(chan int)
@@ -159,7 +159,7 @@
 			close(work)
 			wg.Wait()
 			b.StopTimer()
-			after, rss := g.proc()
+			after, rss := g.processUsage()
 			st := g.stop(b)
 			b.ReportMetric(float64((after-before).Microseconds())/float64(b.N), "cpu-us/transfer")
 			b.ReportMetric(st.Host.Decide.P50, "decide-p50-us")
@@ -231,8 +231,8 @@
 		bytes   int
 	}{{"pull", 1, 64 << 20}, {"pull", 100, 2 << 20}, {"push", 1, 64 << 20}, {"push", 100, 2 << 20}} {
 		b.Run(fmt.Sprintf("%s/%d", c.kind, c.clients), func(b *testing.B) {
-			g := startBench(b, 8, nil)
-			data := seeded(1, c.bytes)
+			g := startBenchGateway(b, 8, nil)
+			data := randomBytes(1, c.bytes)
 			g.push(b, standin.ClientFile{Path: "f", Data: data, MTime: 1})
 			var ratios, rates []float64
 			said := 0
@@ -278,8 +278,8 @@
 // with so many transfers whose clients read slowly.
 func BenchmarkMemory(b *testing.B) {
 	b.Run("idle/1000", func(b *testing.B) {
-		g := startBench(b, 2, nil)
-		_, before := g.proc()
+		g := startBenchGateway(b, 2, nil)
+		_, before := g.processUsage()
 		var conns []net.Conn
 		for range 1000 {
 			c, err := net.Dial("tcp", g.addr)
@@ -289,7 +289,7 @@
 			io.ReadFull(c, make([]byte, len("@RSYNCD: 29\n")))
 			conns = append(conns, c)
 		}
-		_, with := g.proc()
+		_, with := g.processUsage()
 		b.ReportMetric(float64(with-before)/1000/1024, "KiB/conn")
 		b.ReportMetric(float64(with)/(1<<20), "rss-MiB")
 		for _, c := range conns {
@@ -298,9 +298,9 @@
 		g.stop(b)
 	})
 	b.Run("active/200", func(b *testing.B) {
-		g := startBench(b, 4, nil)
-		g.push(b, standin.ClientFile{Path: "f", Data: seeded(1, 16<<20), MTime: 1})
-		_, before := g.proc()
+		g := startBenchGateway(b, 4, nil)
+		g.push(b, standin.ClientFile{Path: "f", Data: randomBytes(1, 16<<20), MTime: 1})
+		_, before := g.processUsage()
 		var wg sync.WaitGroup
 		ctx, cancel := context.WithCancel(context.Background())
 		for range 200 {
@@ -311,7 +311,7 @@
 			}()
 		}
 		time.Sleep(4 * time.Second) // all stand still with their windows full
-		_, with := g.proc()
+		_, with := g.processUsage()
 		cancel()
 		wg.Wait()
 		b.ReportMetric(float64(with-before)/200/1024, "KiB/transfer")
@@ -325,8 +325,8 @@
 func BenchmarkAllocations(b *testing.B) {
 	for _, kib := range []int{16, 64, 256} {
 		b.Run(fmt.Sprintf("extent/%dKiB", kib), func(b *testing.B) {
-			g := startBench(b, 4, func(c *config.Config) { c.Rsync.Extent = kib << 10 })
-			g.push(b, standin.ClientFile{Path: "f", Data: seeded(1, 512*kib<<10), MTime: 1})
+			g := startBenchGateway(b, 4, func(c *config.Config) { c.Rsync.Extent = kib << 10 })
+			g.push(b, standin.ClientFile{Path: "f", Data: randomBytes(1, 512*kib<<10), MTime: 1})
 			for range b.N {
 				(&standin.Client{Addr: g.addr}).Pull(context.Background(), "records", "f", nil)
 			}
@@ -343,7 +343,7 @@
 func BenchmarkBystanders(b *testing.B) {
 	for _, trouble := range []string{"standing-client", "silent-node"} {
 		b.Run(trouble, func(b *testing.B) {
-			g := startBench(b, 4, nil)
+			g := startBenchGateway(b, 4, nil)
 			state := func(others, last string) {
 				for i := range 3 {
 					g.site.State(fmt.Sprintf("node-%d", i), others)
@@ -352,10 +352,10 @@
 				time.Sleep(300 * time.Millisecond) // for the news to reach the gateway
 			}
 			state("draining", "ready")
-			g.push(b, standin.ClientFile{Path: "big", Data: seeded(1, 64<<20), MTime: 1})
+			g.push(b, standin.ClientFile{Path: "big", Data: randomBytes(1, 64<<20), MTime: 1})
 			state("ready", "draining")
 			for i := range 16 {
-				g.push(b, standin.ClientFile{Path: fmt.Sprint("f", i), Data: seeded(int64(i), 100_000), MTime: 1})
+				g.push(b, standin.ClientFile{Path: fmt.Sprint("f", i), Data: randomBytes(int64(i), 100_000), MTime: 1})
 			}
 			state("ready", "ready")
 			round := func() (p50, p99 float64) {
--- a/cmd/eiderhold/compare.go
+++ b/cmd/eiderhold/compare.go
@@ -14,46 +14,46 @@
 )
 
 // spread is what a figure came to over several seeds.
-type spread struct {
-	Way    string    `json:"way"`
-	By     string    `json:"by"`
-	Parts  []float64 `json:"parts"` // by seed
-	Median float64   `json:"median"`
+type seedFigures struct {
+	Variant string    `json:"way"`
+	Figure  string    `json:"by"`
+	Values  []float64 `json:"parts"` // by seed
+	Median  float64   `json:"median"`
 }
 
 // compareDays plays variants of a day with several seeds, in turn with each, and prints what they
 // come to: the part of the worth due that was earned, in all and by plan, the part of transfers
 // that were refused, and how writes fell on shards.
-func compareDays(ctx context.Context, w io.Writer, days []rehearsal.Variant, repeat int, opt rehearsal.Options, output string) error {
-	first, name := opt.Seed, days[0].Day.Name
-	if first == 0 {
-		first = days[0].Day.Seed
+func compareDays(ctx context.Context, w io.Writer, variants []rehearsal.Variant, repeat int, options rehearsal.Options, output string) error {
+	firstSeed, dayName := options.Seed, variants[0].Day.Name
+	if firstSeed == 0 {
+		firstSeed = variants[0].Day.Seed
 	}
-	dir, log, breaches := opt.Dir, opt.Log, 0
-	parts := map[[2]string]*spread{}
+	dir, log, breaches := options.Dir, options.Log, 0
+	figures := map[[2]string]*seedFigures{}
 	var order [][2]string
 	for i := range repeat {
-		for _, v := range days {
-			opt.Seed, opt.Dir = first+int64(i), filepath.Join(dir, fmt.Sprintf("%d-%s", first+int64(i), strings.ReplaceAll(v.Label, " ", "_")))
-			log.Info("rehearsing", "day", name, "seed", opt.Seed, "way", v.Label, "of", repeat*len(days))
-			res, err := rehearsal.Run(ctx, v.Day, opt)
+		for _, v := range variants {
+			options.Seed, options.Dir = firstSeed+int64(i), filepath.Join(dir, fmt.Sprintf("%d-%s", firstSeed+int64(i), strings.ReplaceAll(v.Label, " ", "_")))
+			log.Info("rehearsing", "day", dayName, "seed", options.Seed, "way", v.Label, "of", repeat*len(variants))
+			res, err := rehearsal.Run(ctx, v.Day, options)
 			if err != nil {
 				return err
 			}
 			breaches += len(res.Report.Breaches)
 			add := func(by string, x float64) {
 				k := [2]string{by, v.Label}
-				if parts[k] == nil {
-					parts[k] = &spread{Way: v.Label, By: by}
+				if figures[k] == nil {
+					figures[k] = &seedFigures{Variant: v.Label, Figure: by}
 					order = append(order, k)
 				}
-				parts[k].Parts = append(parts[k].Parts, x)
+				figures[k].Values = append(figures[k].Values, x)
 			}
-			figures(res.Report, add)
+			addFigures(res.Report, add)
 		}
 	}
-	for _, s := range parts {
-		sorted := slices.Sorted(slices.Values(s.Parts))
+	for _, s := range figures {
+		sorted := slices.Sorted(slices.Values(s.Values))
 		s.Median = sorted[len(sorted)/2]
 		if len(sorted)%2 == 0 {
 			s.Median = (s.Median + sorted[len(sorted)/2-1]) / 2
@@ -64,33 +64,33 @@
 			slices.IndexFunc(order, func(k [2]string) bool { return k[0] == b[0] })
 	})
 	if output == "json" {
-		list := make([]*spread, 0, len(order))
+		list := make([]*seedFigures, 0, len(order))
 		for _, k := range order {
-			list = append(list, parts[k])
+			list = append(list, figures[k])
 		}
-		if err := printJSON(w, map[string]any{"day": name, "figures": list, "breaches": breaches}); err != nil {
+		if err := printJSON(w, map[string]any{"day": dayName, "figures": list, "breaches": breaches}); err != nil {
 			return err
 		}
 	} else {
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		fmt.Fprintf(t, "%s, %d seeds\tway\tmedian\tleast\tmost\n", name, repeat)
+		fmt.Fprintf(t, "%s, %d seeds\tway\tmedian\tleast\tmost\n", dayName, repeat)
 		for _, k := range order {
-			s := parts[k]
-			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\n", s.By, s.Way, s.Median, slices.Min(s.Parts), slices.Max(s.Parts))
+			s := figures[k]
+			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.3f\t%.3f\n", s.Figure, s.Variant, s.Median, slices.Min(s.Values), slices.Max(s.Values))
 		}
 		t.Flush()
 	}
 	if breaches > 0 {
-		return short{fmt.Errorf("rules were broken at %d places: the folders in %s have the records", breaches, dir)}
+		return negativeResult{fmt.Errorf("rules were broken at %d places: the folders in %s have the records", breaches, dir)}
 	}
 	return nil
 }
 
 // figures are those of one day that are compared.
-func figures(r *audit.Report, add func(by string, x float64)) {
+func addFigures(r *audit.Report, add func(by string, x float64)) {
 	add("service, "+r.Total.By, r.Total.Part())
 	for _, s := range r.Service {
-		if isPlan(s) {
+		if isPlanService(s) {
 			add("service, "+s.By, s.Part())
 		}
 	}
@@ -108,4 +108,4 @@
 	}
 }
 
-func isPlan(s audit.Service) bool { return len(s.By) > 5 && s.By[:5] == "plan " }
+func isPlanService(s audit.Service) bool { return len(s.By) > 5 && s.By[:5] == "plan " }
--- a/cmd/eiderhold/dev.go
+++ b/cmd/eiderhold/dev.go
@@ -56,7 +56,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "rsync://%s/records/\n", g.Addr())
-			return attend(cmd.Context(), g, cfg, log, func() error { return fmt.Errorf("dev has no settings file") })
+			return runUntilSignal(cmd.Context(), g, cfg, log, func() error { return fmt.Errorf("dev has no settings file") })
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8730", "where the rsync front listens")
--- a/cmd/eiderhold/kill_test.go
+++ b/cmd/eiderhold/kill_test.go
@@ -19,10 +19,10 @@
 )
 
 // serveProcess starts a gateway's process on a settings file and returns its address.
-func serveProcess(t *testing.T, file string) (*exec.Cmd, string) {
+func startServe(t *testing.T, file string) (*exec.Cmd, string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "serve", "--config", file)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	out, err := cmd.StdoutPipe()
 	if err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 }
 
 // siteAndSettings starts nodes and writes a gateway's settings.
-func siteAndSettings(t *testing.T, change func(*config.Config)) (*standin.Site, string) {
+func startSite(t *testing.T, change func(*config.Config)) (*standin.Site, string) {
 	t.Helper()
 	site, err := standin.StartSite("", nil)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return site, file
 }
 
-func seeded(seed int64, n int) []byte {
+func randomBytes(seed int64, n int) []byte {
 	p := make([]byte, n)
 	rand.New(rand.NewSource(seed)).Read(p)
 	return p
@@ -80,15 +80,15 @@
 // TestKilledInTheMiddle kills a gateway's process again and again while clients push
 // new versions of ten files and pull them back, and starts it on the same folder. What
 // a client was told was pushed is there; whatever is listed is whole.
-func TestKilledInTheMiddle(t *testing.T) {
-	site, file := siteAndSettings(t, nil)
+func TestKilledDuringPushes(t *testing.T) {
+	site, file := startSite(t, nil)
 	rng := rand.New(rand.NewSource(20261201))
 	const files = 10
 	version := make([]int, files)   // newest that a push was begun of
 	confirmed := make([]int, files) // newest that a client was told is there
-	bytesOf := func(i, v int) []byte { return seeded(int64(i*1000+v), 200_000+i*30_000) }
+	bytesOf := func(i, v int) []byte { return randomBytes(int64(i*1000+v), 200_000+i*30_000) }
 	for round := range 6 {
-		cmd, addr := serveProcess(t, file)
+		cmd, addr := startServe(t, file)
 		ctx, cancel := context.WithCancel(context.Background())
 		var wg sync.WaitGroup
 		for i := range files {
@@ -112,7 +112,7 @@
 		cancel()
 		wg.Wait()
 
-		cmd, addr = serveProcess(t, file)
+		cmd, addr = startServe(t, file)
 		found := map[int]bool{}
 		for try := 0; ; try++ { // it may not know its nodes yet
 			rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
@@ -155,7 +155,7 @@
 	}
 
 	// in the end what the kills left behind is collected
-	cmd, _ := serveProcess(t, file)
+	cmd, _ := startServe(t, file)
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	want := 0
 	for i := range files {
@@ -178,10 +178,10 @@
 // TestSignals: SIGHUP takes new modules all or nothing, SIGTERM ends with 0, and two
 // processes never have one folder.
 func TestSignals(t *testing.T) {
-	_, file := siteAndSettings(t, nil)
-	cmd, addr := serveProcess(t, file)
+	_, file := startSite(t, nil)
+	cmd, addr := startServe(t, file)
 	second := exec.Command(os.Args[0], "serve", "--config", file)
-	second.Env = append(os.Environ(), asProgram+"=1")
+	second.Env = append(os.Environ(), runMainEnv+"=1")
 	if out, err := second.CombinedOutput(); err == nil || !strings.Contains(string(out), "another process has the catalogue open") {
 		t.Errorf("a second process on the folder: %v %s", err, out)
 	}
@@ -219,18 +219,18 @@
 // TestRecordedRunReplays records a gateway in trouble until it is killed, and plays the
 // record to a fresh controller.
 func TestRecordedRunReplays(t *testing.T) {
-	site, file := siteAndSettings(t, func(c *config.Config) {
+	site, file := startSite(t, func(c *config.Config) {
 		c.Recorder.On, c.Recorder.FileSize = true, 1<<16
 		c.Recorder.Files = 1000
 	})
-	cmd, addr := serveProcess(t, file)
+	cmd, addr := startServe(t, file)
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			for k := range 6 {
-				f := standin.ClientFile{Path: fmt.Sprint("f", i), Data: seeded(int64(i), 300_000), MTime: int64(k + 1)}
+				f := standin.ClientFile{Path: fmt.Sprint("f", i), Data: randomBytes(int64(i), 300_000), MTime: int64(k + 1)}
 				c := &standin.Client{Addr: addr, Timeout: 2 * time.Second}
 				c.Push(context.Background(), "records", "", []standin.ClientFile{f}) // some fail: that is the point
 				(&standin.Client{Addr: addr, Timeout: 2 * time.Second}).Pull(context.Background(), "records", "", nil)
@@ -247,20 +247,20 @@
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%d files: %v", len(files), err)
 	}
-	out, status := program(t, append([]string{"replay"}, files...)...)
-	if status != exitDone || !strings.Contains(out, "the same") {
+	out, status := runProgram(t, append([]string{"replay"}, files...)...)
+	if status != exitOK || !strings.Contains(out, "the same") {
 		t.Errorf("status %d: %s", status, out)
 	}
-	if out, status = program(t, "replay", files[1]); status != exitNot || !strings.Contains(out, "an earlier file is missing") {
+	if out, status = runProgram(t, "replay", files[1]); status != exitError || !strings.Contains(out, "an earlier file is missing") {
 		t.Errorf("without its beginning: status %d: %s", status, out)
 	}
 }
 
 // TestSecondSignalEndsAtOnce: a transfer that will not end keeps the first one waiting.
 func TestSecondSignalEndsAtOnce(t *testing.T) {
-	site, file := siteAndSettings(t, nil)
-	cmd, addr := serveProcess(t, file)
-	f := standin.ClientFile{Path: "f", Data: seeded(1, 4<<20), MTime: 1}
+	site, file := startSite(t, nil)
+	cmd, addr := startServe(t, file)
+	f := standin.ClientFile{Path: "f", Data: randomBytes(1, 4<<20), MTime: 1}
 	for try := 0; ; try++ {
 		if rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", []standin.ClientFile{f}); err == nil && len(rep.Said) == 0 {
 			break
@@ -296,7 +296,7 @@
 		}
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	if err := cmd.Wait(); cmd.ProcessState.ExitCode() != exitShort {
+	if err := cmd.Wait(); cmd.ProcessState.ExitCode() != exitNegative {
 		t.Errorf("ended with %v", err)
 	}
 }
@@ -306,7 +306,7 @@
 // with the cause, and when one gets room again they are taken.
 func TestKilledWhileNodesFill(t *testing.T) {
 	const nodes, size = 3, 100_000
-	site, file := siteAndSettings(t, nil)
+	site, file := startSite(t, nil)
 	for i := range nodes {
 		d, err := site.Disk(i)
 		if err != nil {
@@ -315,7 +315,7 @@
 		d.Limit(8*size, 0)
 	}
 	push := func(addr string, n int) (bool, string) {
-		f := standin.ClientFile{Path: fmt.Sprint("f", n), Data: seeded(int64(n), size), MTime: 1}
+		f := standin.ClientFile{Path: fmt.Sprint("f", n), Data: randomBytes(int64(n), size), MTime: 1}
 		rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", []standin.ClientFile{f})
 		if err != nil {
 			return false, err.Error()
@@ -325,7 +325,7 @@
 	var confirmed []int
 	next := 0
 	for _, upTo := range []int{5, 11, 17} {
-		cmd, addr := serveProcess(t, file)
+		cmd, addr := startServe(t, file)
 		for len(confirmed) < upTo {
 			if ok, _ := push(addr, next); ok {
 				confirmed = append(confirmed, next)
@@ -344,7 +344,7 @@
 		}
 		next++
 	}
-	_, addr := serveProcess(t, file)
+	_, addr := startServe(t, file)
 	for limit := time.Now().Add(time.Minute); ; {
 		ok, said := push(addr, next)
 		if ok {
@@ -365,7 +365,7 @@
 	for _, f := range rep.Files {
 		var n int
 		if _, err := fmt.Sscanf(f.Path, "f%d", &n); err == nil {
-			whole[f.Path] = string(f.Data) == string(seeded(int64(n), size))
+			whole[f.Path] = string(f.Data) == string(randomBytes(int64(n), size))
 		}
 	}
 	for _, n := range confirmed {
--- a/cmd/eiderhold/live.go
+++ b/cmd/eiderhold/live.go
@@ -36,7 +36,7 @@
 				return err
 			}
 			if err := l.Serve(signals, func() (*live.Config, error) { return live.Load(os.Getenv) }); err != nil {
-				return short{err}
+				return negativeResult{err}
 			}
 			return nil
 		},
--- a/cmd/eiderhold/live_test.go
+++ b/cmd/eiderhold/live_test.go
@@ -18,7 +18,7 @@
 )
 
 // liveProcess starts the program as the platform does, without a writable folder and with so many descriptors.
-func liveProcess(t *testing.T, agent *standin.Agent, sockets int, known string) (cmd *exec.Cmd, addr string, log *standin.Log) {
+func startLive(t *testing.T, agent *standin.Agent, sockets int, known string) (cmd *exec.Cmd, addr string, log *standin.Log) {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	cmd = exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0" live`, sockets), os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "BALANCER_CONFIG="+file)
+	cmd.Env = append(os.Environ(), runMainEnv+"=1", "BALANCER_CONFIG="+file)
 	cmd.Dir = "/"
 	log = &standin.Log{}
 	cmd.Stderr = log
@@ -47,7 +47,7 @@
 }
 
 // ready waits until the host says that it is.
-func ready(addr string) {
+func waitUntilReady(addr string) {
 	for {
 		resp, err := http.Get("http://" + addr + "/_health")
 		if err == nil {
@@ -74,12 +74,12 @@
 // TestLiveProcess starts the program, sends it SIGHUP from its first moment on, and ends it with SIGTERM: status 0.
 func TestLiveProcess(t *testing.T) {
 	agent := newAgent(t, "")
-	cmd, addr, log := liveProcess(t, agent, 256, standin.List(1, true, standin.Target("s-1", "127.0.0.1:9", 0, "active", 0)))
+	cmd, addr, log := startLive(t, agent, 256, standin.List(1, true, standin.Target("s-1", "127.0.0.1:9", 0, "active", 0)))
 	agent.Next() // it runs
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	ready(addr)
+	waitUntilReady(addr)
 	log.Has("configuration read again")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 // TestTermBeforeReady: SIGTERM before there is any list ends the host with status 0 all the same.
 func TestTermBeforeReady(t *testing.T) {
 	agent := newAgent(t, "")
-	cmd, _, log := liveProcess(t, agent, 256, standin.List(1, true))
+	cmd, _, log := startLive(t, agent, 256, standin.List(1, true))
 	agent.Next() // it runs, and asks for the whole list, which it does not get
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -105,16 +105,16 @@
 
 // TestDescriptors: idle clients, many more than the process has descriptors, fill it while discovery is down. The
 // list is reached as discovery is back, a node opened anew, and each request on a connection that was taken is answered.
-func TestDescriptors(t *testing.T) {
+func TestDescriptorLimit(t *testing.T) {
 	node, err := standin.NewHTTPNode(func(s standin.Seen) standin.Reply { return standin.Reply{Text: standin.Served("x")} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer node.Close()
 	agent := newAgent(t, "")
-	_, addr, log := liveProcess(t, agent, 96, standin.List(1, true, standin.Target("s-1", "127.0.0.1:9", 1, "active", 0)))
+	_, addr, log := startLive(t, agent, 96, standin.List(1, true, standin.Target("s-1", "127.0.0.1:9", 1, "active", 0)))
 	watch := agent.Next()
-	ready(addr)
+	waitUntilReady(addr)
 	var c net.Conn
 	var answers *bufio.Reader
 	ask := func(n int) int { // on the connection that stands, on another one where the last answer ended it
--- a/cmd/eiderhold/main.go
+++ b/cmd/eiderhold/main.go
@@ -14,15 +14,15 @@
 
 // The exit statuses.
 const (
-	exitDone  = 0
-	exitShort = 1 // it ran and fell short
-	exitNot   = 2 // it could not run
+	exitOK       = 0
+	exitNegative = 1 // it ran and fell short
+	exitError    = 2 // it could not run
 )
 
 // short marks an error of a command that ran and fell short.
-type short struct{ error }
+type negativeResult struct{ error }
 
-func (s short) Unwrap() error { return s.error }
+func (r negativeResult) Unwrap() error { return r.error }
 
 func main() { os.Exit(run(context.Background(), os.Args[1:])) }
 
@@ -39,11 +39,11 @@
 	root.SetArgs(args)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	fmt.Fprintln(os.Stderr, "eiderhold:", err)
-	if errors.As(err, new(short)) {
-		return exitShort
+	if errors.As(err, new(negativeResult)) {
+		return exitNegative
 	}
-	return exitNot
+	return exitError
 }
--- a/cmd/eiderhold/main_test.go
+++ b/cmd/eiderhold/main_test.go
@@ -14,21 +14,21 @@
 	"eiderhold/internal/rehearsal"
 )
 
-const asProgram = "EIDERHOLD_TEST_AS_PROGRAM"
+const runMainEnv = "EIDERHOLD_TEST_AS_PROGRAM"
 
 // TestMain lets this test binary be the program, for processes that a test starts.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		os.Exit(run(context.Background(), os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
 // program runs the program and returns its output and exit status.
-func program(t *testing.T, args ...string) (string, int) {
+func runProgram(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
 	_ = cmd.Run() // its status is what counts
@@ -46,7 +46,7 @@
 				t.Fatal(err)
 			}
 			res, err := rehearsal.Run(context.Background(), day, rehearsal.Options{Dir: filepath.Join(t.TempDir(), "day"),
-				Command: []string{os.Args[0], "serve"}, Env: []string{asProgram + "=1"}})
+				Command: []string{os.Args[0], "serve"}, Env: []string{runMainEnv + "=1"}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -89,8 +89,8 @@
 }
 
 func TestConfigCommands(t *testing.T) {
-	text, status := program(t, "config", "default")
-	if status != exitDone || !strings.Contains(text, "# Unique among the gateways") {
+	text, status := runProgram(t, "config", "default")
+	if status != exitOK || !strings.Contains(text, "# Unique among the gateways") {
 		t.Fatalf("status %d: %s", status, text)
 	}
 	dir := t.TempDir()
@@ -98,12 +98,12 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, status := program(t, "config", "check", file); status != exitDone {
+	if out, status := runProgram(t, "config", "check", file); status != exitOK {
 		t.Errorf("the default is not good: %d %s", status, out)
 	}
-	shown, status := program(t, "config", "show", file)
+	shown, status := runProgram(t, "config", "show", file)
 	shown = strings.ReplaceAll(shown, filepath.Join(dir, "eiderhold-data"), "eiderhold-data") // taken from where the file lies
-	if status != exitDone || shown != text {
+	if status != exitOK || shown != text {
 		t.Errorf("show of the default differs from it: %d", status)
 	}
 	secrets := filepath.Join(dir, "secrets")
@@ -127,7 +127,7 @@
 		if err := os.WriteFile(file, []byte(c.text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if out, status := program(t, "config", "check", file); status != exitShort || !strings.Contains(out, c.want) {
+		if out, status := runProgram(t, "config", "check", file); status != exitNegative || !strings.Contains(out, c.want) {
 			t.Errorf("%s: status %d, want %q in %s", name, status, c.want, out)
 		}
 	}
@@ -149,7 +149,7 @@
 		{[]string{"register", "--node", "x"}, "ID=SHARD@HOST:PORT"},
 		{[]string{"fly"}, "unknown command"},
 	} {
-		if out, status := program(t, c.args...); status != exitNot || !strings.Contains(out, c.want) {
+		if out, status := runProgram(t, c.args...); status != exitError || !strings.Contains(out, c.want) {
 			t.Errorf("%v: status %d, want %q in %s", c.args, status, c.want, out)
 		}
 	}
@@ -170,9 +170,9 @@
 	if err := (&audit.Rules{}).Save(dir); err != nil {
 		t.Fatal(err)
 	}
-	out, status := program(t, "audit", dir, "--output", "json")
+	out, status := runProgram(t, "audit", dir, "--output", "json")
 	var rep audit.Report
-	if err := json.NewDecoder(strings.NewReader(out)).Decode(&rep); err != nil || status != exitShort ||
+	if err := json.NewDecoder(strings.NewReader(out)).Decode(&rep); err != nil || status != exitNegative ||
 		len(rep.Breaches) != 1 || rep.Breaches[0].Rule != 2 {
 		t.Errorf("status %d, %v: %s", status, err, out)
 	}
--- a/cmd/eiderhold/map.go
+++ b/cmd/eiderhold/map.go
@@ -18,7 +18,7 @@
 )
 
 // mapRuns is the ceiling of maps that commands read.
-const mapRuns = 1 << 28
+const maxMapRuns = 1 << 28
 
 func mapCommand() *cobra.Command {
 	c := &cobra.Command{
@@ -34,7 +34,7 @@
 
 // readMap reads a snapshot whole. Blocks that cannot be read are told on w, and left out.
 func readMap(w io.Writer, file string) (mapfile.Header, *extentmap.View, []mapfile.Damage, error) {
-	m, err := extentmap.New(mapRuns)
+	m, err := extentmap.New(maxMapRuns)
 	if err != nil {
 		return mapfile.Header{}, nil, nil, err
 	}
@@ -49,15 +49,15 @@
 }
 
 // mapSums is what show prints.
-type mapSums struct {
+type mapSummary struct {
 	mapfile.Header
 	Bytes   uint64           `json:"bytes"`
-	Volumes []mapSum         `json:"volumes"`
-	Homes   []mapSum         `json:"homes"`
+	Volumes []mapCounts      `json:"volumes"`
+	Homes   []mapCounts      `json:"homes"`
 	Damaged []mapfile.Damage `json:"damaged,omitempty"`
 }
 
-type mapSum struct {
+type mapCounts struct {
 	Volume string `json:"volume,omitempty"`
 	Shard  *int32 `json:"shard,omitempty"`
 	Epoch  uint32 `json:"epoch,omitempty"`
@@ -79,7 +79,7 @@
 			if err != nil {
 				return err
 			}
-			s := mapSums{Header: h, Bytes: mapfile.HeaderBytes + uint64(h.Blocks)*mapfile.BlockBytes, Damaged: damaged}
+			s := mapSummary{Header: h, Bytes: mapfile.HeaderBytes + uint64(h.Blocks)*mapfile.BlockBytes, Damaged: damaged}
 			volumes := map[string]extentmap.Sum{}
 			v.All(func(r extentmap.Run) bool {
 				if r.Shard != extentmap.Nowhere {
@@ -89,13 +89,13 @@
 				return true
 			})
 			for _, name := range slices.Sorted(maps.Keys(volumes)) {
-				s.Volumes = append(s.Volumes, mapSum{Volume: name, Sum: volumes[name]})
+				s.Volumes = append(s.Volumes, mapCounts{Volume: name, Sum: volumes[name]})
 			}
 			homes := v.Shards()
 			for _, h := range slices.SortedFunc(maps.Keys(homes), func(a, b extentmap.Home) int {
 				return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Epoch, b.Epoch))
 			}) {
-				s.Homes = append(s.Homes, mapSum{Shard: &h.Shard, Epoch: h.Epoch, Sum: homes[h]})
+				s.Homes = append(s.Homes, mapCounts{Shard: &h.Shard, Epoch: h.Epoch, Sum: homes[h]})
 			}
 			if output == "json" {
 				return printJSON(cmd.OutOrStdout(), s)
@@ -107,7 +107,7 @@
 	return c
 }
 
-func printMap(w io.Writer, file string, s *mapSums) error {
+func printMap(w io.Writer, file string, s *mapSummary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(t, "%s: version %d of term %d, %s extents in %s runs, %d blocks, %s\n\nvolume\truns\textents\n",
 		file, s.Version, s.Term, humanize.Comma(int64(s.Extents)), humanize.Comma(int64(s.Runs)), s.Blocks, humanize.IBytes(s.Bytes))
@@ -155,7 +155,7 @@
 			}
 			switch {
 			case found == nil:
-				return short{fmt.Errorf("%s: extent %d of %q is not known there", args[0], extent, args[1])}
+				return negativeResult{fmt.Errorf("%s: extent %d of %q is not known there", args[0], extent, args[1])}
 			case output == "json":
 				return printJSON(cmd.OutOrStdout(), found)
 			}
@@ -170,7 +170,7 @@
 
 func mapDiff() *cobra.Command {
 	var output string
-	var most int
+	var maxRanges int
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
 		Short: "Show which extents lie elsewhere in another snapshot",
@@ -182,21 +182,21 @@
 			if err := checkOutput(output); err != nil {
 				return err
 			}
-			if most < 1 {
-				return fmt.Errorf("--most %d: at least 1", most)
+			if maxRanges < 1 {
+				return fmt.Errorf("--most %d: at least 1", maxRanges)
 			}
-			_, was, _, err := readMap(cmd.ErrOrStderr(), args[0])
+			_, oldMap, _, err := readMap(cmd.ErrOrStderr(), args[0])
 			if err != nil {
 				return err
 			}
-			_, is, _, err := readMap(cmd.ErrOrStderr(), args[1])
+			_, newMap, _, err := readMap(cmd.ErrOrStderr(), args[1])
 			if err != nil {
 				return err
 			}
 			var list []extentmap.Difference
 			ranges, extents := 0, uint64(0)
-			extentmap.Diff(was, is, func(d extentmap.Difference) bool {
-				if len(list) < most {
+			extentmap.Diff(oldMap, newMap, func(d extentmap.Difference) bool {
+				if len(list) < maxRanges {
 					list = append(list, d)
 				}
 				ranges++
@@ -209,12 +209,12 @@
 				err = printDiff(cmd.OutOrStdout(), list, ranges, extents)
 			}
 			if err == nil && ranges > 0 {
-				return short{errors.New("the snapshots differ")}
+				return negativeResult{errors.New("the snapshots differ")}
 			}
 			return err
 		},
 	}
-	c.Flags().IntVar(&most, "most", 100, "ranges to show")
+	c.Flags().IntVar(&maxRanges, "most", 100, "ranges to show")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
@@ -258,7 +258,7 @@
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: version %d of term %d: %d of %d blocks, %d of %d runs\n",
 				args[0], h.Version, h.Term, int(h.Blocks)-len(damaged), h.Blocks, v.Len(), h.Runs)
 			if len(damaged) > 0 || uint64(v.Len()) != h.Runs {
-				return short{fmt.Errorf("%s is damaged", args[0])}
+				return negativeResult{fmt.Errorf("%s is damaged", args[0])}
 			}
 			return nil
 		},
@@ -284,7 +284,7 @@
 			}
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: %d rows\n", args[1], rows)
 			if len(damaged) > 0 {
-				return short{fmt.Errorf("%s is damaged: the rows are not all", args[0])}
+				return negativeResult{fmt.Errorf("%s is damaged: the rows are not all", args[0])}
 			}
 			return nil
 		},
@@ -298,7 +298,7 @@
 		Example: "  eiderhold map import map.parquet map.snapshot",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			m, err := extentmap.New(mapRuns)
+			m, err := extentmap.New(maxMapRuns)
 			if err != nil {
 				return err
 			}
--- a/cmd/eiderhold/map_test.go
+++ b/cmd/eiderhold/map_test.go
@@ -38,25 +38,25 @@
 	if _, err := mapfile.Save(path("new"), m.View()); err != nil {
 		t.Fatal(err)
 	}
-	says := func(want string, status int, args ...string) {
+	wantOutput := func(want string, status int, args ...string) {
 		t.Helper()
-		if out, got := program(t, append([]string{"map"}, args...)...); got != status || !strings.Contains(out, want) {
+		if out, got := runProgram(t, append([]string{"map"}, args...)...); got != status || !strings.Contains(out, want) {
 			t.Errorf("map %v: status %d, want %d with %q:\n%s", args, got, status, want, out)
 		}
 	}
-	says("version 10 of term 1, 200,000 extents in 20,001 runs", exitDone, "show", path("new"))
-	says("shard 8, epoch 2, as of version 10; extents 15 to 24 lie there", exitDone, "lookup", path("new"), "records", "17")
-	says("is not known there", exitShort, "lookup", path("new"), "records", "200000")
-	says("is not known there", exitShort, "lookup", path("new"), "records", "18446744073709551615")
-	says("a number from 0 on", exitNot, "lookup", path("new"), "records", "x")
-	says("2 ranges of 10 extents differ", exitShort, "diff", path("old"), path("new"))
-	says("0 ranges of 0 extents differ", exitDone, "diff", path("new"), path("new"))
-	says("20001 of 20001 runs", exitDone, "verify", path("new"))
-	says("20001 rows", exitDone, "export", path("new"), path("columns.parquet"))
-	says("version 10 of term 1, 20001 runs", exitDone, "import", path("columns.parquet"), path("back"))
-	says("0 ranges of 0 extents differ", exitDone, "diff", path("new"), path("back"))
-	says("not a snapshot", exitNot, "verify", path("columns.parquet"))
-	says("", exitNot, "import", path("new"), path("none"))
+	wantOutput("version 10 of term 1, 200,000 extents in 20,001 runs", exitOK, "show", path("new"))
+	wantOutput("shard 8, epoch 2, as of version 10; extents 15 to 24 lie there", exitOK, "lookup", path("new"), "records", "17")
+	wantOutput("is not known there", exitNegative, "lookup", path("new"), "records", "200000")
+	wantOutput("is not known there", exitNegative, "lookup", path("new"), "records", "18446744073709551615")
+	wantOutput("a number from 0 on", exitError, "lookup", path("new"), "records", "x")
+	wantOutput("2 ranges of 10 extents differ", exitNegative, "diff", path("old"), path("new"))
+	wantOutput("0 ranges of 0 extents differ", exitOK, "diff", path("new"), path("new"))
+	wantOutput("20001 of 20001 runs", exitOK, "verify", path("new"))
+	wantOutput("20001 rows", exitOK, "export", path("new"), path("columns.parquet"))
+	wantOutput("version 10 of term 1, 20001 runs", exitOK, "import", path("columns.parquet"), path("back"))
+	wantOutput("0 ranges of 0 extents differ", exitOK, "diff", path("new"), path("back"))
+	wantOutput("not a snapshot", exitError, "verify", path("columns.parquet"))
+	wantOutput("", exitError, "import", path("new"), path("none"))
 
 	b, err := os.ReadFile(path("new"))
 	if err != nil {
@@ -66,11 +66,11 @@
 	if err := os.WriteFile(path("torn"), b, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	says("block 1: its checksum does not fit", exitShort, "verify", path("torn"))
-	says("shard 8, epoch 2", exitDone, "lookup", path("torn"), "records", "17")
-	out, status := program(t, "map", "show", path("torn"), "--output", "json")
-	var s mapSums
-	if err := json.Unmarshal([]byte(out[strings.Index(out, "{"):]), &s); err != nil || status != exitDone || len(s.Damaged) != 1 ||
+	wantOutput("block 1: its checksum does not fit", exitNegative, "verify", path("torn"))
+	wantOutput("shard 8, epoch 2", exitOK, "lookup", path("torn"), "records", "17")
+	out, status := runProgram(t, "map", "show", path("torn"), "--output", "json")
+	var s mapSummary
+	if err := json.Unmarshal([]byte(out[strings.Index(out, "{"):]), &s); err != nil || status != exitOK || len(s.Damaged) != 1 ||
 		len(s.Volumes) != 1 || s.Volumes[0].Runs == 0 || s.Volumes[0].Runs >= s.Runs {
 		t.Errorf("show of a damaged one: %d, %v: %+v", status, err, s)
 	}
--- a/cmd/eiderhold/moves.go
+++ b/cmd/eiderhold/moves.go
@@ -16,10 +16,10 @@
 )
 
 // movesEvery is how often a command that waits looks.
-const movesEvery = 200 * time.Millisecond
+const movesPollInterval = 200 * time.Millisecond
 
 func spaceRebalance() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var flags planFlags
 	var output string
 	var detach bool
@@ -34,19 +34,19 @@
 		Example: "  eiderhold space rebalance --dir eiderhold-data --least 0.1\n  eiderhold space rebalance --dir eiderhold-data --detach",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
 			if err := flags.check(); err != nil {
 				return err
 			}
-			s := &gateway.Started{}
-			if err := gateway.Order(cmd.Context(), dir, "/rebalance", gateway.PlanQuery(flags.set), s); err != nil {
+			started := &gateway.Started{}
+			if err := gateway.Order(cmd.Context(), dir, "/rebalance", gateway.PlanQuery(flags.set), started); err != nil {
 				return err
 			}
 			var list []mover.Progress
-			if !detach && s.Moves > 0 {
+			if !detach && started.Moves > 0 {
 				if list, err = waitForMoves(cmd.Context(), dir, cmd.ErrOrStderr()); err != nil {
 					return err
 				}
@@ -61,19 +61,19 @@
 				err = printJSON(cmd.OutOrStdout(), struct {
 					*gateway.Started
 					Undone int `json:"undone"`
-				}{s, undone})
-			} else if s.Moves == 0 {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", s.Plan.Why)
+				}{started, undone})
+			} else if started.Moves == 0 {
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", started.Plan.Why)
 			} else {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", s.Moves, len(s.Plan.Moves))
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", started.Moves, len(started.Plan.Moves))
 			}
 			if err == nil && undone > 0 {
-				return short{fmt.Errorf("%d moves were undone: eiderhold space moves says why", undone)}
+				return negativeResult{fmt.Errorf("%d moves were undone: eiderhold space moves says why", undone)}
 			}
 			return err
 		},
 	}
-	at.add(c)
+	target.add(c)
 	flags.add(c)
 	c.Flags().BoolVar(&detach, "detach", false, "do not wait for the end")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
@@ -82,25 +82,25 @@
 
 // waitForMoves waits until all moves are over, and tells on w how far they are.
 func waitForMoves(ctx context.Context, dir string, w io.Writer) (list []mover.Progress, err error) {
-	tick := time.NewTicker(movesEvery)
+	tick := time.NewTicker(movesPollInterval)
 	defer tick.Stop()
-	for told := time.Now(); ; {
+	for lastReport := time.Now(); ; {
 		list = nil
 		if err := gateway.Command(ctx, dir, "/moves", nil, &list); err != nil {
 			return nil, err
 		}
-		over := 0
+		finished := 0
 		for _, p := range list {
 			if p.Over() {
-				over++
+				finished++
 			}
 		}
-		if over == len(list) {
+		if finished == len(list) {
 			return list, nil
 		}
-		if time.Since(told) > 2*time.Second {
-			told = time.Now()
-			_, _ = fmt.Fprintf(w, "%d of %d moves are over\n", over, len(list))
+		if time.Since(lastReport) > 2*time.Second {
+			lastReport = time.Now()
+			_, _ = fmt.Fprintf(w, "%d of %d moves are over\n", finished, len(list))
 		}
 		select {
 		case <-ctx.Done():
@@ -111,7 +111,7 @@
 }
 
 func spaceMoves() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var output string
 	c := &cobra.Command{
 		Use:     "moves (--config FILE | --dir DIR)",
@@ -119,7 +119,7 @@
 		Example: "  eiderhold space moves --dir eiderhold-data",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
@@ -138,20 +138,20 @@
 			return t.Flush()
 		},
 	}
-	at.add(c)
+	target.add(c)
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
 func spaceUndo() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	c := &cobra.Command{
 		Use:     "undo (--config FILE | --dir DIR) MOVE",
 		Short:   "Take a move back that has not been switched yet",
 		Example: "  eiderhold space undo --dir eiderhold-data 17",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			dir, err := at.find()
+			dir, err := target.path()
 			if err != nil {
 				return err
 			}
@@ -161,6 +161,6 @@
 			return gateway.Order(cmd.Context(), dir, "/moves/undo", url.Values{"id": {args[0]}}, &struct{}{})
 		},
 	}
-	at.add(c)
+	target.add(c)
 	return c
 }
--- a/cmd/eiderhold/moves_test.go
+++ b/cmd/eiderhold/moves_test.go
@@ -17,9 +17,9 @@
 // no item lies on two nodes.
 func TestKilledWhileDataMoves(t *testing.T) {
 	const files, size = 30, 30_000
-	site, settings := siteAndSettings(t, func(c *config.Config) { c.Moves.Rate = 400_000 })
+	site, settings := startSite(t, func(c *config.Config) { c.Moves.Rate = 400_000 })
 	dir := filepath.Join(filepath.Dir(settings), "data")
-	limit := func(shard int) *standin.Disk {
+	limitDisk := func(shard int) *standin.Disk {
 		d, err := site.Disk(shard)
 		if err != nil {
 			t.Fatal(err)
@@ -28,12 +28,12 @@
 		return d
 	}
 	for i := range 3 {
-		limit(i)
+		limitDisk(i)
 	}
-	cmd, addr := serveProcess(t, settings)
+	cmd, addr := startServe(t, settings)
 	var tree []standin.ClientFile
 	for i := range files {
-		tree = append(tree, standin.ClientFile{Path: fmt.Sprint("f", i), Data: seeded(int64(i), size), MTime: 1})
+		tree = append(tree, standin.ClientFile{Path: fmt.Sprint("f", i), Data: randomBytes(int64(i), size), MTime: 1})
 	}
 	if rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", tree); err != nil || len(rep.Said) > 0 {
 		t.Fatal(err, rep.Said)
@@ -46,7 +46,7 @@
 		}
 		return sum
 	}
-	until := func(what string, ok func() bool) {
+	waitFor := func(what string, ok func() bool) {
 		t.Helper()
 		for limit := time.Now().Add(time.Minute); !ok(); time.Sleep(5 * time.Millisecond) {
 			if time.Now().After(limit) {
@@ -55,36 +55,36 @@
 		}
 	}
 	before := items()
-	joined := limit(3)
+	newDisk := limitDisk(3)
 	if _, err := site.Add(standin.NodeOptions{ID: "node-3", Shard: 3, Cores: 4, Queue: 256}); err != nil {
 		t.Fatal(err)
 	}
-	if out, status := program(t, "space", "moves", "--dir", t.TempDir()); status != exitNot || !strings.Contains(out, "no gateway is running") {
+	if out, status := runProgram(t, "space", "moves", "--dir", t.TempDir()); status != exitError || !strings.Contains(out, "no gateway is running") {
 		t.Errorf("without a gateway: %d %s", status, out)
 	}
-	until("all to have reported", func() bool {
-		out, status := program(t, "space", "--dir", dir)
-		return status == exitDone && strings.Contains(out, "node-3") && !strings.Contains(out, "not told")
+	waitFor("all to have reported", func() bool {
+		out, status := runProgram(t, "space", "--dir", dir)
+		return status == exitOK && strings.Contains(out, "node-3") && !strings.Contains(out, "not told")
 	})
-	until("moves to begin", func() bool {
-		out, status := program(t, "space", "rebalance", "--dir", dir, "--detach", "--least", "0.01")
-		if status != exitDone {
+	waitFor("moves to begin", func() bool {
+		out, status := runProgram(t, "space", "rebalance", "--dir", dir, "--detach", "--least", "0.01")
+		if status != exitOK {
 			t.Fatalf("%d %s", status, out)
 		}
 		return strings.Contains(out, "moves begun")
 	})
 	for kill := range 5 { // each a little further on
-		until("copies on the new node", func() bool { return joined.Items() > kill })
+		waitFor("copies on the new node", func() bool { return newDisk.Items() > kill })
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
-		cmd, addr = serveProcess(t, settings)
+		cmd, addr = startServe(t, settings)
 	}
-	until("the moves' end", func() bool {
-		out, status := program(t, "space", "moves", "--dir", dir)
-		return status == exitDone && !strings.Contains(out, "copying") && !strings.Contains(out, "waiting") &&
+	waitFor("the moves' end", func() bool {
+		out, status := runProgram(t, "space", "moves", "--dir", dir)
+		return status == exitOK && !strings.Contains(out, "copying") && !strings.Contains(out, "waiting") &&
 			!strings.Contains(out, "switching") && !strings.Contains(out, "retiring") && !strings.Contains(out, "undoing")
 	})
-	until("what was left behind to be collected", func() bool { return items() == before })
+	waitFor("what was left behind to be collected", func() bool { return items() == before })
 	rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
 	if err != nil || len(rep.Said) > 0 {
 		t.Fatal(err, rep.Said)
@@ -92,14 +92,14 @@
 	whole := 0
 	for _, f := range rep.Files {
 		var n int
-		if _, err := fmt.Sscanf(f.Path, "f%d", &n); err == nil && string(f.Data) == string(seeded(int64(n), size)) {
+		if _, err := fmt.Sscanf(f.Path, "f%d", &n); err == nil && string(f.Data) == string(randomBytes(int64(n), size)) {
 			whole++
 		}
 	}
-	if whole != files || joined.Items() < 3 {
-		t.Errorf("%d of %d files are whole; %d items on the new node", whole, files, joined.Items())
+	if whole != files || newDisk.Items() < 3 {
+		t.Errorf("%d of %d files are whole; %d items on the new node", whole, files, newDisk.Items())
 	}
-	if out, status := program(t, "space", "undo", "--dir", dir, "99999"); status != exitNot || !strings.Contains(out, "no move 99999") {
+	if out, status := runProgram(t, "space", "undo", "--dir", dir, "99999"); status != exitError || !strings.Contains(out, "no move 99999") {
 		t.Errorf("undo of none: %d %s", status, out)
 	}
 	_ = cmd.Process.Kill()
--- a/cmd/eiderhold/progress.go
+++ b/cmd/eiderhold/progress.go
@@ -11,32 +11,32 @@
 // progress tells on a terminal how a long run goes, a line that is written over, after the
 // first two seconds. On anything else it says nothing.
 type progress struct {
-	to    *os.File
-	last  time.Time
-	shown bool
+	terminal   *os.File
+	lastUpdate time.Time
+	shown      bool
 }
 
-func newProgress(to *os.File) *progress {
-	p := &progress{last: time.Now().Add(2*time.Second - progressEvery)}
-	if info, err := to.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
-		p.to = to
+func newProgress(out *os.File) *progress {
+	p := &progress{lastUpdate: time.Now().Add(2*time.Second - progressInterval)}
+	if info, err := out.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
+		p.terminal = out
 	}
 	return p
 }
 
-const progressEvery = 200 * time.Millisecond
+const progressInterval = 200 * time.Millisecond
 
-func (p *progress) say(format string, args ...any) {
-	if p.to == nil || time.Since(p.last) < progressEvery {
+func (p *progress) update(format string, args ...any) {
+	if p.terminal == nil || time.Since(p.lastUpdate) < progressInterval {
 		return
 	}
-	p.last, p.shown = time.Now(), true
-	fmt.Fprintf(p.to, "\r\x1b[K"+format, args...)
+	p.lastUpdate, p.shown = time.Now(), true
+	fmt.Fprintf(p.terminal, "\r\x1b[K"+format, args...)
 }
 
 func (p *progress) clear() {
 	if p.shown {
-		fmt.Fprint(p.to, "\r\x1b[K")
+		fmt.Fprint(p.terminal, "\r\x1b[K")
 	}
 }
 
--- a/cmd/eiderhold/rehearse.go
+++ b/cmd/eiderhold/rehearse.go
@@ -22,7 +22,7 @@
 )
 
 func rehearseCommand() *cobra.Command {
-	var dir, output, told string
+	var dir, output, sharesModes string
 	var vary []string
 	var seed int64
 	var repeat int
@@ -48,9 +48,9 @@
 			if err != nil {
 				return err
 			}
-			days := []rehearsal.Variant{{Label: "as it is", Day: day}}
-			if told != "" {
-				vary = append(vary, "shares.told="+told)
+			variants := []rehearsal.Variant{{Label: "as it is", Day: day}}
+			if sharesModes != "" {
+				vary = append(vary, "shares.told="+sharesModes)
 			}
 			var keys []rehearsal.Key
 			for _, v := range vary {
@@ -58,12 +58,12 @@
 				keys = append(keys, rehearsal.Key{Name: key, Values: strings.Split(values, ",")})
 			}
 			if len(keys) > 0 {
-				if days, err = rehearsal.Vary(args[0], keys...); err != nil {
+				if variants, err = rehearsal.Vary(args[0], keys...); err != nil {
 					return err
 				}
-				day = days[0].Day
+				day = variants[0].Day
 			}
-			if repeat < 1 || len(days) > 1 && repeat == 1 {
+			if repeat < 1 || len(variants) > 1 && repeat == 1 {
 				return fmt.Errorf("--repeat %d: at least 1, and more to compare ways", repeat)
 			}
 			if dir == "" {
@@ -75,15 +75,15 @@
 			if err != nil {
 				return err
 			}
-			self, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
 			ctx, cancel := signal.NotifyContext(cmd.Context(), os.Interrupt, syscall.SIGTERM)
 			defer cancel()
-			options := rehearsal.Options{Dir: dir, Command: []string{self, "serve"}, Log: log, Seed: seed}
+			options := rehearsal.Options{Dir: dir, Command: []string{executable, "serve"}, Log: log, Seed: seed}
 			if repeat > 1 {
-				return compareDays(ctx, cmd.OutOrStdout(), days, repeat, options, output)
+				return compareDays(ctx, cmd.OutOrStdout(), variants, repeat, options, output)
 			}
 			log.Info("rehearsing", "day", day.Name, "lasts", day.Lasts.D(), "folder", dir)
 			res, err := rehearsal.Run(ctx, day, options)
@@ -97,7 +97,7 @@
 			return showReport(cmd.OutOrStdout(), res.Report, output)
 		},
 	}
-	c.Flags().StringVar(&told, "shares", "", "none, right or wrong, in the place of the day's shares.told; several with commas, to compare")
+	c.Flags().StringVar(&sharesModes, "shares", "", "none, right or wrong, in the place of the day's shares.told; several with commas, to compare")
 	c.Flags().StringArrayVar(&vary, "vary", nil, "KEY=VALUE,VALUE...: a key of the day (site, gateways, shares) or of the gateways' settings; again for each with each")
 	c.Flags().IntVar(&repeat, "repeat", 1, "seeds to play the day with, from its own on")
 	c.Flags().StringVar(&dir, "dir", "", "folder for records, gateways and their logs; empty: a new one")
@@ -142,14 +142,14 @@
 	return nil
 }
 
-const breachesShown = 20
+const maxBreachesShown = 20
 
 // showReport prints an audit; a broken rule is an error of the kind that ran and fell
 // short.
 func showReport(w io.Writer, rep *audit.Report, output string) error {
 	var err error
 	if n := len(rep.Breaches); n > 0 {
-		err = short{fmt.Errorf("rules were broken at %d places", n)}
+		err = negativeResult{fmt.Errorf("rules were broken at %d places", n)}
 	}
 	if output == "json" {
 		return errors.Join(printJSON(w, rep), err)
@@ -174,17 +174,17 @@
 		fmt.Fprintf(w, "files: the loss of one shard touches %.1f%% of %d in the mean, %.1f%% at most\n", 100*s.Mean, s.Files, 100*s.Touched)
 	}
 	fmt.Fprint(w, "\ntransfers:")
-	kinds := make([]string, 0, len(rep.Transfers))
+	results := make([]string, 0, len(rep.Transfers))
 	for k := range rep.Transfers {
-		kinds = append(kinds, k)
+		results = append(results, k)
 	}
-	sort.Strings(kinds)
-	for _, k := range kinds {
+	sort.Strings(results)
+	for _, k := range results {
 		fmt.Fprintf(w, " %d %s", rep.Transfers[k], k)
 	}
 	fmt.Fprintln(w)
 	for i, b := range rep.Breaches {
-		if i == breachesShown {
+		if i == maxBreachesShown {
 			fmt.Fprintf(w, "... and %d more\n", len(rep.Breaches)-i)
 			break
 		}
@@ -218,16 +218,16 @@
 			}
 			res, err := record.Replay(args, each)
 			if errors.As(err, new(*record.Difference)) {
-				return short{err}
+				return negativeResult{err}
 			}
 			if err != nil {
 				return err
 			}
-			torn := ""
+			tornNote := ""
 			if res.Torn {
-				torn = "; the last file ends within a batch, as after a kill"
+				tornNote = "; the last file ends within a batch, as after a kill"
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%d batches, %d events, %d actions: the same%s\n", res.Batches, res.Events, res.Actions, torn)
+			fmt.Fprintf(cmd.OutOrStdout(), "%d batches, %d events, %d actions: the same%s\n", res.Batches, res.Events, res.Actions, tornNote)
 			return nil
 		},
 	}
--- a/cmd/eiderhold/serve.go
+++ b/cmd/eiderhold/serve.go
@@ -47,15 +47,15 @@
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "rsync://%s/\n", g.Addr())
 			log.Info("serving", "rsync", g.Addr(), "register", cfg.Register.URL, "dir", cfg.Gateway.Dir)
-			return attend(cmd.Context(), g, cfg, log, func() error {
-				next, err := config.Load(file)
+			return runUntilSignal(cmd.Context(), g, cfg, log, func() error {
+				reloaded, err := config.Load(file)
 				if err != nil {
 					return err
 				}
-				if err := g.Reload(next); err != nil {
+				if err := g.Reload(reloaded); err != nil {
 					return err
 				}
-				return level.UnmarshalText([]byte(next.Gateway.LogLevel))
+				return level.UnmarshalText([]byte(reloaded.Gateway.LogLevel))
 			})
 		},
 	}
@@ -65,10 +65,10 @@
 }
 
 // attend waits for signals and ends the gateway as they say.
-func attend(ctx context.Context, g *gateway.Gateway, cfg *config.Config, log *slog.Logger, reload func() error) error {
+func runUntilSignal(ctx context.Context, g *gateway.Gateway, cfg *config.Config, log *slog.Logger, reload func() error) error {
 	defer logStats(log, g)
-	every := time.NewTicker(statsEvery)
-	defer every.Stop()
+	statsTicker := time.NewTicker(statsInterval)
+	defer statsTicker.Stop()
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	defer signal.Stop(signals)
@@ -80,8 +80,8 @@
 			if err == nil {
 				err = fmt.Errorf("the host loop ended unasked")
 			}
-			return short{err}
-		case <-every.C:
+			return negativeResult{err}
+		case <-statsTicker.C:
 			logStats(log, g)
 		case <-ctx.Done():
 			return g.Close()
@@ -95,13 +95,13 @@
 				continue
 			}
 			log.Info("draining: transfers may end, no new connections", "within", cfg.Gateway.Drain.D())
-			limit, cancel := context.WithTimeout(ctx, cfg.Gateway.Drain.D())
+			drainCtx, cancel := context.WithTimeout(ctx, cfg.Gateway.Drain.D())
 			go func() {
 				<-signals
 				log.Warn("second signal: ending at once")
-				os.Exit(exitShort)
+				os.Exit(exitNegative)
 			}()
-			err := g.Drain(limit)
+			err := g.Drain(drainCtx)
 			cancel()
 			if err != nil {
 				log.Warn("drain", "err", err)
@@ -111,7 +111,7 @@
 	}
 }
 
-const statsEvery = time.Minute
+const statsInterval = time.Minute
 
 // logStats writes the counts since the start as one line; microseconds.
 func logStats(log *slog.Logger, g *gateway.Gateway) {
@@ -185,7 +185,7 @@
 					_, err = gateway.Modules(cfg)
 				}
 				if err != nil {
-					return short{err}
+					return negativeResult{err}
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: good\n", args[0])
 				return nil
@@ -197,7 +197,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				cfg, err := config.Load(args[0])
 				if err != nil {
-					return short{err}
+					return negativeResult{err}
 				}
 				text, err := cfg.Text()
 				if err == nil {
--- a/cmd/eiderhold/shares.go
+++ b/cmd/eiderhold/shares.go
@@ -63,7 +63,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := loadProblem(args[0])
 			if err != nil {
-				return short{err}
+				return negativeResult{err}
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: good: %d volumes, %d nodes, inputs %s\n", args[0], len(p.Volumes), len(p.Nodes), shares.Digest(p))
 			return nil
@@ -132,16 +132,16 @@
 		defer cancel()
 	}
 	var found *shares.Found
-	var left []string
-	var gap trail
+	var leftOut []string
+	var trace searchTrace
 	switch {
 	case f.plain != "":
-		way, werr := shares.Plain(f.plain)
-		if werr != nil {
-			return fmt.Errorf("--plain %w", werr)
+		solve, plainErr := shares.Plain(f.plain)
+		if plainErr != nil {
+			return fmt.Errorf("--plain %w", plainErr)
 		}
 		var a *shares.Answer
-		if a, err = way(p); a != nil {
+		if a, err = solve(p); a != nil {
 			found = &shares.Found{Answer: a, Bound: shares.Bound(p)}
 		}
 	case f.relax:
@@ -149,23 +149,23 @@
 		if f.exact && !cmd.Flags().Changed("steps") {
 			steps = 0
 		}
-		found, left, err = shares.Relax(p, f.exact, shares.Options{Seed: f.seed, Steps: steps})
+		found, leftOut, err = shares.Relax(p, f.exact, shares.Options{Seed: f.seed, Steps: steps})
 	case f.exact:
 		found, err = f.solveExactly(ctx, cmd, p)
 	default:
-		found, gap, err = f.search(ctx, p)
+		found, trace, err = f.search(ctx, p)
 	}
 	if found == nil {
 		if errors.Is(err, shares.ErrNone) || errors.Is(err, shares.ErrNotFound) {
 			err = errors.Join(showConflict(cmd.OutOrStdout(), file, p, f.exact, f.steps, f.output), err)
 		}
-		return short{err}
+		return negativeResult{err}
 	}
-	if err = errors.Join(showAnswer(cmd.OutOrStdout(), p, found, left, f.output), err); err != nil {
-		return short{err}
+	if err = errors.Join(showAnswer(cmd.OutOrStdout(), p, found, leftOut, f.output), err); err != nil {
+		return negativeResult{err}
 	}
 	if f.chart != "" {
-		if err := drawCharts(f.chart, p, found, gap); err != nil {
+		if err := drawCharts(f.chart, p, found, trace); err != nil {
 			return err
 		}
 	}
@@ -188,35 +188,35 @@
 }
 
 // trail is how a search went on: seconds, and the value then.
-type trail struct {
-	at    []float64
-	value []shares.Value
+type searchTrace struct {
+	seconds []float64
+	values  []shares.Value
 }
 
-const portion = 500 // steps between two looks at the clock
+const clockCheckSteps = 500 // steps between two looks at the clock
 
 // search runs a search until its steps are used up or ctx ends, telling how it goes.
-func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.Found, trail, error) {
-	began := time.Now()
-	var t trail
-	s, err := shares.NewSolver(p, f.seed)
+func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.Found, searchTrace, error) {
+	start := time.Now()
+	var trace searchTrace
+	solver, err := shares.NewSolver(p, f.seed)
 	if err != nil {
-		return nil, t, err
+		return nil, trace, err
 	}
-	show := newProgress(os.Stderr)
-	defer show.clear()
+	status := newProgress(os.Stderr)
+	defer status.clear()
 	for done := 0; ; {
-		t.at, t.value = append(t.at, time.Since(began).Seconds()), append(t.value, s.Value())
-		show.say("%d of %d steps, value %v", done, f.steps, t.value[len(t.value)-1])
-		n := min(portion, f.steps-done)
+		trace.seconds, trace.values = append(trace.seconds, time.Since(start).Seconds()), append(trace.values, solver.Value())
+		status.update("%d of %d steps, value %v", done, f.steps, trace.values[len(trace.values)-1])
+		n := min(clockCheckSteps, f.steps-done)
 		if n <= 0 || ctx.Err() != nil {
 			break
 		}
-		s.Step(n)
+		solver.Step(n)
 		done += n
 	}
-	found, err := s.Found()
-	return found, t, err
+	found, err := solver.Found()
+	return found, trace, err
 }
 
 func sharesEvaluate() *cobra.Command {
@@ -239,7 +239,7 @@
 			}
 			a, err := shares.Evaluate(p, placement)
 			if errors.As(err, new(*shares.Infeasible)) {
-				return short{err}
+				return negativeResult{err}
 			}
 			if err != nil {
 				return err
@@ -265,13 +265,13 @@
 	if err != nil {
 		return fmt.Errorf("shares: %w", err)
 	}
-	type named struct {
+	type locatedConstraint struct {
 		shares.Constraint
 		Line int `json:"line"`
 	}
-	list := []named{}
+	list := []locatedConstraint{}
 	for _, c := range conflict {
-		list = append(list, named{c, lineOf(string(text), c)})
+		list = append(list, locatedConstraint{c, constraintLine(string(text), c)})
 	}
 	if output == "json" {
 		return printJSON(w, map[string]any{"feasible": false, "conflict": list})
@@ -287,51 +287,51 @@
 
 // lineOf is the line of a file on which a constraint stands: that of its key in the
 // table that it belongs to, or of the table's head if the key is not written there.
-func lineOf(text string, c shares.Constraint) int {
-	number, head, table := 0, 0, -1
+func constraintLine(text string, c shares.Constraint) int {
+	lineNumber, headLine, table := 0, 0, -1
 	for line := range strings.Lines(text) {
-		number++
+		lineNumber++
 		key, _, _ := strings.Cut(strings.TrimSpace(line), "=")
 		switch key = strings.TrimSpace(key); {
 		case strings.HasPrefix(key, "[["+c.Table+"]]"):
 			if table++; table == c.Index {
-				head = number
+				headLine = lineNumber
 			}
 		case strings.HasPrefix(key, "["):
-			if head > 0 {
-				return head
+			if headLine > 0 {
+				return headLine
 			}
-		case table == c.Index && head > 0 && key == c.Kind:
-			return number
+		case table == c.Index && headLine > 0 && key == c.Kind:
+			return lineNumber
 		}
 		if table > c.Index {
 			break
 		}
 	}
-	return head
+	return headLine
 }
 
 // showAnswer prints an answer with its bound, and what was left out.
-func showAnswer(w io.Writer, p *shares.Problem, a *shares.Found, left []string, output string) error {
+func showAnswer(w io.Writer, p *shares.Problem, found *shares.Found, leftOut []string, output string) error {
 	if output == "json" {
 		byVolume := map[string]map[string]int64{}
-		for _, x := range a.Parts {
+		for _, x := range found.Parts {
 			if byVolume[x.Volume] == nil {
 				byVolume[x.Volume] = map[string]int64{}
 			}
 			byVolume[x.Volume][x.Node] = x.Share
 		}
-		out := map[string]any{"value": a.Value, "bound": a.Bound, "placement": a.Placement, "shares": byVolume,
-			"feasible": len(left) == 0, "moves": a.Moves}
-		if len(left) > 0 {
-			out["left_out"] = left
+		out := map[string]any{"value": found.Value, "bound": found.Bound, "placement": found.Placement, "shares": byVolume,
+			"feasible": len(leftOut) == 0, "moves": found.Moves}
+		if len(leftOut) > 0 {
+			out["left_out"] = leftOut
 		}
 		return printJSON(w, out)
 	}
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "volume\tnode\tdemand\tshare\tspare\tunmet")
 	load := map[string]int64{}
-	for _, x := range a.Parts {
+	for _, x := range found.Parts {
 		fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%d\n", x.Volume, x.Node, x.Demand, x.Share, x.Spare, x.Demand-x.Share-x.Spare)
 		load[x.Node] += x.Share + x.Spare
 	}
@@ -342,14 +342,14 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\n", n.ID, n.Capacity, load[n.ID])
 	}
 	t.Flush()
-	if len(left) > 0 {
-		fmt.Fprintf(w, "\nleft out, since not all can be met: %s\n", strings.Join(left, ", "))
+	if len(leftOut) > 0 {
+		fmt.Fprintf(w, "\nleft out, since not all can be met: %s\n", strings.Join(leftOut, ", "))
 	}
-	proven := fmt.Sprintf(", none is above %v (%s)", a.Bound, gapText(a.Value, a.Bound))
-	if a.Bound == a.Value {
-		proven = ", the highest there is"
+	boundNote := fmt.Sprintf(", none is above %v (%s)", found.Bound, gapText(found.Value, found.Bound))
+	if found.Bound == found.Value {
+		boundNote = ", the highest there is"
 	}
-	_, err := fmt.Fprintf(w, "\nvalue %v%s; %d moves\n", a.Value, proven, a.Moves)
+	_, err := fmt.Fprintf(w, "\nvalue %v%s; %d moves\n", found.Value, boundNote, found.Moves)
 	return err
 }
 
--- a/cmd/eiderhold/shares_gather.go
+++ b/cmd/eiderhold/shares_gather.go
@@ -35,27 +35,27 @@
 			if err := checkOutput(output); err != nil {
 				return err
 			}
-			var all *forecast.Record
+			var merged *forecast.Record
 			for _, file := range args {
 				b, err := os.ReadFile(file)
 				if err != nil {
 					return fmt.Errorf("shares: %w", err)
 				}
 				r, err := forecast.ReadRecord(b)
-				if err == nil && all != nil {
-					r, err = forecast.Merge(all, r)
+				if err == nil && merged != nil {
+					r, err = forecast.Merge(merged, r)
 				}
 				if err != nil {
 					return fmt.Errorf("%s: %w", file, err)
 				}
-				all = r
+				merged = r
 			}
-			demands, err := forecast.Demands(all, quantile, halfLife)
+			demands, err := forecast.Demands(merged, quantile, halfLife)
 			if err != nil {
 				return err
 			}
 			if keep != "" {
-				b, err := all.Encode()
+				b, err := merged.Encode()
 				if err == nil {
 					err = renameio.WriteFile(keep, b, 0o644)
 				}
@@ -64,7 +64,7 @@
 				}
 			}
 			if into != "" {
-				if err := planFor(into, demands); err != nil {
+				if err := writeDemands(into, demands); err != nil {
 					return err
 				}
 			}
@@ -90,7 +90,7 @@
 }
 
 // planFor writes demands into a problem's file, whole or not at all. Comments are lost.
-func planFor(file string, demands map[string]forecast.Demand) error {
+func writeDemands(file string, demands map[string]forecast.Demand) error {
 	p, err := loadProblem(file)
 	if err != nil {
 		return err
--- a/cmd/eiderhold/shares_solution.go
+++ b/cmd/eiderhold/shares_solution.go
@@ -99,7 +99,7 @@
 }
 
 func sharesResolve() *cobra.Command {
-	var now, output, chartDir string
+	var nowFile, output, chartDir string
 	var lost, drain []string
 	var moves, steps, perNode int
 	var seed uint64
@@ -120,8 +120,8 @@
 			if err != nil {
 				return err
 			}
-			if now != "" {
-				placement, err := readPlacement(now)
+			if nowFile != "" {
+				placement, err := readPlacement(nowFile)
 				if err != nil {
 					return err
 				}
@@ -136,13 +136,13 @@
 			}
 			found, plan, err := shares.Migrate(p, shares.Again{Seed: seed, Steps: steps, MostMoves: moves}, perNode)
 			if err != nil {
-				return short{err}
+				return negativeResult{err}
 			}
 			if err := showSchedule(cmd, p, found, plan, output); err != nil {
 				return err
 			}
 			if chartDir != "" {
-				if err := drawCharts(chartDir, p, found, trail{}); err != nil {
+				if err := drawCharts(chartDir, p, found, searchTrace{}); err != nil {
 					return err
 				}
 			}
@@ -150,12 +150,12 @@
 				return err
 			}
 			if n := len(plan.Stuck); n > 0 {
-				return short{fmt.Errorf("for %d moves there is no order in which no node is asked for too much: add a node with room, or allow others with --moves", n)}
+				return negativeResult{fmt.Errorf("for %d moves there is no order in which no node is asked for too much: add a node with room, or allow others with --moves", n)}
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&now, "now", "", "where volumes are: a solution, or an answer as JSON; empty: as the file says")
+	c.Flags().StringVar(&nowFile, "now", "", "where volumes are: a solution, or an answer as JSON; empty: as the file says")
 	c.Flags().StringSliceVar(&lost, "lost", nil, "nodes that are gone")
 	c.Flags().StringSliceVar(&drain, "drain", nil, "nodes that are to be left")
 	c.Flags().IntVar(&moves, "moves", -1, "most nodes that volumes may newly be placed on; -1: any number")
@@ -178,7 +178,7 @@
 	return false
 }
 
-const wavesShown = 20 // moves of a wave
+const maxWaveMovesShown = 20 // moves of a wave
 
 func showSchedule(cmd *cobra.Command, p *shares.Problem, found *shares.Found, plan *shares.Schedule, output string) error {
 	w := cmd.OutOrStdout()
@@ -189,7 +189,7 @@
 	for i, wave := range plan.Waves {
 		fmt.Fprintf(w, "wave %d: %d moves\n", i+1, len(wave))
 		for k, m := range wave {
-			if k == wavesShown {
+			if k == maxWaveMovesShown {
 				fmt.Fprintf(w, "  ... and %d more\n", len(wave)-k)
 				break
 			}
@@ -216,7 +216,7 @@
 }
 
 func sharesExplain() *cobra.Command {
-	var now, output string
+	var answerFile, output string
 	c := &cobra.Command{
 		Use:   "explain FILE.toml VOLUME --answer FILE",
 		Short: "Tell why a volume is where it is, and what any other node would cost",
@@ -231,13 +231,13 @@
 			if err != nil {
 				return err
 			}
-			placement, err := readPlacement(now)
+			placement, err := readPlacement(answerFile)
 			if err != nil {
 				return err
 			}
 			e, err := shares.Explain(p, placement, args[1])
 			if err != nil {
-				return short{err}
+				return negativeResult{err}
 			}
 			if output == "json" {
 				return printJSON(cmd.OutOrStdout(), e)
@@ -261,7 +261,7 @@
 			return t.Flush()
 		},
 	}
-	c.Flags().StringVar(&now, "answer", "", "the placement: a solution, or an answer as JSON (required)")
+	c.Flags().StringVar(&answerFile, "answer", "", "the placement: a solution, or an answer as JSON (required)")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	_ = c.MarkFlagRequired("answer")
 	return c
@@ -328,64 +328,64 @@
 
 // drawCharts writes load by node before and after, worth by plan and, of a search, the gap
 // over time.
-func drawCharts(dir string, p *shares.Problem, found *shares.Found, t trail) error {
+func drawCharts(dir string, p *shares.Problem, found *shares.Found, trace searchTrace) error {
 	nodes := append([]shares.Node(nil), p.Nodes...)
 	sort.Slice(nodes, func(i, j int) bool { return nodes[i].ID < nodes[j].ID })
-	at := map[string]int{}
+	nodeIndex := map[string]int{}
 	names := make([]string, len(nodes))
 	for i, n := range nodes {
-		at[n.ID], names[i] = i, n.ID
+		nodeIndex[n.ID], names[i] = i, n.ID
 	}
 	usable, before, after := make([]float64, len(nodes)), make([]float64, len(nodes)), make([]float64, len(nodes))
 	for i, n := range nodes {
 		usable[i] = float64(n.Capacity*p.ShareOfCapacity.Num/p.ShareOfCapacity.Den) / 1000
 	}
-	anywhere := false
+	placed := false
 	for _, v := range p.Volumes {
 		for _, n := range v.On {
-			if i, ok := at[n]; ok {
+			if i, ok := nodeIndex[n]; ok {
 				before[i] += float64(v.Demand) / float64(len(v.On)) / 1000
-				anywhere = true
+				placed = true
 			}
 		}
 	}
 	type worth struct{ asked, share, spare float64 }
-	plans, plan := map[string]*worth{}, map[string]string{}
+	worthByPlan, planOf := map[string]*worth{}, map[string]string{}
 	price := map[string]float64{}
 	for _, x := range p.Plans {
-		price[x.Name], plans[x.Name] = float64(x.Price)/1e6, &worth{}
+		price[x.Name], worthByPlan[x.Name] = float64(x.Price)/1e6, &worth{}
 	}
 	for _, v := range p.Volumes {
-		plan[v.ID] = v.Plan
+		planOf[v.ID] = v.Plan
 	}
-	spare := float64(p.SpareWorth.Num) / float64(p.SpareWorth.Den)
+	spareWorth := float64(p.SpareWorth.Num) / float64(p.SpareWorth.Den)
 	for _, x := range found.Parts {
-		after[at[x.Node]] += float64(x.Demand) / 1000
-		w, each := plans[plan[x.Volume]], price[plan[x.Volume]]/1000
-		w.asked += float64(x.Demand) * each
-		w.share += float64(x.Share) * each
-		w.spare += float64(x.Spare) * each * spare
+		after[nodeIndex[x.Node]] += float64(x.Demand) / 1000
+		w, unitPrice := worthByPlan[planOf[x.Volume]], price[planOf[x.Volume]]/1000
+		w.asked += float64(x.Demand) * unitPrice
+		w.share += float64(x.Share) * unitPrice
+		w.spare += float64(x.Spare) * unitPrice * spareWorth
 	}
 	series := []chart.Series{{Name: "usable", Y: usable}, {Name: "asked for, after", Y: after}}
-	if anywhere {
+	if placed {
 		series = append(series[:1], chart.Series{Name: "before", Y: before}, series[1])
 	}
 	errs := []error{chart.Bars(filepath.Join(dir, "load.svg"), "Load by node", "units a second", names, series...)}
-	var asked, share, rest []float64
+	var asked, share, spare []float64
 	names = nil
 	for _, x := range p.Plans {
 		names = append(names, x.Name)
-		asked, share, rest = append(asked, plans[x.Name].asked), append(share, plans[x.Name].share), append(rest, plans[x.Name].spare)
+		asked, share, spare = append(asked, worthByPlan[x.Name].asked), append(share, worthByPlan[x.Name].share), append(spare, worthByPlan[x.Name].spare)
 	}
 	errs = append(errs, chart.Bars(filepath.Join(dir, "worth.svg"), "Worth by plan", "worth a second", names,
-		chart.Series{Name: "asked for", Y: asked}, chart.Series{Name: "share", Y: share}, chart.Series{Name: "spare", Y: rest}))
-	if len(t.at) > 1 {
-		gap := make([]float64, len(t.at))
-		for i, v := range t.value {
+		chart.Series{Name: "asked for", Y: asked}, chart.Series{Name: "share", Y: share}, chart.Series{Name: "spare", Y: spare}))
+	if len(trace.seconds) > 1 {
+		gap := make([]float64, len(trace.seconds))
+		for i, v := range trace.values {
 			gap[i] = math.Max(0, 100*gapOf(v, found.Bound))
 		}
 		errs = append(errs, chart.Lines(filepath.Join(dir, "gap.svg"), "Gap to the bound", "seconds", "percent",
-			chart.Series{Name: "gap", X: t.at, Y: gap}))
+			chart.Series{Name: "gap", X: trace.seconds, Y: gap}))
 	}
 	return errors.Join(errs...)
 }
--- a/cmd/eiderhold/shares_test.go
+++ b/cmd/eiderhold/shares_test.go
@@ -19,28 +19,28 @@
 // TestSharesCommands solves a file, values the answer, and refuses what cannot be.
 func TestSharesCommands(t *testing.T) {
 	const file = "../../testdata/shares/small.toml"
-	if out, status := program(t, "shares", "check", file); status != exitDone || !strings.Contains(out, "4 volumes, 3 nodes") {
+	if out, status := runProgram(t, "shares", "check", file); status != exitOK || !strings.Contains(out, "4 volumes, 3 nodes") {
 		t.Fatalf("check: %d %s", status, out)
 	}
-	solved, status := program(t, "shares", "solve", file, "--exact", "--output", "json")
+	solved, status := runProgram(t, "shares", "solve", file, "--exact", "--output", "json")
 	var a, b struct {
 		Value, Bound json.Number
 		Placement    map[string][]string
 		Shares       map[string]map[string]int64
 		Feasible     bool
 	}
-	if err := json.Unmarshal([]byte(solved), &a); err != nil || status != exitDone || !a.Feasible || a.Value != a.Bound || len(a.Placement) != 4 {
+	if err := json.Unmarshal([]byte(solved), &a); err != nil || status != exitOK || !a.Feasible || a.Value != a.Bound || len(a.Placement) != 4 {
 		t.Fatalf("solve: %d, %v: %s", status, err, solved)
 	}
 	answer := filepath.Join(t.TempDir(), "answer.json")
 	if err := os.WriteFile(answer, []byte(solved), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	valued, status := program(t, "shares", "evaluate", file, answer, "--output", "json")
-	if err := json.Unmarshal([]byte(valued), &b); err != nil || status != exitDone || b.Value != a.Value {
+	valued, status := runProgram(t, "shares", "evaluate", file, answer, "--output", "json")
+	if err := json.Unmarshal([]byte(valued), &b); err != nil || status != exitOK || b.Value != a.Value {
 		t.Errorf("evaluate: %d, %v: %s", status, err, valued)
 	}
-	if out, status := program(t, "shares", "solve", file, "--exact"); status != exitDone || !strings.Contains(out, "value "+a.Value.String()+", the highest there is") {
+	if out, status := runProgram(t, "shares", "solve", file, "--exact"); status != exitOK || !strings.Contains(out, "value "+a.Value.String()+", the highest there is") {
 		t.Errorf("as text: %d %s", status, out)
 	}
 	text, err := os.ReadFile(file)
@@ -51,7 +51,7 @@
 	if err := os.WriteFile(changed, []byte(strings.Replace(string(text), `forbid = ["n1"]`, `require = ["n1", "n2"]`, 1)), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	conflict, status := program(t, "shares", "solve", changed, "--exact", "--output", "json")
+	conflict, status := runProgram(t, "shares", "solve", changed, "--exact", "--output", "json")
 	var none struct {
 		Feasible bool
 		Conflict []struct {
@@ -59,7 +59,7 @@
 			Line       int
 		}
 	}
-	if err := json.NewDecoder(strings.NewReader(conflict)).Decode(&none); err != nil || status != exitShort || none.Feasible || len(none.Conflict) != 3 {
+	if err := json.NewDecoder(strings.NewReader(conflict)).Decode(&none); err != nil || status != exitNegative || none.Feasible || len(none.Conflict) != 3 {
 		t.Errorf("conflict: %d, %v: %s", status, err, conflict)
 	}
 	lines := strings.Split(string(text), "\n")
@@ -74,19 +74,19 @@
 		status   int
 		want     string
 	}{
-		{`forbid = ["n1"]`, `require = ["n1", "n2"]`, []string{"--exact"}, exitShort, "no placement meets"},
-		{`spread = 2`, `spread = 2`, []string{"--exact", "--steps", "2"}, exitShort, "did not end within its steps"},
-		{`spread = 2`, `spred = 2`, []string{"--exact"}, exitNot, "spred"},
-		{`"9/10"`, `"0.9"`, []string{"--exact"}, exitNot, "write it like 9/10"},
-		{`state = "ready"`, `state = "asleep"`, []string{"--exact"}, exitNot, "ready, draining or gone"},
-		{`forbid = ["n1"]`, `require = ["n1", "n2"]`, nil, exitShort, "no placement was found"},
-		{`spread = 2`, `spread = 2`, []string{"--steps", "-1"}, exitNot, "0 or more"},
-		{`spread = 2`, `spread = 2`, []string{"--steps", "5000"}, exitDone, "none is above"},
+		{`forbid = ["n1"]`, `require = ["n1", "n2"]`, []string{"--exact"}, exitNegative, "no placement meets"},
+		{`spread = 2`, `spread = 2`, []string{"--exact", "--steps", "2"}, exitNegative, "did not end within its steps"},
+		{`spread = 2`, `spred = 2`, []string{"--exact"}, exitError, "spred"},
+		{`"9/10"`, `"0.9"`, []string{"--exact"}, exitError, "write it like 9/10"},
+		{`state = "ready"`, `state = "asleep"`, []string{"--exact"}, exitError, "ready, draining or gone"},
+		{`forbid = ["n1"]`, `require = ["n1", "n2"]`, nil, exitNegative, "no placement was found"},
+		{`spread = 2`, `spread = 2`, []string{"--steps", "-1"}, exitError, "0 or more"},
+		{`spread = 2`, `spread = 2`, []string{"--steps", "5000"}, exitOK, "none is above"},
 	} {
 		if err := os.WriteFile(changed, []byte(strings.Replace(string(text), c.from, c.to, 1)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		out, status := program(t, append([]string{"shares", "solve", changed}, c.args...)...)
+		out, status := runProgram(t, append([]string{"shares", "solve", changed}, c.args...)...)
 		if status != c.status || !strings.Contains(out, c.want) {
 			t.Errorf("%s %v: status %d, want %d and %q: %s", c.to, c.args, status, c.status, c.want, out)
 		}
@@ -94,49 +94,49 @@
 	if err := os.WriteFile(answer, []byte(`{"placement": {"v1": ["n1", "n1"]}}`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, status := program(t, "shares", "evaluate", file, answer); status != exitShort || !strings.Contains(out, "infeasible: volume") {
+	if out, status := runProgram(t, "shares", "evaluate", file, answer); status != exitNegative || !strings.Contains(out, "infeasible: volume") {
 		t.Errorf("a placement that cannot be: %d %s", status, out)
 	}
 }
 
 // TestSharesOverTime draws a fleet, solves and saves it, loses a node, works it out anew, and
 // compares, explains and relaxes; each with its exit status.
-func TestSharesOverTime(t *testing.T) {
+func TestSharesAfterNodeLoss(t *testing.T) {
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
 	want := func(status int, text string, args ...string) string {
 		t.Helper()
-		out, got := program(t, append([]string{"shares"}, args...)...)
+		out, got := runProgram(t, append([]string{"shares"}, args...)...)
 		if got != status || !strings.Contains(out, text) {
 			t.Fatalf("%v: status %d, want %d and %q: %s", args, got, status, text, out)
 		}
 		return out
 	}
-	drawn := want(exitDone, "[[volumes]]", "generate", "--volumes", "30", "--nodes", "6", "--zones", "2", "--load", "0.6")
-	if drawn != want(exitDone, "", "generate", "--volumes", "30", "--nodes", "6", "--zones", "2", "--load", "0.6") {
+	drawn := want(exitOK, "[[volumes]]", "generate", "--volumes", "30", "--nodes", "6", "--zones", "2", "--load", "0.6")
+	if drawn != want(exitOK, "", "generate", "--volumes", "30", "--nodes", "6", "--zones", "2", "--load", "0.6") {
 		t.Error("the same flags draw another problem")
 	}
 	if err := os.WriteFile(in("fleet.toml"), []byte(drawn), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	want(exitDone, "30 volumes, 6 nodes, inputs ", "check", in("fleet.toml"))
-	want(exitDone, "version 1", "solve", in("fleet.toml"), "--steps", "2000", "--save", in("one"), "--chart", in("charts"))
+	want(exitOK, "30 volumes, 6 nodes, inputs ", "check", in("fleet.toml"))
+	want(exitOK, "version 1", "solve", in("fleet.toml"), "--steps", "2000", "--save", in("one"), "--chart", in("charts"))
 	for _, name := range []string{"load", "worth", "gap"} {
 		b, err := os.ReadFile(in("charts/" + name + ".svg"))
 		if err != nil || !strings.Contains(string(b), "<svg") || !strings.Contains(string(b), "</svg>") {
 			t.Errorf("chart %s: %d bytes, %v", name, len(b), err)
 		}
 	}
-	want(exitDone, "version 2", "resolve", in("fleet.toml"), "--now", in("one"), "--lost", "n3", "--version", "2", "--save", in("two"))
-	want(exitDone, "nodes removed: n3", "diff", in("one"), in("two"))
-	want(exitDone, "0 volumes differ, 0 moves", "diff", in("one"), in("one"))
-	want(exitShort, "moves are needed", "resolve", in("fleet.toml"), "--now", in("one"), "--lost", "n3", "--moves", "0")
-	want(exitNot, `no node "n77"`, "resolve", in("fleet.toml"), "--now", in("one"), "--lost", "n77")
-	want(exitDone, "it is there", "explain", in("fleet.toml"), "v07", "--answer", in("one"))
-	want(exitShort, `no volume "v99"`, "explain", in("fleet.toml"), "v99", "--answer", in("one"))
-	want(exitDone, "value ", "solve", in("fleet.toml"), "--plain", "greedy")
-	want(exitNot, "greedy or hashing", "solve", in("fleet.toml"), "--plain", "random")
-	want(exitDone, "value ", "solve", in("fleet.toml"), "--steps", "1000000000", "--within", "50ms")
+	want(exitOK, "version 2", "resolve", in("fleet.toml"), "--now", in("one"), "--lost", "n3", "--version", "2", "--save", in("two"))
+	want(exitOK, "nodes removed: n3", "diff", in("one"), in("two"))
+	want(exitOK, "0 volumes differ, 0 moves", "diff", in("one"), in("one"))
+	want(exitNegative, "moves are needed", "resolve", in("fleet.toml"), "--now", in("one"), "--lost", "n3", "--moves", "0")
+	want(exitError, `no node "n77"`, "resolve", in("fleet.toml"), "--now", in("one"), "--lost", "n77")
+	want(exitOK, "it is there", "explain", in("fleet.toml"), "v07", "--answer", in("one"))
+	want(exitNegative, `no volume "v99"`, "explain", in("fleet.toml"), "v99", "--answer", in("one"))
+	want(exitOK, "value ", "solve", in("fleet.toml"), "--plain", "greedy")
+	want(exitError, "greedy or hashing", "solve", in("fleet.toml"), "--plain", "random")
+	want(exitOK, "value ", "solve", in("fleet.toml"), "--steps", "1000000000", "--within", "50ms")
 	b, err := os.ReadFile(in("one"))
 	if err != nil {
 		t.Fatal(err)
@@ -144,14 +144,14 @@
 	if err := os.WriteFile(in("cut"), b[:len(b)/2], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	want(exitNot, "it was cut", "diff", in("one"), in("cut"))
-	want(exitNot, "name a --version", "solve", in("fleet.toml"), "--steps", "10", "--save", in("cut"))
+	want(exitError, "it was cut", "diff", in("one"), in("cut"))
+	want(exitError, "name a --version", "solve", in("fleet.toml"), "--steps", "10", "--save", in("cut"))
 	tight := strings.ReplaceAll(drawn, "most_volumes = 0", "most_volumes = 1")
 	if err := os.WriteFile(in("tight.toml"), []byte(tight), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	want(exitShort, "no placement was found", "solve", in("tight.toml"), "--steps", "10")
-	want(exitDone, "left out, since not all can be met: ", "solve", in("tight.toml"), "--steps", "10", "--relax")
+	want(exitNegative, "no placement was found", "solve", in("tight.toml"), "--steps", "10")
+	want(exitOK, "left out, since not all can be met: ", "solve", in("tight.toml"), "--steps", "10", "--relax")
 }
 
 // TestSharesGather merges what two gateways saw and plans for it.
@@ -183,9 +183,9 @@
 	if err := os.WriteFile(fleet, small, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	out, status := program(t, append([]string{"shares", "gather", "--output", "json", "--into", fleet}, files...)...)
+	out, status := runProgram(t, append([]string{"shares", "gather", "--output", "json", "--into", fleet}, files...)...)
 	var demands map[string]forecast.Demand
-	if err := json.Unmarshal([]byte(out), &demands); err != nil || status != exitDone || demands["v1"].Gateways != 2 {
+	if err := json.Unmarshal([]byte(out), &demands); err != nil || status != exitOK || demands["v1"].Gateways != 2 {
 		t.Fatalf("%d %v %s", status, err, out)
 	}
 	p, err := loadProblem(fleet)
@@ -200,7 +200,7 @@
 	if err := os.WriteFile(files[0], []byte("eiderhold-forecast 1 5 00\nabc"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, status := program(t, "shares", "gather", files[0]); status != exitNot || !strings.Contains(out, "it was cut") {
+	if out, status := runProgram(t, "shares", "gather", files[0]); status != exitError || !strings.Contains(out, "it was cut") {
 		t.Errorf("%d %s", status, out)
 	}
 }
@@ -208,9 +208,9 @@
 // TestSharesInterrupted: Ctrl-C ends a search that would go on for hours with its best so
 // far, and an exact one with what it has and status 1.
 func TestSharesInterrupted(t *testing.T) {
-	drawn, status := program(t, "shares", "generate", "--volumes", "60", "--nodes", "12", "--spread", "3", "--load", "1.2")
+	drawn, status := runProgram(t, "shares", "generate", "--volumes", "60", "--nodes", "12", "--spread", "3", "--load", "1.2")
 	fleet := filepath.Join(t.TempDir(), "fleet.toml")
-	if err := os.WriteFile(fleet, []byte(drawn), 0o644); err != nil || status != exitDone {
+	if err := os.WriteFile(fleet, []byte(drawn), 0o644); err != nil || status != exitOK {
 		t.Fatal(err, status)
 	}
 	for _, c := range []struct {
@@ -218,11 +218,11 @@
 		status int
 		want   string
 	}{
-		{[]string{"--steps", "2000000000"}, exitDone, "value "},
-		{[]string{"--exact"}, exitShort, "did not end within its steps"},
+		{[]string{"--steps", "2000000000"}, exitOK, "value "},
+		{[]string{"--exact"}, exitNegative, "did not end within its steps"},
 	} {
 		cmd := exec.Command(os.Args[0], append([]string{"shares", "solve", fleet}, c.args...)...)
-		cmd.Env = append(os.Environ(), asProgram+"=1")
+		cmd.Env = append(os.Environ(), runMainEnv+"=1")
 		var out bytes.Buffer
 		cmd.Stdout, cmd.Stderr = &out, &out
 		if err := cmd.Start(); err != nil {
--- a/cmd/eiderhold/space.go
+++ b/cmd/eiderhold/space.go
@@ -21,16 +21,16 @@
 )
 
 // folder is a gateway's folder, by its settings or its name.
-type folder struct{ file, dir string }
+type gatewayFolder struct{ file, dir string }
 
-func (f *folder) add(c *cobra.Command) {
+func (f *gatewayFolder) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.file, "config", "", "settings file of the gateway")
 	c.Flags().StringVar(&f.dir, "dir", "", "its folder (gateway.dir)")
 	c.MarkFlagsOneRequired("config", "dir")
 	c.MarkFlagsMutuallyExclusive("config", "dir")
 }
 
-func (f *folder) find() (string, error) {
+func (f *gatewayFolder) path() (string, error) {
 	if f.dir != "" {
 		return f.dir, nil
 	}
@@ -42,7 +42,7 @@
 }
 
 func spaceCommand() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var output string
 	c := &cobra.Command{
 		Use:   "space (--config FILE | --dir DIR)",
@@ -53,7 +53,7 @@
 		Example: "  eiderhold space --config gateway.toml\n  eiderhold space --dir eiderhold-data --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
@@ -71,18 +71,18 @@
 			return printSpace(cmd.OutOrStdout(), s, time.Now())
 		},
 	}
-	at.add(c)
+	target.add(c)
 	c.Flags().StringVar(&output, "output", "text", "text or json; in JSON bytes are numbers")
 	c.AddCommand(spacePlan(), spaceRebalance(), spaceMoves(), spaceUndo())
 	return c
 }
 
 // open checks how a command is to print and finds its folder.
-func (f *folder) open(output string) (string, error) {
+func (f *gatewayFolder) checkedPath(output string) (string, error) {
 	if err := checkOutput(output); err != nil {
 		return "", err
 	}
-	return f.find()
+	return f.path()
 }
 
 // planFlags are the settings of a plan on the command line.
@@ -109,7 +109,7 @@
 }
 
 func spacePlan() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var flags planFlags
 	var output, file string
 	c := &cobra.Command{
@@ -122,7 +122,7 @@
 		Example: "  eiderhold space plan --dir eiderhold-data --least 0.1 --rate 32MiB --chart plan.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
@@ -144,7 +144,7 @@
 			return printPlan(cmd.OutOrStdout(), p)
 		},
 	}
-	at.add(c)
+	target.add(c)
 	flags.add(c)
 	c.Flags().StringVar(&file, "chart", "", "file for a chart (SVG) of what shards hold before and after")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
@@ -162,7 +162,7 @@
 	return chart.Bars(file, "Shards before and after", "percent used", names, before, after)
 }
 
-const movesShown = 20 // of a plan, as text
+const maxPlanMovesShown = 20 // of a plan, as text
 
 // printPlan writes what moves, and what it comes to.
 func printPlan(w io.Writer, p *rebalance.Plan) error {
@@ -177,7 +177,7 @@
 	shown := 0
 	for i, wave := range p.Waves {
 		for _, m := range wave {
-			if shown++; shown <= movesShown {
+			if shown++; shown <= maxPlanMovesShown {
 				x := &p.Moves[m]
 				fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\t%d\t%d\n", i+1, x.Volume, x.Base, x.Parts, humanize.IBytes(uint64(x.Bytes)), x.Shard, x.To)
 			}
@@ -186,8 +186,8 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if shown > movesShown {
-		fmt.Fprintf(w, "... and %d more (--output json has all)\n", shown-movesShown)
+	if shown > maxPlanMovesShown {
+		fmt.Fprintf(w, "... and %d more (--output json has all)\n", shown-maxPlanMovesShown)
 	}
 	fmt.Fprintf(w, "\n%d moves in %d waves, %s, about %v at the rate; it ends there since %s\n", len(p.Moves), len(p.Waves),
 		humanize.IBytes(uint64(p.Bytes)), p.Takes.Round(time.Second), p.Why)
@@ -209,27 +209,27 @@
 		now.Sub(s.At).Round(time.Second), 100*s.High, 100*s.Low)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "shard\tnodes\tzone\tused\tof\tpart\tstate\treport's age")
-	var used, of, most int64
-	told, takes := 0, 0
+	var used, capacity, maxUsed int64
+	reporting, accepting := 0, 0
 	for _, x := range s.Shards {
-		of2 := "not told"
+		capacityText := "not told"
 		if x.Capacity > 0 {
-			of2 = size(x.Capacity)
-			used, of, told = used+x.Used, of+x.Capacity, told+1
-			most = max(most, x.Used)
+			capacityText = size(x.Capacity)
+			used, capacity, reporting = used+x.Used, capacity+x.Capacity, reporting+1
+			maxUsed = max(maxUsed, x.Used)
 		}
 		if x.State == gateway.StateTakes {
-			takes++
+			accepting++
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Shard, strings.Join(x.Nodes, " "), x.Zone, size(x.Used), of2,
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Shard, strings.Join(x.Nodes, " "), x.Zone, size(x.Used), capacityText,
 			part(x.Used, x.Capacity), x.State, x.Age)
 	}
-	fmt.Fprintf(t, "all\t%d of %d take new data\t\t%s\t%s\t%s\n", takes, len(s.Shards), size(used), size(of), part(used, of))
+	fmt.Fprintf(t, "all\t%d of %d take new data\t\t%s\t%s\t%s\n", accepting, len(s.Shards), size(used), size(capacity), part(used, capacity))
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if told > 0 && used > 0 {
-		fmt.Fprintf(w, "fullest over mean: %.2f\n", float64(most)*float64(told)/float64(used))
+	if reporting > 0 && used > 0 {
+		fmt.Fprintf(w, "fullest over mean: %.2f\n", float64(maxUsed)*float64(reporting)/float64(used))
 	}
 	t = tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "\nmodule\tfiles\tbytes\tquota\tpart")
--- a/cmd/eiderhold/standins.go
+++ b/cmd/eiderhold/standins.go
@@ -43,7 +43,7 @@
 			}
 			defer n.Close()
 			fmt.Fprintln(cmd.OutOrStdout(), n.Addr())
-			waitForEnd(cmd)
+			waitForSignal(cmd)
 			return nil
 		},
 	}
@@ -91,7 +91,7 @@
 				r.Set(e)
 			}
 			fmt.Fprintln(cmd.OutOrStdout(), r.URL())
-			waitForEnd(cmd)
+			waitForSignal(cmd)
 			return nil
 		},
 	}
@@ -101,7 +101,7 @@
 }
 
 // waitForEnd waits for a signal that ends the program.
-func waitForEnd(cmd *cobra.Command) {
+func waitForSignal(cmd *cobra.Command) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
--- a/internal/register/feed.go
+++ b/internal/register/feed.go
@@ -143,7 +143,7 @@
 	f.state.Store(&s)
 }
 
-// Subscribe asks for a connection, if there is none.
+// Subscribe requests a connection. Run reconnects on its own, and a request does not shorten its retry delay.
 func (f *Feed) Subscribe() {
 	select {
 	case f.wake <- struct{}{}:
