--- a/cmd/eiderhold/compare.go
+++ b/cmd/eiderhold/compare.go
@@ -13,7 +13,7 @@
 	"eiderhold/internal/rehearsal"
 )
 
-// spread is what a figure came to over several seeds.
+// seedFigures holds the values of one figure of a variant, one for each seed.
 type seedFigures struct {
 	Variant string    `json:"way"`
 	Figure  string    `json:"by"`
@@ -21,9 +21,9 @@
 	Median  float64   `json:"median"`
 }
 
-// compareDays plays variants of a day with several seeds, in turn with each, and prints what they
-// come to: the part of the worth due that was earned, in all and by plan, the part of transfers
-// that were refused, and how writes fell on shards.
+// compareDays plays all variants of a day with one seed after the other and prints, for each variant:
+// the part of the worth due that was earned, in total and by plan, the part of transfers that were
+// refused, and the distribution of writes over shards.
 func compareDays(ctx context.Context, w io.Writer, variants []rehearsal.Variant, repeat int, options rehearsal.Options, output string) error {
 	firstSeed, dayName := options.Seed, variants[0].Day.Name
 	if firstSeed == 0 {
@@ -59,7 +59,7 @@
 			s.Median = (s.Median + sorted[len(sorted)/2-1]) / 2
 		}
 	}
-	slices.SortStableFunc(order, func(a, b [2]string) int { // by figure; ways as they were named
+	slices.SortStableFunc(order, func(a, b [2]string) int { // by figure; variants in the order given
 		return slices.IndexFunc(order, func(k [2]string) bool { return k[0] == a[0] }) -
 			slices.IndexFunc(order, func(k [2]string) bool { return k[0] == b[0] })
 	})
@@ -81,12 +81,12 @@
 		t.Flush()
 	}
 	if breaches > 0 {
-		return negativeResult{fmt.Errorf("rules were broken at %d places: the folders in %s have the records", breaches, dir)}
+		return negativeResult{fmt.Errorf("rules were broken at %d places: the records are in the folders in %s", breaches, dir)}
 	}
 	return nil
 }
 
-// figures are those of one day that are compared.
+// addFigures calls add with each figure of a day's report that is compared.
 func addFigures(r *audit.Report, add func(by string, x float64)) {
 	add("service, "+r.Total.By, r.Total.Part())
 	for _, s := range r.Service {
--- a/cmd/eiderhold/dev.go
+++ b/cmd/eiderhold/dev.go
@@ -19,15 +19,15 @@
 	var nodes int
 	c := &cobra.Command{
 		Use:   "dev",
-		Short: "Run gateway, register and stand-in nodes in one process, to try things",
-		Long: `Run a gateway before stand-in nodes in one process, with a writable module "records".
-What is pushed is kept in the folder. Nothing else is needed.`,
+		Short: "Run a gateway, a stand-in register and stand-in nodes in one process, for trying things out",
+		Long: `Run a gateway with a stand-in register and stand-in nodes in one process. It has one writable module,
+"records", and keeps what is pushed in the folder of --dir. Nothing else has to run.`,
 		Example: "  eiderhold dev --listen 127.0.0.1:8730 --nodes 4 --dir /tmp/eider\n" +
 			"  rsync -av some/tree/ rsync://127.0.0.1:8730/records/",
 		Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if nodes < 1 || nodes > 1000 {
-				return fmt.Errorf("--nodes %d: 1 to 1000", nodes)
+				return fmt.Errorf("--nodes %d: expected 1 to 1000", nodes)
 			}
 			log, _, err := telemetry.Logger(os.Stderr, level)
 			if err != nil {
@@ -56,12 +56,12 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "rsync://%s/records/\n", g.Addr())
-			return runUntilSignal(cmd.Context(), g, cfg, log, func() error { return fmt.Errorf("dev has no settings file") })
+			return runUntilSignal(cmd.Context(), g, cfg, log, func() error { return fmt.Errorf("dev has no settings file to reload") })
 		},
 	}
-	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8730", "where the rsync front listens")
-	c.Flags().StringVar(&dir, "dir", "eiderhold-dev", "folder for what is pushed")
+	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8730", "HOST:PORT on which the rsync front listens")
+	c.Flags().StringVar(&dir, "dir", "eiderhold-dev", "folder for the data that is pushed")
 	c.Flags().StringVar(&level, "log-level", "info", "debug, info, warn or error")
-	c.Flags().IntVar(&nodes, "nodes", 4, "stand-in nodes")
+	c.Flags().IntVar(&nodes, "nodes", 4, "number of stand-in nodes")
 	return c
 }
--- a/cmd/eiderhold/live.go
+++ b/cmd/eiderhold/live.go
@@ -12,12 +12,12 @@
 func liveCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "live",
-		Short: "Run the platform's host: HTTP/1.1 in front and behind, all else off",
-		Long: `Run one host of the platform. BALANCER_CONFIG names its configuration; name, listening
-address and discovery's address may come from BALANCER_NAME, BALANCER_LISTEN and
-BALANCER_DISCOVERY instead. It needs no writable folder. SIGHUP reads the configuration
-again and follows discovery to its new address. After SIGTERM it goes on serving the
-connections there are for as long as answers come in time, then exits with 0.`,
+		Short: "Run a host of the platform: HTTP/1.1 to clients and nodes, nothing else",
+		Long: `Run one host of the platform. BALANCER_CONFIG names its configuration file. If the file has no
+name, listening address or address of discovery, BALANCER_NAME, BALANCER_LISTEN and
+BALANCER_DISCOVERY apply. It needs no writable folder. SIGHUP reads the configuration again and connects
+to discovery at its new address. After SIGTERM it serves its open connections for as long as
+answers come in time, then exits with status 0.`,
 		Example: "  BALANCER_CONFIG=/run/balancer/config.json eiderhold live",
 		Args:    cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
--- a/cmd/eiderhold/main.go
+++ b/cmd/eiderhold/main.go
@@ -1,6 +1,6 @@
-// Command eiderhold is a storage gateway: rsync clients in front, storage nodes
-// behind, and package control deciding every request in between. This folder only
-// wires; eiderhold --help lists what it can do.
+// Command eiderhold is a storage gateway: it serves rsync clients from storage nodes, and package
+// control decides on every request. This package parses command lines, connects the other
+// packages and prints results; eiderhold --help lists the commands.
 package main
 
 import (
@@ -12,25 +12,25 @@
 	"github.com/spf13/cobra"
 )
 
-// The exit statuses.
+// Exit statuses.
 const (
 	exitOK       = 0
-	exitNegative = 1 // it ran and fell short
-	exitError    = 2 // it could not run
+	exitNegative = 1 // the command ran with a negative result: a check failed, nothing was found
+	exitError    = 2 // the command could not run
 )
 
-// short marks an error of a command that ran and fell short.
+// negativeResult marks an error that exits with exitNegative.
 type negativeResult struct{ error }
 
 func (r negativeResult) Unwrap() error { return r.error }
 
 func main() { os.Exit(run(context.Background(), os.Args[1:])) }
 
-// run is the whole program.
+// run executes the command line and returns the exit status.
 func run(ctx context.Context, args []string) int {
 	root := &cobra.Command{
 		Use:           "eiderhold",
-		Short:         "A storage gateway: rsync in front, storage nodes behind, deadlines kept in between",
+		Short:         "A storage gateway that serves rsync clients from storage nodes and keeps deadlines",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
--- a/cmd/eiderhold/map.go
+++ b/cmd/eiderhold/map.go
@@ -17,22 +17,22 @@
 	"eiderhold/internal/mapfile"
 )
 
-// mapRuns is the ceiling of maps that commands read.
+// maxMapRuns is the largest number of runs in a map that commands read.
 const maxMapRuns = 1 << 28
 
 func mapCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "map",
-		Short: "Look into snapshots of the extent map",
-		Long: `Look into snapshots of the extent map: which shard, and which epoch of its node, holds each extent of
-a volume, as of a version of the map. The layout is in docs/format/mapfile.md.`,
+		Short: "Inspect snapshots of the extent map",
+		Long: `Inspect snapshots of the extent map. A snapshot records, for one version of the map, which shard and which
+epoch of its node hold each extent of a volume. The layout is in docs/format/mapfile.md.`,
 		Example: "  eiderhold map show map.snapshot\n  eiderhold map lookup map.snapshot records 1234",
 	}
 	c.AddCommand(mapShow(), mapLookup(), mapDiff(), mapVerify(), mapExport(), mapImport())
 	return c
 }
 
-// readMap reads a snapshot whole. Blocks that cannot be read are told on w, and left out.
+// readMap reads a snapshot. Damaged blocks are reported on w and left out.
 func readMap(w io.Writer, file string) (mapfile.Header, *extentmap.View, []mapfile.Damage, error) {
 	m, err := extentmap.New(maxMapRuns)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return h, m.View(), damaged, nil
 }
 
-// mapSums is what show prints.
+// mapSummary is the output of map show.
 type mapSummary struct {
 	mapfile.Header
 	Bytes   uint64           `json:"bytes"`
@@ -57,6 +57,7 @@
 	Damaged []mapfile.Damage `json:"damaged,omitempty"`
 }
 
+// mapCounts holds the counts of a volume, or of an epoch of a shard.
 type mapCounts struct {
 	Volume string `json:"volume,omitempty"`
 	Shard  *int32 `json:"shard,omitempty"`
@@ -68,7 +69,7 @@
 	var output string
 	c := &cobra.Command{
 		Use:     "show FILE",
-		Short:   "Show what a snapshot holds, by volume and by shard",
+		Short:   "Show the contents of a snapshot by volume and by shard",
 		Example: "  eiderhold map show map.snapshot --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -132,9 +133,9 @@
 	var output string
 	c := &cobra.Command{
 		Use:   "lookup FILE VOLUME EXTENT",
-		Short: "Say where an extent lies",
-		Long: `Say where an extent lies, and which of its neighbours lie there too.
-Exit status: 0 it is known, 1 it is not in the snapshot, 2 the snapshot could not be read.`,
+		Short: "Show where an extent is stored",
+		Long: `Show the shard and epoch that hold an extent, and the range of extents around it with the same location.
+Exit status: 0 the extent was found, 1 it is not in the snapshot, 2 the snapshot could not be read.`,
 		Example: "  eiderhold map lookup map.snapshot records 1234",
 		Args:    cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -143,7 +144,7 @@
 			}
 			extent, err := strconv.ParseUint(args[2], 10, 64)
 			if err != nil {
-				return fmt.Errorf("EXTENT %q: a number from 0 on", args[2])
+				return fmt.Errorf("EXTENT %q: expected a number from 0 on", args[2])
 			}
 			_, v, _, err := readMap(cmd.ErrOrStderr(), args[0])
 			if err != nil {
@@ -173,9 +174,10 @@
 	var maxRanges int
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
-		Short: "Show which extents lie elsewhere in another snapshot",
-		Long: `Show the ranges that two snapshots know differently: moved, known to one only, or on another epoch of their
-node. Exit status: 0 none differs, 1 some do, 2 a snapshot could not be read.`,
+		Short: "Show which extents have different locations in two snapshots",
+		Long: `Show the ranges that differ between two snapshots: those that were moved, are known to only one, or are on
+another epoch of their node.
+Exit status: 0 no range differs, 1 some ranges differ, 2 a snapshot could not be read.`,
 		Example: "  eiderhold map diff yesterday.snapshot today.snapshot --most 20",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -183,7 +185,7 @@
 				return err
 			}
 			if maxRanges < 1 {
-				return fmt.Errorf("--most %d: at least 1", maxRanges)
+				return fmt.Errorf("--most %d: expected at least 1", maxRanges)
 			}
 			_, oldMap, _, err := readMap(cmd.ErrOrStderr(), args[0])
 			if err != nil {
@@ -214,7 +216,7 @@
 			return err
 		},
 	}
-	c.Flags().IntVar(&maxRanges, "most", 100, "ranges to show")
+	c.Flags().IntVar(&maxRanges, "most", 100, "most ranges to show")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
@@ -245,9 +247,9 @@
 	return &cobra.Command{
 		Use:   "verify FILE",
 		Short: "Check every block of a snapshot",
-		Long: `Check the header and every block of a snapshot. A gateway that starts from a damaged one leaves out the damaged
-blocks and asks for their extents when they are wanted.
-Exit status: 0 whole, 1 blocks are damaged or runs missing, 2 it is no snapshot.`,
+		Long: `Check the header and every block of a snapshot. A gateway that starts from a damaged snapshot ignores the damaged
+blocks and requests their extents when they are needed.
+Exit status: 0 the snapshot is intact, 1 blocks are damaged or runs are missing, 2 the file is not a snapshot.`,
 		Example: "  eiderhold map verify map.snapshot",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -268,9 +270,9 @@
 func mapExport() *cobra.Command {
 	return &cobra.Command{
 		Use:   "export FILE OUT.parquet",
-		Short: "Write a snapshot as a columnar file (Parquet), a row a run",
-		Long: `Write a snapshot as a columnar file (Apache Parquet): volume, from, to (after the last extent), shard
-(-1: nowhere), epoch, version. Term and version of the whole are in its metadata.`,
+		Short: "Write a snapshot as a columnar file (Parquet) with one row for each run",
+		Long: `Write a snapshot as a columnar file (Apache Parquet) with the columns volume, from, to (one after the last
+extent), shard (-1: nowhere), epoch and version. The term and version of the map are in the file's metadata.`,
 		Example: "  eiderhold map export map.snapshot map.parquet",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -284,7 +286,7 @@
 			}
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: %d rows\n", args[1], rows)
 			if len(damaged) > 0 {
-				return negativeResult{fmt.Errorf("%s is damaged: the rows are not all", args[0])}
+				return negativeResult{fmt.Errorf("%s is damaged: the export is incomplete", args[0])}
 			}
 			return nil
 		},
@@ -294,7 +296,7 @@
 func mapImport() *cobra.Command {
 	return &cobra.Command{
 		Use:     "import IN.parquet FILE",
-		Short:   "Write a columnar file of map export as a snapshot",
+		Short:   "Write a file of map export as a snapshot",
 		Example: "  eiderhold map import map.parquet map.snapshot",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/eiderhold/moves.go
+++ b/cmd/eiderhold/moves.go
@@ -15,7 +15,7 @@
 	"eiderhold/mover"
 )
 
-// movesEvery is how often a command that waits looks.
+// movesPollInterval is the interval at which a waiting command polls the gateway.
 const movesPollInterval = 200 * time.Millisecond
 
 func spaceRebalance() *cobra.Command {
@@ -25,12 +25,13 @@
 	var detach bool
 	c := &cobra.Command{
 		Use:   "rebalance (--config FILE | --dir DIR)",
-		Short: "Move extents so that shards fill evenly, while they are served",
-		Long: `Plan as "space plan" does, and have the running gateway carry the plan out: each run of extents is copied at low
-worth, through the same decisions as all requests; then the catalogue is switched, and what is left behind is collected
-once nobody reads it. A gateway that is killed goes on when it starts again. The pace is that of [moves] in its settings.
-The command waits for the end; Ctrl-C ends the command, not the moves.
-Exit status: 0 all moves are done, 1 some were undone, 2 it could not be planned.`,
+		Short: "Move extents between shards so that these fill evenly, without an interruption of service",
+		Long: `Make a plan like "space plan" and have the running gateway carry it out. Each run of extents is copied with requests
+of low worth, which are scheduled like all others; then the catalogue is switched to the copy, and the items at the
+source are deleted once no transfer reads them. A gateway that is killed continues when it starts again. [moves] in
+its settings limits the rate.
+The command waits until all moves have ended. Ctrl-C ends the command, not the moves.
+Exit status: 0 all moves are done, 1 some were undone, 2 no plan could be made.`,
 		Example: "  eiderhold space rebalance --dir eiderhold-data --least 0.1\n  eiderhold space rebalance --dir eiderhold-data --detach",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -68,19 +69,19 @@
 				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", started.Moves, len(started.Plan.Moves))
 			}
 			if err == nil && undone > 0 {
-				return negativeResult{fmt.Errorf("%d moves were undone: eiderhold space moves says why", undone)}
+				return negativeResult{fmt.Errorf("%d moves were undone: eiderhold space moves shows the reasons", undone)}
 			}
 			return err
 		},
 	}
 	target.add(c)
 	flags.add(c)
-	c.Flags().BoolVar(&detach, "detach", false, "do not wait for the end")
+	c.Flags().BoolVar(&detach, "detach", false, "do not wait until the moves have ended")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
-// waitForMoves waits until all moves are over, and tells on w how far they are.
+// waitForMoves waits until all moves have ended and reports the progress on w.
 func waitForMoves(ctx context.Context, dir string, w io.Writer) (list []mover.Progress, err error) {
 	tick := time.NewTicker(movesPollInterval)
 	defer tick.Stop()
@@ -147,7 +148,7 @@
 	var target gatewayFolder
 	c := &cobra.Command{
 		Use:     "undo (--config FILE | --dir DIR) MOVE",
-		Short:   "Take a move back that has not been switched yet",
+		Short:   "Undo a move that has not been switched yet",
 		Example: "  eiderhold space undo --dir eiderhold-data 17",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -156,7 +157,7 @@
 				return err
 			}
 			if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
-				return fmt.Errorf("MOVE %q: a number, as space moves shows it", args[0])
+				return fmt.Errorf("MOVE %q: expected a number from the output of eiderhold space moves", args[0])
 			}
 			return gateway.Order(cmd.Context(), dir, "/moves/undo", url.Values{"id": {args[0]}}, &struct{}{})
 		},
--- a/cmd/eiderhold/progress.go
+++ b/cmd/eiderhold/progress.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// progress tells on a terminal how a long run goes, a line that is written over, after the
-// first two seconds. On anything else it says nothing.
+// progress shows the progress of a long run as one line that is overwritten, after the first two
+// seconds. It prints nothing if its output is not a terminal.
 type progress struct {
 	terminal   *os.File
 	lastUpdate time.Time
@@ -40,7 +40,7 @@
 	}
 }
 
-// printJSON writes a report for programs.
+// printJSON writes v as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
--- a/cmd/eiderhold/rehearse.go
+++ b/cmd/eiderhold/rehearse.go
@@ -28,14 +28,14 @@
 	var repeat int
 	c := &cobra.Command{
 		Use:   "rehearse DAY.toml",
-		Short: "Play a scripted day and audit it",
-		Long: `Play a scripted day: stand-in nodes and register, gateways as processes of their own,
-scripted clients and troubles. Then the seven rules are checked from what went over the
-sockets, and service is reported as worth answered in time over worth due.
-With --repeat the day is played with that many seeds, and with each value of --vary (or each way
-of --shares) in turn, so that they can be compared: a table of service, refusals and how writes
-fell on shards.
-Exit status: 0 all rules kept, 1 a rule was broken, 2 it could not be played.`,
+		Short: "Run a scripted day and audit it",
+		Long: `Run a scripted day: stand-in nodes, a stand-in register, gateways as separate processes, scripted
+clients and troubles. Then check the seven rules from what was recorded at the sockets, and report
+service as the worth that was answered in time over the worth due.
+With --repeat the day is run with that many seeds, and for each seed with every combination of the
+values of --vary and --shares. A table compares them: service, refusals and the distribution of
+writes over shards.
+Exit status: 0 all rules were kept, 1 a rule was broken, 2 the day could not be run.`,
 		Example: "  eiderhold rehearse testdata/bad-day.toml --dir /tmp/day\n" +
 			"  eiderhold rehearse testdata/shares/surge.toml --shares none,right,wrong --repeat 5\n" +
 			"  eiderhold rehearse testdata/placement/vanish.toml --vary placement.choice=0,1,2,3 --repeat 5",
@@ -64,7 +64,7 @@
 				day = variants[0].Day
 			}
 			if repeat < 1 || len(variants) > 1 && repeat == 1 {
-				return fmt.Errorf("--repeat %d: at least 1, and more to compare ways", repeat)
+				return fmt.Errorf("--repeat %d: expected at least 1, and at least 2 to compare variants", repeat)
 			}
 			if dir == "" {
 				if dir, err = os.MkdirTemp("", "eiderhold-day-"); err != nil {
@@ -97,11 +97,11 @@
 			return showReport(cmd.OutOrStdout(), res.Report, output)
 		},
 	}
-	c.Flags().StringVar(&sharesModes, "shares", "", "none, right or wrong, in the place of the day's shares.told; several with commas, to compare")
-	c.Flags().StringArrayVar(&vary, "vary", nil, "KEY=VALUE,VALUE...: a key of the day (site, gateways, shares) or of the gateways' settings; again for each with each")
-	c.Flags().IntVar(&repeat, "repeat", 1, "seeds to play the day with, from its own on")
-	c.Flags().StringVar(&dir, "dir", "", "folder for records, gateways and their logs; empty: a new one")
-	c.Flags().Int64Var(&seed, "seed", 0, "another seed than the day's")
+	c.Flags().StringVar(&sharesModes, "shares", "", "none, right or wrong, instead of the day's shares.told; several, separated by commas, are compared")
+	c.Flags().StringArrayVar(&vary, "vary", nil, "KEY=VALUE,VALUE...: values to compare for a key of the day (site, gateways, shares) or of the gateways' settings; repeat the flag to combine keys")
+	c.Flags().IntVar(&repeat, "repeat", 1, "number of seeds to run the day with, counted up from its own")
+	c.Flags().StringVar(&dir, "dir", "", "folder for the records, the gateways and their logs; empty: a new temporary folder")
+	c.Flags().Int64Var(&seed, "seed", 0, "seed to use instead of the day's; 0: the day's")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
@@ -111,9 +111,9 @@
 	c := &cobra.Command{
 		Use:   "audit DIR",
 		Short: "Check the seven rules from the records of a day",
-		Long: `Check the seven rules from what stand-ins and clients wrote down of their sockets (the
-folder "records" of a rehearsal), and report service. The gateways' own books are not read.
-Exit status: 0 all rules kept, 1 a rule was broken, 2 the records cannot be read.`,
+		Long: `Check the seven rules from what stand-ins and clients recorded at their sockets (the folder "records"
+of a rehearsal), and report service. Nothing that the gateways wrote themselves is used.
+Exit status: 0 all rules were kept, 1 a rule was broken, 2 the records cannot be read.`,
 		Example: "  eiderhold audit /tmp/day/records",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -137,15 +137,14 @@
 
 func checkOutput(output string) error {
 	if output != "text" && output != "json" {
-		return fmt.Errorf("--output %s: text or json", output)
+		return fmt.Errorf("--output %s: expected text or json", output)
 	}
 	return nil
 }
 
 const maxBreachesShown = 20
 
-// showReport prints an audit; a broken rule is an error of the kind that ran and fell
-// short.
+// showReport prints an audit. If a rule was broken, it returns a negativeResult.
 func showReport(w io.Writer, rep *audit.Report, output string) error {
 	var err error
 	if n := len(rep.Breaches); n > 0 {
@@ -197,10 +196,10 @@
 	var show bool
 	c := &cobra.Command{
 		Use:   "replay FILE...",
-		Short: "Feed a recorded run to a fresh controller; it must act the same",
-		Long: `Feed the files of a record (recorder.on, folder "record" of the gateway), in order, to a
-fresh controller, and compare its actions with those recorded.
-Exit status: 0 the same, 1 a difference, 2 the record cannot be read.`,
+		Short: "Replay a recorded run on a new controller and compare the actions",
+		Long: `Replay the files of a record (folder "record" of a gateway with recorder.on), in order, on a new
+controller, and compare its actions with the recorded ones.
+Exit status: 0 all actions are the same, 1 some differ, 2 the record cannot be read.`,
 		Example: "  eiderhold replay eiderhold-data/record/batches-*",
 		Args:    cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -231,6 +230,6 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&show, "show", false, "print every batch")
+	c.Flags().BoolVar(&show, "show", false, "print every batch with its events and actions")
 	return c
 }
--- a/cmd/eiderhold/serve.go
+++ b/cmd/eiderhold/serve.go
@@ -25,10 +25,10 @@
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run a gateway",
-		Long: `Run a gateway until SIGTERM or SIGINT. Then no new connections are taken, transfers
-end within gateway.drain, and it exits with 0; a second signal ends it at once. SIGHUP
-reads the file again and takes the modules, the greeting and the log level from it, all
-or nothing; the rest needs a restart.`,
+		Long: `Run a gateway until SIGTERM or SIGINT. It then accepts no new connections, lets transfers end
+within gateway.drain and exits with status 0; a second signal ends it at once. SIGHUP reads the
+settings file again and applies its modules, greeting and log level; if the file is invalid,
+nothing changes. Other settings need a restart.`,
 		Example: "  eiderhold config default > gateway.toml\n  eiderhold serve --config gateway.toml",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -59,12 +59,12 @@
 			})
 		},
 	}
-	c.Flags().StringVar(&file, "config", "", "settings file (required); eiderhold config default writes one")
+	c.Flags().StringVar(&file, "config", "", "settings file (required); eiderhold config default prints one")
 	_ = c.MarkFlagRequired("config")
 	return c
 }
 
-// attend waits for signals and ends the gateway as they say.
+// runUntilSignal logs statistics and handles signals until the gateway has ended. It calls reload at SIGHUP.
 func runUntilSignal(ctx context.Context, g *gateway.Gateway, cfg *config.Config, log *slog.Logger, reload func() error) error {
 	defer logStats(log, g)
 	statsTicker := time.NewTicker(statsInterval)
@@ -78,7 +78,7 @@
 			err := g.Err()
 			g.Close()
 			if err == nil {
-				err = fmt.Errorf("the host loop ended unasked")
+				err = fmt.Errorf("the host loop ended unexpectedly")
 			}
 			return negativeResult{err}
 		case <-statsTicker.C:
@@ -88,7 +88,7 @@
 		case s := <-signals:
 			if s == syscall.SIGHUP {
 				if err := reload(); err != nil {
-					log.Error("reload: nothing was changed", "err", err)
+					log.Error("reload failed; no setting was changed", "err", err)
 				} else {
 					log.Info("reloaded")
 				}
@@ -113,7 +113,7 @@
 
 const statsInterval = time.Minute
 
-// logStats writes the counts since the start as one line; microseconds.
+// logStats logs the counts since the start as one line. Times are in microseconds.
 func logStats(log *slog.Logger, g *gateway.Gateway) {
 	h, f, b, c := g.Host().Stats(), g.Front().Stats(), g.Backend().Stats(), g.Catalogue().Stats()
 	times := func(name string, t host.Times) slog.Attr {
@@ -166,7 +166,7 @@
 	c := &cobra.Command{Use: "config", Short: "Check and show settings"}
 	c.AddCommand(
 		&cobra.Command{
-			Use: "default", Short: "Write a whole settings file, every key explained", Args: cobra.NoArgs,
+			Use: "default", Short: "Print a complete settings file with a comment on every key", Args: cobra.NoArgs,
 			Example: "  eiderhold config default > gateway.toml",
 			RunE: func(cmd *cobra.Command, _ []string) error {
 				text, err := config.Default().Text()
@@ -177,7 +177,7 @@
 			},
 		},
 		&cobra.Command{
-			Use: "check FILE", Short: "Check a settings file whole, secrets files too", Args: cobra.ExactArgs(1),
+			Use: "check FILE", Short: "Check a settings file and the secrets files that it names", Args: cobra.ExactArgs(1),
 			Example: "  eiderhold config check gateway.toml",
 			RunE: func(cmd *cobra.Command, args []string) error {
 				cfg, err := config.Load(args[0])
@@ -192,7 +192,7 @@
 			},
 		},
 		&cobra.Command{
-			Use: "show FILE", Short: "Show a settings file with all that it leaves at its default", Args: cobra.ExactArgs(1),
+			Use: "show FILE", Short: "Print a settings file completed with the defaults of the keys that it leaves out", Args: cobra.ExactArgs(1),
 			Example: "  eiderhold config show gateway.toml",
 			RunE: func(cmd *cobra.Command, args []string) error {
 				cfg, err := config.Load(args[0])
--- a/cmd/eiderhold/shares.go
+++ b/cmd/eiderhold/shares.go
@@ -23,16 +23,16 @@
 func sharesCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "shares",
-		Short: "Work out placement and shares ahead",
-		Long: `Work out which nodes are to hold which volumes, and what part of each node every volume is
-due. Values are exact: micro-worth times milli-units times the denominator of spare_worth.`,
+		Short: "Compute placements and shares in advance",
+		Long: `Compute which nodes hold which volumes, and the share of each node that every volume is entitled
+to. Values are exact integers: micro-worth times milli-units times the denominator of spare_worth.`,
 	}
 	c.AddCommand(sharesCheck(), sharesSolve(), sharesEvaluate(), sharesResolve(), sharesExplain(), sharesDiff(),
 		sharesGather(), sharesGenerate())
 	return c
 }
 
-// openProblem checks how a command is to print and reads its problem.
+// openProblem checks the --output flag and reads a problem.
 func openProblem(output, file string) (*shares.Problem, error) {
 	if err := checkOutput(output); err != nil {
 		return nil, err
@@ -40,7 +40,7 @@
 	return loadProblem(file)
 }
 
-// loadProblem reads a problem strictly and checks it whole.
+// loadProblem reads and checks a problem. A key that is not known is an error.
 func loadProblem(file string) (*shares.Problem, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -58,7 +58,7 @@
 
 func sharesCheck() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE.toml", Short: "Check a problem's file", Args: cobra.ExactArgs(1),
+		Use: "check FILE.toml", Short: "Check a problem file", Args: cobra.ExactArgs(1),
 		Example: "  eiderhold shares check fleet.toml",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			p, err := loadProblem(args[0])
@@ -71,7 +71,7 @@
 	}
 }
 
-// solveFlags are those of a search.
+// solveFlags holds the flags of shares solve.
 type solveFlags struct {
 	exact, relax  bool
 	steps         int
@@ -86,40 +86,42 @@
 	f := &solveFlags{}
 	c := &cobra.Command{
 		Use:   "solve FILE.toml",
-		Short: "Find a placement of high value, or with --exact the highest",
-		Long: `Find a placement of high value, with an upper bound that none passes. The same file, seed and
-steps give the same answer; more steps never a lower value. --within ends the search by the
-clock: then the answer depends on the machine. With --exact the highest is found;
-among equals the least one, volumes and nodes by id. That suits a few volumes and nodes.
-If there is none, --exact names a smallest set of constraints that cannot be met together,
-and --relax leaves the least-priced volumes out. Ctrl-C ends the search with the best so far.
---save writes a solution for gateways: versioned, checksummed, never half written.
-Exit status: 0 found, 1 none was found or the steps were used up, 2 the file cannot be used.`,
+		Short: "Find a placement of high value, or with --exact one of the highest value",
+		Long: `Find a placement of high value, and an upper bound on the value of all placements. The same file,
+seed and steps give the same answer, and more steps never give a lower value. --within ends the
+search after a time; the answer then depends on the speed of the machine.
+--exact finds a placement of the highest value; of several, the first in the order of the ids of
+volumes and nodes. It is feasible for a few volumes and nodes only. If no placement meets the
+constraints, --exact names a smallest set of constraints that cannot be met together, and --relax
+leaves out the volumes of the lowest price.
+Ctrl-C ends the search with the best placement so far. --save writes a solution for gateways, with
+a version and a checksum, and replaces the file atomically.
+Exit status: 0 found, 1 no placement was found or the steps were used up, 2 the file cannot be used.`,
 		Example: "  eiderhold shares solve fleet.toml --steps 100000 --output json\n" +
 			"  eiderhold shares solve fleet.toml --within 10s --save solution --chart charts\n" +
 			"  eiderhold shares solve small.toml --exact --relax",
 		Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return f.run(cmd, args[0]) },
 	}
-	c.Flags().BoolVar(&f.exact, "exact", false, "search exactly")
-	c.Flags().BoolVar(&f.relax, "relax", false, "leave the least-priced volumes out where not all can be met")
-	c.Flags().IntVar(&f.steps, "steps", 20_000, "changes tried; with --exact placements of single volumes, 0 for no bound")
-	c.Flags().DurationVar(&f.within, "within", 0, "end the search after so long; 0s: by its steps only")
-	c.Flags().Uint64Var(&f.seed, "seed", 1, "of the search; the exact one has none")
+	c.Flags().BoolVar(&f.exact, "exact", false, "find the highest value by an exact search")
+	c.Flags().BoolVar(&f.relax, "relax", false, "leave out the volumes of the lowest price if not all can be placed")
+	c.Flags().IntVar(&f.steps, "steps", 20_000, "changes to try; with --exact placements of single volumes to try, 0 (the default there) for no limit")
+	c.Flags().DurationVar(&f.within, "within", 0, "end the search after this time; 0s: only --steps ends it")
+	c.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the search; --exact uses none")
 	c.Flags().StringVar(&f.output, "output", "text", "text or json")
-	c.Flags().StringVar(&f.plain, "plain", "", "no search: greedy or hashing, to compare with")
-	c.Flags().StringVar(&f.chart, "chart", "", "folder for charts (SVG): load by node, worth by plan, the gap over time")
+	c.Flags().StringVar(&f.plain, "plain", "", "greedy or hashing: compute this baseline instead of searching")
+	c.Flags().StringVar(&f.chart, "chart", "", "folder for charts (SVG): load by node, worth by plan, gap to the bound over time")
 	f.save.add(c)
 	return c
 }
 
-// run solves and prints.
+// run solves the problem, prints the answer and writes charts and solution as the flags say.
 func (f *solveFlags) run(cmd *cobra.Command, file string) error {
 	if err := checkOutput(f.output); err != nil {
 		return err
 	}
 	if f.steps < 0 || f.within < 0 {
-		return fmt.Errorf("--steps %d, --within %v: 0 or more", f.steps, f.within)
+		return fmt.Errorf("--steps %d, --within %v: expected 0 or more", f.steps, f.within)
 	}
 	p, err := loadProblem(file)
 	if err != nil {
@@ -181,21 +183,21 @@
 		return nil, err
 	}
 	found := &shares.Found{Answer: a, Bound: a.Value}
-	if err != nil { // out of steps: nothing is proven
+	if err != nil { // the search was cut short: the answer is not proven to be the highest
 		found.Bound = shares.Bound(p)
 	}
 	return found, err
 }
 
-// trail is how a search went on: seconds, and the value then.
+// searchTrace holds the progress of a search: times since its start and the values at them.
 type searchTrace struct {
 	seconds []float64
 	values  []shares.Value
 }
 
-const clockCheckSteps = 500 // steps between two looks at the clock
+const clockCheckSteps = 500 // search steps between two checks of the clock and of the context
 
-// search runs a search until its steps are used up or ctx ends, telling how it goes.
+// search runs a search until its steps are used up or ctx is done, and shows its progress.
 func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.Found, searchTrace, error) {
 	start := time.Now()
 	var trace searchTrace
@@ -223,9 +225,10 @@
 	var output string
 	c := &cobra.Command{
 		Use:   "evaluate FILE.toml ANSWER",
-		Short: "Value a placement",
-		Long: `Value a placement: a solution, or JSON with "placement": {volume: [node ids]}, as solve writes it.
-Exit status: 0 valued, 1 the placement breaks a constraint, 2 a file cannot be used.`,
+		Short: "Compute the value of a placement",
+		Long: `Compute the value of a placement. ANSWER is a solution, or JSON with "placement": {volume: [node ids]}
+as printed by solve.
+Exit status: 0 the value was computed, 1 the placement breaks a constraint, 2 a file cannot be used.`,
 		Example: "  eiderhold shares evaluate fleet.toml answer.json",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -251,8 +254,8 @@
 	return c
 }
 
-// showConflict names, after an exact search, the constraints that cannot be met together,
-// each with its line in the file.
+// showConflict prints the constraints that cannot be met together, each with its line in the file.
+// They are known only after an exact search.
 func showConflict(w io.Writer, file string, p *shares.Problem, exact bool, steps int, output string) error {
 	var conflict []shares.Constraint
 	if exact {
@@ -285,8 +288,8 @@
 	return nil
 }
 
-// lineOf is the line of a file on which a constraint stands: that of its key in the
-// table that it belongs to, or of the table's head if the key is not written there.
+// constraintLine returns the line of a constraint in the file: that of its key in the table to
+// which it belongs, or that of the table's header if the table does not have the key.
 func constraintLine(text string, c shares.Constraint) int {
 	lineNumber, headLine, table := 0, 0, -1
 	for line := range strings.Lines(text) {
@@ -311,7 +314,7 @@
 	return headLine
 }
 
-// showAnswer prints an answer with its bound, and what was left out.
+// showAnswer prints an answer with its bound and the volumes that were left out.
 func showAnswer(w io.Writer, p *shares.Problem, found *shares.Found, leftOut []string, output string) error {
 	if output == "json" {
 		byVolume := map[string]map[string]int64{}
@@ -353,7 +356,7 @@
 	return err
 }
 
-// gapOf is how far a value is below a bound, as a part of the bound.
+// gapOf returns the distance of a value from its upper bound as a fraction of the bound.
 func gapOf(value, bound shares.Value) float64 {
 	if bound.Big().Sign() <= 0 {
 		return 0
--- a/cmd/eiderhold/shares_gather.go
+++ b/cmd/eiderhold/shares_gather.go
@@ -21,12 +21,12 @@
 	var into, keep, output string
 	c := &cobra.Command{
 		Use:   "gather RECORD...",
-		Short: "Merge what gateways saw of demand, and forecast it",
-		Long: `Merge the forecast.dat files of gateways and tell, of each volume, the demand to plan for: the
-quantile of all slots (minutes) of the days kept, a day of --half-life days ago counting half,
-added up over gateways. A surge of an hour a day is above 0.95 and below 0.99 of the slots.
-With --into the demands are written into a problem's file; a volume without a record keeps what it has.
-The order of files does not matter, nor does one that comes twice.
+		Short: "Merge the demand that gateways recorded, and forecast it",
+		Long: `Merge the forecast.dat files of gateways and show the demand to plan for, for each volume: a quantile
+over all slots (minutes) of the days kept, summed over gateways. A slot of --half-life days ago
+has half the weight of one of now. A surge of one hour a day is above 0.95 and below 0.99 of the slots.
+--into writes the demands into a problem file; volumes without a record keep the demand in the file.
+The order of the files does not matter, and neither does a file that is given twice.
 Exit status: 0 done, 2 a file cannot be used.`,
 		Example: "  eiderhold shares gather gw-*/forecast.dat\n" +
 			"  eiderhold shares gather gw-*/forecast.dat --quantile 0.99 --into fleet.toml",
@@ -81,15 +81,15 @@
 			return t.Flush()
 		},
 	}
-	c.Flags().Float64Var(&quantile, "quantile", 0.95, "of the slots, more than 0, at most 1")
-	c.Flags().Float64Var(&halfLife, "half-life", 2, "days after which a slot counts half")
-	c.Flags().StringVar(&into, "into", "", "problem's file whose demands are replaced")
-	c.Flags().StringVar(&keep, "keep", "", "write the merged record to this file, to be gathered again")
+	c.Flags().Float64Var(&quantile, "quantile", 0.95, "quantile of the slots, more than 0 and at most 1")
+	c.Flags().Float64Var(&halfLife, "half-life", 2, "age in days at which a slot has half its weight")
+	c.Flags().StringVar(&into, "into", "", "problem file in which demands are replaced")
+	c.Flags().StringVar(&keep, "keep", "", "write the merged record to this file, from which it can be gathered again")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
-// planFor writes demands into a problem's file, whole or not at all. Comments are lost.
+// writeDemands replaces demands in a problem file atomically. Comments in the file are lost.
 func writeDemands(file string, demands map[string]forecast.Demand) error {
 	p, err := loadProblem(file)
 	if err != nil {
@@ -124,8 +124,8 @@
 	d := shares.Draw{}
 	c := &cobra.Command{
 		Use:     "generate",
-		Short:   "Draw a problem, to try the solver on",
-		Long:    "Draw a problem: the same flags give the same one.\nExit status: 0 drawn, 2 the flags cannot be met.",
+		Short:   "Generate a random problem for trying out the solver",
+		Long:    "Generate a random problem. The same flags give the same problem.\nExit status: 0 generated, 2 the flags cannot be met.",
 		Example: "  eiderhold shares generate --volumes 500 --nodes 42 --zones 3 --skew 1 --load 1.05 > fleet.toml",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -140,15 +140,15 @@
 			return err
 		},
 	}
-	c.Flags().IntVar(&d.Volumes, "volumes", 50, "how many")
-	c.Flags().IntVar(&d.Nodes, "nodes", 8, "how many")
-	c.Flags().IntVar(&d.Zones, "zones", 1, "how many")
-	c.Flags().Uint64Var(&d.Seed, "seed", 1, "of what is drawn")
-	c.Flags().Float64Var(&d.Skew, "skew", 0.7, "exponent of demands by rank (Zipf); 0: all alike")
-	c.Flags().Float64Var(&d.Load, "load", 0.8, "demand over all that is usable")
-	c.Flags().Int64Var(&d.Unequal, "unequal", 4, "capacity of the largest node over that of the least")
-	c.Flags().IntVar(&d.Spread, "spread", 2, "nodes that a volume lies on, at most")
-	c.Flags().BoolVar(&d.Costs, "costs", false, "nodes of one zone cost something")
-	c.Flags().BoolVar(&d.Placed, "placed", false, "volumes lie somewhere now, at random")
+	c.Flags().IntVar(&d.Volumes, "volumes", 50, "number of volumes")
+	c.Flags().IntVar(&d.Nodes, "nodes", 8, "number of nodes")
+	c.Flags().IntVar(&d.Zones, "zones", 1, "number of zones")
+	c.Flags().Uint64Var(&d.Seed, "seed", 1, "seed of the random numbers")
+	c.Flags().Float64Var(&d.Skew, "skew", 0.7, "Zipf exponent of the demands by rank; 0: all demands are equal")
+	c.Flags().Float64Var(&d.Load, "load", 0.8, "total demand over total usable capacity")
+	c.Flags().Int64Var(&d.Unequal, "unequal", 4, "capacity of the largest node over that of the smallest")
+	c.Flags().IntVar(&d.Spread, "spread", 2, "most nodes that a volume is placed on")
+	c.Flags().BoolVar(&d.Costs, "costs", false, "give the nodes of one zone a cost")
+	c.Flags().BoolVar(&d.Placed, "placed", false, "give volumes a present placement on random nodes")
 	return c
 }
--- a/cmd/eiderhold/shares_solution.go
+++ b/cmd/eiderhold/shares_solution.go
@@ -19,7 +19,7 @@
 	"eiderhold/shares"
 )
 
-// saveFlags are those of writing a solution.
+// saveFlags holds the flags for writing a solution.
 type saveFlags struct {
 	file    string
 	version uint64
@@ -29,12 +29,12 @@
 
 func (f *saveFlags) add(c *cobra.Command) {
 	c.Flags().StringVar(&f.file, "save", "", "write a solution for gateways to this file")
-	c.Flags().Uint64Var(&f.version, "version", 0, "of the solution; 0: one above that in the file, or 1")
-	c.Flags().StringVar(&f.by, "by", "", "who solved it; empty: this user and host")
-	c.Flags().DurationVar(&f.trust, "trust", 24*time.Hour, "how long gateways may trust it in full; then it fades")
+	c.Flags().Uint64Var(&f.version, "version", 0, "version of the solution; 0: one above that of the file, or 1 if there is no file")
+	c.Flags().StringVar(&f.by, "by", "", "author of the solution; empty: this user and host")
+	c.Flags().DurationVar(&f.trust, "trust", 24*time.Hour, "how long gateways trust the solution in full; afterwards their trust declines")
 }
 
-// write saves an answer as a solution, whole or not at all.
+// write writes an answer as a solution and replaces the file atomically.
 func (f *saveFlags) write(cmd *cobra.Command, p *shares.Problem, found *shares.Found) error {
 	if f.file == "" {
 		return nil
@@ -47,7 +47,7 @@
 		case err == nil:
 			version = old.Version + 1
 		case !errors.Is(err, os.ErrNotExist):
-			return fmt.Errorf("%w; name a --version to write over it", err)
+			return fmt.Errorf("%w; name a --version to overwrite it", err)
 		}
 	}
 	by := f.by
@@ -78,7 +78,7 @@
 	return s, nil
 }
 
-// readPlacement reads a solution, or JSON with a placement as solve prints it.
+// readPlacement reads the placement of a solution, or of JSON as printed by shares solve.
 func readPlacement(file string) (map[string][]string, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -106,13 +106,13 @@
 	var save saveFlags
 	c := &cobra.Command{
 		Use:   "resolve FILE.toml",
-		Short: "Work a placement out anew after a change, with few moves, and order them",
-		Long: `Work a placement out anew from the present one (the volumes' "on", or --now: a solution or an
-answer), after nodes were lost, added, resized or drained. What can stay stays. The moves are
-ordered in waves: no node is asked for more at any time than it bears. If a wave fails, run it
-again with --now saying where volumes are by then.
-Exit status: 0 found, 1 none was found, too many moves are needed, or no order for some of
-them; 2 a file cannot be used.`,
+		Short: "Recompute a placement after a change, with few moves, and order the moves",
+		Long: `Recompute a placement from the present one (the volumes' "on", or --now: a solution or an answer)
+after nodes were lost, added, resized or drained. Volumes stay where they are if possible. The moves
+are ordered in waves so that no node is overloaded at any time. If a wave fails, run the command
+again and give the placement at that time with --now.
+Exit status: 0 found, 1 no placement was found, too many moves are needed, or some moves have no
+order; 2 a file cannot be used.`,
 		Example: "  eiderhold shares resolve fleet.toml --now solution --lost n7 --moves 200 --save solution",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -130,7 +130,7 @@
 			for state, ids := range map[string][]string{"gone": lost, "draining": drain} {
 				for _, id := range ids {
 					if !setState(p, id, state) {
-						return fmt.Errorf("%s: there is no node %q to be %s", args[0], id, state)
+						return fmt.Errorf("%s: no node %q to mark as %s", args[0], id, state)
 					}
 				}
 			}
@@ -150,18 +150,18 @@
 				return err
 			}
 			if n := len(plan.Stuck); n > 0 {
-				return negativeResult{fmt.Errorf("for %d moves there is no order in which no node is asked for too much: add a node with room, or allow others with --moves", n)}
+				return negativeResult{fmt.Errorf("%d moves have no order that avoids an overloaded node: add a node with spare capacity, or allow more moves with --moves", n)}
 			}
 			return nil
 		},
 	}
-	c.Flags().StringVar(&nowFile, "now", "", "where volumes are: a solution, or an answer as JSON; empty: as the file says")
-	c.Flags().StringSliceVar(&lost, "lost", nil, "nodes that are gone")
-	c.Flags().StringSliceVar(&drain, "drain", nil, "nodes that are to be left")
-	c.Flags().IntVar(&moves, "moves", -1, "most nodes that volumes may newly be placed on; -1: any number")
-	c.Flags().IntVar(&steps, "steps", 2000, "changes tried after all is placed")
-	c.Flags().IntVar(&perNode, "at-once", 0, "moves that one node takes part in at a time; 0: any number")
-	c.Flags().Uint64Var(&seed, "seed", 1, "of the search")
+	c.Flags().StringVar(&nowFile, "now", "", "present placement: a solution, or an answer as JSON; empty: that in the problem file")
+	c.Flags().StringSliceVar(&lost, "lost", nil, "ids of nodes that are gone")
+	c.Flags().StringSliceVar(&drain, "drain", nil, "ids of nodes that are to be drained")
+	c.Flags().IntVar(&moves, "moves", -1, "most moves, counted as nodes that volumes are newly placed on; -1: any number")
+	c.Flags().IntVar(&steps, "steps", 2000, "changes to try once all volumes are placed")
+	c.Flags().IntVar(&perNode, "at-once", 0, "most moves from or to one node at a time; 0: any number")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the search")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	c.Flags().StringVar(&chartDir, "chart", "", "folder for charts (SVG)")
 	save.add(c)
@@ -178,7 +178,7 @@
 	return false
 }
 
-const maxWaveMovesShown = 20 // moves of a wave
+const maxWaveMovesShown = 20 // moves that are printed of each wave
 
 func showSchedule(cmd *cobra.Command, p *shares.Problem, found *shares.Found, plan *shares.Schedule, output string) error {
 	w := cmd.OutOrStdout()
@@ -219,10 +219,10 @@
 	var answerFile, output string
 	c := &cobra.Command{
 		Use:   "explain FILE.toml VOLUME --answer FILE",
-		Short: "Tell why a volume is where it is, and what any other node would cost",
-		Long: `Tell what a volume gets where a placement puts it, and for every other node what the whole
-would be worth with the volume there instead, all others staying where they are.
-Exit status: 0 told, 1 there is no such volume or the placement breaks a constraint, 2 a file
+		Short: "Explain a volume's placement and what any other node would cost",
+		Long: `Show what a volume gets on the nodes of its placement and, for every other node, by how much the total
+value would change if the volume were placed there instead, with all other volumes unchanged.
+Exit status: 0 shown, 1 the volume does not exist or the placement breaks a constraint, 2 a file
 cannot be used.`,
 		Example: "  eiderhold shares explain fleet.toml v17 --answer solution",
 		Args:    cobra.ExactArgs(2),
@@ -261,7 +261,7 @@
 			return t.Flush()
 		},
 	}
-	c.Flags().StringVar(&answerFile, "answer", "", "the placement: a solution, or an answer as JSON (required)")
+	c.Flags().StringVar(&answerFile, "answer", "", "placement to explain: a solution, or an answer as JSON (required)")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	_ = c.MarkFlagRequired("answer")
 	return c
@@ -326,8 +326,8 @@
 	return c
 }
 
-// drawCharts writes load by node before and after, worth by plan and, of a search, the gap
-// over time.
+// drawCharts writes charts of the load by node before and after, of the worth by plan and, if there
+// is a trace of a search, of its gap to the bound over time.
 func drawCharts(dir string, p *shares.Problem, found *shares.Found, trace searchTrace) error {
 	nodes := append([]shares.Node(nil), p.Nodes...)
 	sort.Slice(nodes, func(i, j int) bool { return nodes[i].ID < nodes[j].ID })
--- a/cmd/eiderhold/space.go
+++ b/cmd/eiderhold/space.go
@@ -20,16 +20,17 @@
 	"eiderhold/rebalance"
 )
 
-// folder is a gateway's folder, by its settings or its name.
+// gatewayFolder holds the flags that name a gateway's folder: its settings file or the folder itself.
 type gatewayFolder struct{ file, dir string }
 
 func (f *gatewayFolder) add(c *cobra.Command) {
-	c.Flags().StringVar(&f.file, "config", "", "settings file of the gateway")
-	c.Flags().StringVar(&f.dir, "dir", "", "its folder (gateway.dir)")
+	c.Flags().StringVar(&f.file, "config", "", "settings file of the gateway, which names its folder")
+	c.Flags().StringVar(&f.dir, "dir", "", "folder of the gateway (gateway.dir)")
 	c.MarkFlagsOneRequired("config", "dir")
 	c.MarkFlagsMutuallyExclusive("config", "dir")
 }
 
+// path returns the folder.
 func (f *gatewayFolder) path() (string, error) {
 	if f.dir != "" {
 		return f.dir, nil
@@ -46,10 +47,10 @@
 	var output string
 	c := &cobra.Command{
 		Use:   "space (--config FILE | --dir DIR)",
-		Short: "Show what shards and modules hold",
-		Long: `Show how many bytes each shard holds and can hold, which of them take new data, and what
-each module's files come to against its quota: as the gateway of that folder says, or, if none
-runs, as it wrote down last.`,
+		Short: "Show the space that shards and modules use",
+		Long: `Show the bytes used and the capacity of each shard, which shards take new data, and the bytes of
+each module's files against its quota. The figures come from the gateway that runs on the folder
+or, if none runs, from the file that it wrote last.`,
 		Example: "  eiderhold space --config gateway.toml\n  eiderhold space --dir eiderhold-data --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -72,12 +73,12 @@
 		},
 	}
 	target.add(c)
-	c.Flags().StringVar(&output, "output", "text", "text or json; in JSON bytes are numbers")
+	c.Flags().StringVar(&output, "output", "text", "text or json; JSON has plain numbers of bytes")
 	c.AddCommand(spacePlan(), spaceRebalance(), spaceMoves(), spaceUndo())
 	return c
 }
 
-// open checks how a command is to print and finds its folder.
+// checkedPath checks the --output flag and returns the folder.
 func (f *gatewayFolder) checkedPath(output string) (string, error) {
 	if err := checkOutput(output); err != nil {
 		return "", err
@@ -85,7 +86,7 @@
 	return f.path()
 }
 
-// planFlags are the settings of a plan on the command line.
+// planFlags holds the flags for the settings of a plan.
 type planFlags struct {
 	set  rebalance.Settings
 	rate string
@@ -93,16 +94,16 @@
 
 func (f *planFlags) add(c *cobra.Command) {
 	f.set = rebalance.Default
-	c.Flags().Float64Var(&f.set.Least, "least", f.set.Least, "difference in the part used for which a byte is worth moving")
-	c.Flags().IntVar(&f.set.Moves, "moves", f.set.Moves, "most moves of the plan")
-	c.Flags().IntVar(&f.set.PerNode, "at-once", f.set.PerNode, "moves that one shard takes part in at a time")
-	c.Flags().StringVar(&f.rate, "rate", humanize.IBytes(uint64(f.set.Rate)), "bytes a second that one shard gives or takes, for the time that is told")
+	c.Flags().Float64Var(&f.set.Least, "least", f.set.Least, "least difference between the used fractions of two shards for which data is moved")
+	c.Flags().IntVar(&f.set.Moves, "moves", f.set.Moves, "most moves in the plan")
+	c.Flags().IntVar(&f.set.PerNode, "at-once", f.set.PerNode, "most moves from or to one shard at a time")
+	c.Flags().StringVar(&f.rate, "rate", humanize.IBytes(uint64(f.set.Rate)), "bytes a second moved from or to one shard, used to estimate the duration")
 }
 
 func (f *planFlags) check() error {
 	bytes, err := humanize.ParseBytes(f.rate)
 	if err != nil || bytes > math.MaxInt64 {
-		return fmt.Errorf("--rate %q: bytes a second, as 16MiB", f.rate)
+		return fmt.Errorf("--rate %q: expected bytes a second, like 16MiB", f.rate)
 	}
 	f.set.Rate = int64(bytes)
 	return f.set.Check()
@@ -114,11 +115,12 @@
 	var output, file string
 	c := &cobra.Command{
 		Use:   "plan (--config FILE | --dir DIR)",
-		Short: "Plan which extents are to move so that shards fill evenly",
-		Long: `Plan which extents are to move between shards so that these fill evenly, in waves, and what they
-will hold then. The gateway of that folder must be running; nothing is moved. Shards that are cold,
-lost, or past their mark take nothing, and what a solution of shares places stays on its nodes.
-Exit status: 0 planned, also if nothing is to move; 2 it could not be planned.`,
+		Short: "Plan which extents to move so that shards fill evenly",
+		Long: `Plan which extents to move between shards, in waves, so that the shards fill evenly, and show how
+full they are before and after. Nothing is moved. A gateway must be running on the folder. Shards
+that are cold, lost, or above their watermark get no data, and volumes that a solution of shares
+places stay on their nodes.
+Exit status: 0 planned, even if nothing is to be moved; 2 no plan could be made.`,
 		Example: "  eiderhold space plan --dir eiderhold-data --least 0.1 --rate 32MiB --chart plan.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -146,12 +148,12 @@
 	}
 	target.add(c)
 	flags.add(c)
-	c.Flags().StringVar(&file, "chart", "", "file for a chart (SVG) of what shards hold before and after")
+	c.Flags().StringVar(&file, "chart", "", "file for a chart (SVG) of how full shards are before and after")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
-// planChart draws the parts used before and after.
+// planChart draws the used fraction of each shard before and after.
 func planChart(file string, p *rebalance.Plan) error {
 	var names []string
 	before, after := chart.Series{Name: "before"}, chart.Series{Name: "after"}
@@ -162,9 +164,9 @@
 	return chart.Bars(file, "Shards before and after", "percent used", names, before, after)
 }
 
-const maxPlanMovesShown = 20 // of a plan, as text
+const maxPlanMovesShown = 20 // moves that are printed of a plan as text
 
-// printPlan writes what moves, and what it comes to.
+// printPlan writes the shards, the moves and the summary of a plan.
 func printPlan(w io.Writer, p *rebalance.Plan) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "shard\tbefore\tafter")
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// printSpace writes tables; sizes in binary units.
+// printSpace writes the tables of shards and modules, with sizes in binary units.
 func printSpace(w io.Writer, s *gateway.Space, now time.Time) error {
 	size := func(n int64) string { return humanize.IBytes(uint64(max(0, n))) }
 	part := func(n, of int64) string {
--- a/cmd/eiderhold/standins.go
+++ b/cmd/eiderhold/standins.go
@@ -22,12 +22,12 @@
 	c := &cobra.Command{
 		Use:     "node",
 		Short:   "Run a stand-in storage node",
-		Long:    "Run a stand-in storage node until SIGTERM or SIGINT. It prints its address.",
+		Long:    "Run a stand-in storage node until SIGTERM or SIGINT. It prints the address on which it listens.",
 		Example: "  eiderhold node --id node-0 --shard 0 --listen 127.0.0.1:8750 --dir /tmp/shard-0",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if opt.ID == "" || opt.Shard < 0 || opt.Cores < 1 || opt.Queue < 1 {
-				return fmt.Errorf("--id must be given, --shard is 0 or more, --cores and --queue at least 1")
+				return fmt.Errorf("--id must be given; expected --shard of 0 or more, --cores and --queue of at least 1")
 			}
 			disk, err := standin.NewDisk(dir)
 			if err != nil {
@@ -48,17 +48,17 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&opt.ID, "id", "", "name in the node list (required)")
-	f.StringVar(&opt.Zone, "zone", "", "zone")
-	f.IntVar(&opt.Shard, "shard", 0, "shard that it holds")
-	f.StringVar(&opt.Listen, "listen", "127.0.0.1:0", "address")
-	f.StringVar(&dir, "dir", "", "folder of its items; empty: memory")
+	f.StringVar(&opt.ID, "id", "", "id of the node in the node list (required)")
+	f.StringVar(&opt.Zone, "zone", "", "zone of the node")
+	f.IntVar(&opt.Shard, "shard", 0, "shard that the node holds")
+	f.StringVar(&opt.Listen, "listen", "127.0.0.1:0", "HOST:PORT to listen on; port 0 takes a free port")
+	f.StringVar(&dir, "dir", "", "folder for its items; empty: kept in memory")
 	f.IntVar(&opt.Cores, "cores", 4, "requests served at a time")
-	f.IntVar(&opt.Queue, "queue", 256, "requests waiting before it turns them away")
-	f.DurationVar(&opt.UnitTime, "unit-time", 0, "work of one unit on a core")
-	f.DurationVar(&opt.ColdFor, "cold-for", 18*time.Second, "with --cold: warm after this")
-	f.Float64Var(&opt.ColdCapacity, "cold-capacity", 0.2, "with --cold: part of its speed at the start")
-	f.BoolVar(&cold, "cold", false, "start cold")
+	f.IntVar(&opt.Queue, "queue", 256, "requests that may wait; further ones are refused")
+	f.DurationVar(&opt.UnitTime, "unit-time", 0, "time that one unit takes on a core")
+	f.DurationVar(&opt.ColdFor, "cold-for", 18*time.Second, "with --cold: time after which the node is warm")
+	f.Float64Var(&opt.ColdCapacity, "cold-capacity", 0.2, "with --cold: fraction of its capacity at the start")
+	f.BoolVar(&cold, "cold", false, "start as a cold node")
 	return c
 }
 
@@ -68,7 +68,7 @@
 	c := &cobra.Command{
 		Use:     "register",
 		Short:   "Run a stand-in register",
-		Long:    "Run a stand-in register of the given nodes until SIGTERM or SIGINT. It prints its URL.",
+		Long:    "Run a stand-in register that lists the given nodes until SIGTERM or SIGINT. It prints its URL.",
 		Example: "  eiderhold register --listen 127.0.0.1:8740 --node node-0=0@127.0.0.1:8750 --node node-1=1@127.0.0.1:8751",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -96,11 +96,11 @@
 		},
 	}
 	c.Flags().StringVar(&listen, "listen", "127.0.0.1:8740", "address")
-	c.Flags().StringArrayVar(&nodes, "node", nil, "ID=SHARD@HOST:PORT, once for each node")
+	c.Flags().StringArrayVar(&nodes, "node", nil, "node as ID=SHARD@HOST:PORT; repeat the flag for each node")
 	return c
 }
 
-// waitForEnd waits for a signal that ends the program.
+// waitForSignal waits for SIGTERM, SIGINT or the end of the command's context.
 func waitForSignal(cmd *cobra.Command) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
