--- a/cmd/eiderhold/bench_test.go
+++ b/cmd/eiderhold/bench_test.go
@@ -22,7 +22,7 @@
 	"eiderhold/internal/standin"
 )
 
-// benchGateway is a gateway's process before stand-in nodes in this one.
+// benchGateway is a gateway in a process of its own, with stand-in nodes in the test process.
 type benchGateway struct {
 	cmd  *exec.Cmd
 	addr string
@@ -103,7 +103,7 @@
 	return stats
 }
 
-// proc reads CPU time and resident memory of the gateway's process.
+// processUsage returns the CPU time and resident memory of the gateway's process.
 func (g *benchGateway) processUsage() (cpu time.Duration, rss int64) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", g.cmd.Process.Pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
@@ -131,8 +131,8 @@
 	}
 }
 
-// BenchmarkTransfers pulls a file of one extent over so many connections at a time; it
-// reports what the gateway adds to a request and its CPU a request.
+// BenchmarkTransfers pulls files of one extent over 1, 100 and 1000 connections at a time. It reports the
+// time that the gateway adds to a request and its CPU time for each transfer.
 func BenchmarkTransfers(b *testing.B) {
 	for _, clients := range []int{1, 100, 1000} {
 		b.Run(fmt.Sprint(clients), func(b *testing.B) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// plainCopy moves bytes over a loopback socket pair, as the plain alternative.
+// plainCopy sends bytes over each of conns loopback connections and returns the time taken.
 func plainCopy(b *testing.B, conns int, bytes int64) time.Duration {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -221,9 +221,8 @@
 	return time.Since(began)
 }
 
-// BenchmarkThroughput moves files whole, one client or a hundred, and gives the ratio to
-// a plain copy of as many bytes over as many loopback connections, taken in turn; the
-// median of the rounds.
+// BenchmarkThroughput transfers whole files with 1 and with 100 clients. It reports the median ratio of the
+// throughput to that of plain copies of the same size over as many loopback connections; the two alternate.
 func BenchmarkThroughput(b *testing.B) {
 	for _, c := range []struct {
 		kind    string
@@ -274,8 +273,8 @@
 	}
 }
 
-// BenchmarkMemory is the gateway's resident memory with so many idle connections, and
-// with so many transfers whose clients read slowly.
+// BenchmarkMemory measures the gateway's resident memory with 1000 idle connections and with 200 transfers
+// whose clients have stopped reading.
 func BenchmarkMemory(b *testing.B) {
 	b.Run("idle/1000", func(b *testing.B) {
 		g := startBenchGateway(b, 2, nil)
@@ -310,7 +309,7 @@
 				(&standin.Client{Addr: g.addr, StopRead: 5 * time.Second}).Pull(ctx, "records", "f", nil)
 			}()
 		}
-		time.Sleep(4 * time.Second) // all stand still with their windows full
+		time.Sleep(4 * time.Second) // all transfers are blocked with full windows
 		_, with := g.processUsage()
 		cancel()
 		wg.Wait()
@@ -320,8 +319,8 @@
 	})
 }
 
-// BenchmarkAllocations is what the gateway allocates a request, with small and with
-// large extents: none of it may grow with the payload.
+// BenchmarkAllocations measures the bytes that the gateway allocates for each request with small and with
+// large extents. They must not grow with the payload.
 func BenchmarkAllocations(b *testing.B) {
 	for _, kib := range []int{16, 64, 256} {
 		b.Run(fmt.Sprintf("extent/%dKiB", kib), func(b *testing.B) {
@@ -336,10 +335,10 @@
 	}
 }
 
-// BenchmarkBystanders is the time of 500 pulls of small files, 20 at a time, with and
-// without trouble that is not theirs: a client of a 64 MiB file that stands still, and a
-// transfer of 64 MiB from a node that never answers. Rounds with and without take turns;
-// the ratio is of the medians of their 99th percentiles.
+// BenchmarkBystanders measures the time of 500 pulls of small files, 20 at a time, with and without an
+// unrelated blocked transfer: a client of a 64 MiB file that stops reading, or a transfer of 64 MiB from a
+// node that never answers. Rounds with and without it alternate. The ratio is that of the medians of their
+// 99th percentiles.
 func BenchmarkBystanders(b *testing.B) {
 	for _, trouble := range []string{"standing-client", "silent-node"} {
 		b.Run(trouble, func(b *testing.B) {
@@ -349,7 +348,7 @@
 					g.site.State(fmt.Sprintf("node-%d", i), others)
 				}
 				g.site.State("node-3", last)
-				time.Sleep(300 * time.Millisecond) // for the news to reach the gateway
+				time.Sleep(300 * time.Millisecond) // until the list has reached the gateway
 			}
 			state("draining", "ready")
 			g.push(b, standin.ClientFile{Path: "big", Data: randomBytes(1, 64<<20), MTime: 1})
--- a/cmd/eiderhold/kill_test.go
+++ b/cmd/eiderhold/kill_test.go
@@ -18,7 +18,7 @@
 	"eiderhold/internal/standin"
 )
 
-// serveProcess starts a gateway's process on a settings file and returns its address.
+// startServe starts eiderhold serve as a process with a settings file and returns the gateway's address.
 func startServe(t *testing.T, file string) (*exec.Cmd, string) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "serve", "--config", file)
@@ -36,12 +36,12 @@
 	addr := strings.TrimSuffix(strings.TrimPrefix(strings.TrimSpace(line), "rsync://"), "/")
 	if addr == "" {
 		cmd.Wait()
-		t.Fatalf("serve does not start: %s", log.String())
+		t.Fatalf("serve did not start: %s", log.String())
 	}
 	return cmd, addr
 }
 
-// siteAndSettings starts nodes and writes a gateway's settings.
+// startSite starts three stand-in nodes and writes the settings file of a gateway for them.
 func startSite(t *testing.T, change func(*config.Config)) (*standin.Site, string) {
 	t.Helper()
 	site, err := standin.StartSite("", nil)
@@ -77,15 +77,15 @@
 	return p
 }
 
-// TestKilledInTheMiddle kills a gateway's process again and again while clients push
-// new versions of ten files and pull them back, and starts it on the same folder. What
-// a client was told was pushed is there; whatever is listed is whole.
+// TestKilledDuringPushes repeatedly kills a gateway's process while clients push new versions of ten files,
+// and restarts it on the same folder. Every push that was confirmed to a client must be there, and every
+// listed file must be complete. In the end the items that interrupted pushes left must be deleted.
 func TestKilledDuringPushes(t *testing.T) {
 	site, file := startSite(t, nil)
 	rng := rand.New(rand.NewSource(20261201))
 	const files = 10
-	version := make([]int, files)   // newest that a push was begun of
-	confirmed := make([]int, files) // newest that a client was told is there
+	version := make([]int, files)   // newest version of which a push was begun
+	confirmed := make([]int, files) // newest version that was confirmed to a client
 	bytesOf := func(i, v int) []byte { return randomBytes(int64(i*1000+v), 200_000+i*30_000) }
 	for round := range 6 {
 		cmd, addr := startServe(t, file)
@@ -106,7 +106,7 @@
 				}
 			}()
 		}
-		time.Sleep(time.Duration(150+rng.Intn(300)) * time.Millisecond) // some time into it, no matter when
+		time.Sleep(time.Duration(150+rng.Intn(300)) * time.Millisecond) // the exact moment does not matter
 		cmd.Process.Kill()
 		cmd.Wait()
 		cancel()
@@ -114,7 +114,7 @@
 
 		cmd, addr = startServe(t, file)
 		found := map[int]bool{}
-		for try := 0; ; try++ { // it may not know its nodes yet
+		for try := 0; ; try++ { // the gateway may not have its node list yet
 			rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
 			if err == nil && len(rep.Said) == 0 {
 				for _, f := range rep.Files {
@@ -154,7 +154,7 @@
 		t.Error("no push was ever confirmed")
 	}
 
-	// in the end what the kills left behind is collected
+	// The items that the kills left behind are deleted in the end.
 	cmd, _ := startServe(t, file)
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
 	want := 0
@@ -172,11 +172,11 @@
 			return
 		}
 	}
-	t.Errorf("%d items are at the nodes, %d belong to files", items, want)
+	t.Errorf("%d items on the nodes, want the %d that belong to files", items, want)
 }
 
-// TestSignals: SIGHUP takes new modules all or nothing, SIGTERM ends with 0, and two
-// processes never have one folder.
+// TestSignals checks that SIGHUP applies new modules completely or not at all, that SIGTERM ends with
+// status 0, and that two processes cannot use the same folder.
 func TestSignals(t *testing.T) {
 	_, file := startSite(t, nil)
 	cmd, addr := startServe(t, file)
@@ -190,7 +190,7 @@
 		if err := os.WriteFile(file+".new", []byte(strings.Replace(string(text), from, to, 1)), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.Rename(file+".new", file); err != nil { // never half of it
+		if err := os.Rename(file+".new", file); err != nil { // the gateway must not read a half-written file
 			t.Fatal(err)
 		}
 		cmd.Process.Signal(syscall.SIGHUP)
@@ -202,13 +202,13 @@
 	change("read_only = false", "read_only = true")
 	for limit := time.Now().Add(20 * time.Second); !readOnly(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("the reload was not taken")
+			t.Fatal("the reload was not applied")
 		}
 	}
-	change("read_only = false", "read_only = maybe") // nothing of it is taken
+	change("read_only = false", "read_only = maybe") // none of it is applied
 	change("tries = 4", "tries = 9")
 	if !readOnly() {
-		t.Error("a reload that could not be used changed something")
+		t.Error("an invalid reload changed the settings")
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
 	if err := cmd.Wait(); err != nil {
@@ -216,8 +216,8 @@
 	}
 }
 
-// TestRecordedRunReplays records a gateway in trouble until it is killed, and plays the
-// record to a fresh controller.
+// TestRecordedRunReplays records a gateway with a failing node until it is killed, and replays the record
+// on a new controller.
 func TestRecordedRunReplays(t *testing.T) {
 	site, file := startSite(t, func(c *config.Config) {
 		c.Recorder.On, c.Recorder.FileSize = true, 1<<16
@@ -232,7 +232,7 @@
 			for k := range 6 {
 				f := standin.ClientFile{Path: fmt.Sprint("f", i), Data: randomBytes(int64(i), 300_000), MTime: int64(k + 1)}
 				c := &standin.Client{Addr: addr, Timeout: 2 * time.Second}
-				c.Push(context.Background(), "records", "", []standin.ClientFile{f}) // some fail: that is the point
+				c.Push(context.Background(), "records", "", []standin.ClientFile{f}) // some fail, which the record has to cover too
 				(&standin.Client{Addr: addr, Timeout: 2 * time.Second}).Pull(context.Background(), "records", "", nil)
 				if i == 0 && k == 2 {
 					site.Node("node-1").Set(func(x *standin.Trouble) { x.ErrorPart, x.LostPart = 0.3, 0.2 })
@@ -252,11 +252,12 @@
 		t.Errorf("status %d: %s", status, out)
 	}
 	if out, status = runProgram(t, "replay", files[1]); status != exitError || !strings.Contains(out, "an earlier file is missing") {
-		t.Errorf("without its beginning: status %d: %s", status, out)
+		t.Errorf("without the first file: status %d: %s", status, out)
 	}
 }
 
-// TestSecondSignalEndsAtOnce: a transfer that will not end keeps the first one waiting.
+// TestSecondSignalEndsAtOnce checks that a second SIGTERM ends a gateway that still waits for a transfer that
+// cannot end.
 func TestSecondSignalEndsAtOnce(t *testing.T) {
 	site, file := startSite(t, nil)
 	cmd, addr := startServe(t, file)
@@ -281,18 +282,18 @@
 	before := arrived()
 	go (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "f", nil)
 	for limit := time.Now().Add(20 * time.Second); arrived() == before; time.Sleep(time.Millisecond) {
-		if time.Now().After(limit) { // only a transfer that is under way keeps the first signal waiting
-			t.Fatal("no request of the transfer came to a node")
+		if time.Now().After(limit) { // the first signal waits only for a transfer that has begun
+			t.Fatal("no request of the transfer reached a node")
 		}
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
-	closed := func() bool { // the first signal was taken: new clients are sent away
+	closed := func() bool { // the first signal was handled: new clients are rejected
 		rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
 		return rep.Exit(err) == 5
 	}
 	for limit := time.Now().Add(20 * time.Second); !closed(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(limit) {
-			t.Fatal("the first signal was not taken")
+			t.Fatal("the first signal was not handled")
 		}
 	}
 	cmd.Process.Signal(syscall.SIGTERM)
@@ -301,9 +302,9 @@
 	}
 }
 
-// TestKilledWhileNodesFill: clients fill three nodes while the gateway's process is killed again and
-// again. What was confirmed is there and whole, the catalogue counts it, all being full pushes are refused
-// with the cause, and when one gets room again they are taken.
+// TestKilledWhileNodesFill fills three nodes while the gateway's process is killed repeatedly. Files that were
+// confirmed must be there and complete. Once all nodes are full, pushes must be refused with the cause, and
+// they must be accepted again when a node has room.
 func TestKilledWhileNodesFill(t *testing.T) {
 	const nodes, size = 3, 100_000
 	site, file := startSite(t, nil)
@@ -333,7 +334,7 @@
 			next++
 		}
 		done := make(chan bool)
-		go func() { // one is under way as the process ends
+		go func() { // a push is in progress when the process is killed
 			ok, _ := push(addr, next)
 			done <- ok
 		}()
@@ -370,7 +371,7 @@
 	}
 	for _, n := range confirmed {
 		if !whole[fmt.Sprint("f", n)] {
-			t.Errorf("f%d was confirmed and is not there, or not whole", n)
+			t.Errorf("f%d was confirmed but is missing or incomplete", n)
 		}
 	}
 	if len(whole) < 15 || len(whole) > 24 {
@@ -384,7 +385,7 @@
 			break
 		}
 		if time.Now().After(limit) {
-			t.Fatalf("there is room: %q", said)
+			t.Fatalf("refused although a node has room: %q", said)
 		}
 	}
 }
--- a/cmd/eiderhold/live_test.go
+++ b/cmd/eiderhold/live_test.go
@@ -17,7 +17,7 @@
 	"eiderhold/internal/standin"
 )
 
-// liveProcess starts the program as the platform does, without a writable folder and with so many descriptors.
+// startLive starts the program as the platform does: without a writable folder and with a limit on descriptors.
 func startLive(t *testing.T, agent *standin.Agent, sockets int, known string) (cmd *exec.Cmd, addr string, log *standin.Log) {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -46,7 +46,7 @@
 	return cmd, addr, log
 }
 
-// ready waits until the host says that it is.
+// waitUntilReady waits until the host's health check succeeds.
 func waitUntilReady(addr string) {
 	for {
 		resp, err := http.Get("http://" + addr + "/_health")
@@ -71,11 +71,11 @@
 	return a
 }
 
-// TestLiveProcess starts the program, sends it SIGHUP from its first moment on, and ends it with SIGTERM: status 0.
+// TestLiveProcess sends SIGHUP as soon as the program runs and ends it with SIGTERM, which must give status 0.
 func TestLiveProcess(t *testing.T) {
 	agent := newAgent(t, "")
 	cmd, addr, log := startLive(t, agent, 256, standin.List(1, true, standin.Target("s-1", "127.0.0.1:9", 0, "active", 0)))
-	agent.Next() // it runs
+	agent.Next() // the program runs
 	if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
@@ -89,11 +89,11 @@
 	}
 }
 
-// TestTermBeforeReady: SIGTERM before there is any list ends the host with status 0 all the same.
+// TestTermBeforeReady checks that SIGTERM ends a host that has no node list yet with status 0.
 func TestTermBeforeReady(t *testing.T) {
 	agent := newAgent(t, "")
 	cmd, _, log := startLive(t, agent, 256, standin.List(1, true))
-	agent.Next() // it runs, and asks for the whole list, which it does not get
+	agent.Next() // the program runs and requests the full list, which it does not get
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -103,8 +103,9 @@
 	}
 }
 
-// TestDescriptors: idle clients, many more than the process has descriptors, fill it while discovery is down. The
-// list is reached as discovery is back, a node opened anew, and each request on a connection that was taken is answered.
+// TestDescriptorLimit opens many more idle connections than the process has descriptors while discovery is down.
+// When discovery is back, the host must still get the list and connect to the new node, and every request on an
+// accepted connection must be answered.
 func TestDescriptorLimit(t *testing.T) {
 	node, err := standin.NewHTTPNode(func(s standin.Seen) standin.Reply { return standin.Reply{Text: standin.Served("x")} })
 	if err != nil {
@@ -117,7 +118,7 @@
 	waitUntilReady(addr)
 	var c net.Conn
 	var answers *bufio.Reader
-	ask := func(n int) int { // on the connection that stands, on another one where the last answer ended it
+	ask := func(n int) int { // on the open connection, or on a new one if the last answer closed it
 		t.Helper()
 		if c == nil {
 			if c, err = net.Dial("tcp", addr); err != nil {
@@ -139,8 +140,8 @@
 		}
 		return resp.StatusCode
 	}
-	if s := ask(0); s != 503 { // no node has its shard yet
-		t.Fatalf("%d", s)
+	if s := ask(0); s != 503 { // no node holds its shard yet
+		t.Fatalf("status %d, want 503", s)
 	}
 	agent.Close()
 	watch.Conn.Close()
@@ -152,7 +153,7 @@
 		}
 		defer idle.Close()
 	}
-	for i := range 20 { // at the ceiling
+	for i := range 20 { // at the limit of descriptors
 		ask(i)
 	}
 	newAgent(t, agent.Addr()).Next().Line(standin.List(2, false, standin.Target("s-2", node.Addr(), 0, "active", 0)))
--- a/cmd/eiderhold/main_test.go
+++ b/cmd/eiderhold/main_test.go
@@ -14,9 +14,10 @@
 	"eiderhold/internal/rehearsal"
 )
 
+// runMainEnv is the environment variable with which the test binary runs as the program.
 const runMainEnv = "EIDERHOLD_TEST_AS_PROGRAM"
 
-// TestMain lets this test binary be the program, for processes that a test starts.
+// TestMain runs the program instead of the tests if runMainEnv is set, for processes that tests start.
 func TestMain(m *testing.M) {
 	if os.Getenv(runMainEnv) != "" {
 		os.Exit(run(context.Background(), os.Args[1:]))
@@ -24,19 +25,19 @@
 	os.Exit(m.Run())
 }
 
-// program runs the program and returns its output and exit status.
+// runProgram runs the program and returns its output and exit status.
 func runProgram(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
-	_ = cmd.Run() // its status is what counts
+	_ = cmd.Run() // the exit status is returned
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
-// TestDays plays the scripted bad day, and one with every kind of trouble, with their
-// seeds: no rule may break.
+// TestDays runs two scripted days with their own seeds: bad-day, and one with every kind of trouble. No rule
+// may be broken.
 func TestDays(t *testing.T) {
 	for name, rules := range map[string][]int{"bad-day": {1, 2, 3, 4, 5, 7}, "all-troubles": {1, 2, 3, 4, 7}} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +56,7 @@
 			}
 			for _, rule := range rules {
 				if res.Report.Checked[rule] == 0 {
-					t.Errorf("rule %d: nothing was looked at", rule)
+					t.Errorf("rule %d: nothing was checked", rule)
 				}
 			}
 			t.Logf("service %.3f of %.0f due; transfers %v", res.Report.Total.Part(), res.Report.Total.Due, res.Report.Transfers)
@@ -63,7 +64,7 @@
 	}
 }
 
-// TestDayFiles: what cannot be played is said with its place.
+// TestDayFiles checks that the errors of invalid days name the file and the setting.
 func TestDayFiles(t *testing.T) {
 	good, err := os.ReadFile("../../testdata/bad-day.toml")
 	if err != nil {
@@ -99,12 +100,12 @@
 		t.Fatal(err)
 	}
 	if out, status := runProgram(t, "config", "check", file); status != exitOK {
-		t.Errorf("the default is not good: %d %s", status, out)
+		t.Errorf("the default is not valid: %d %s", status, out)
 	}
 	shown, status := runProgram(t, "config", "show", file)
-	shown = strings.ReplaceAll(shown, filepath.Join(dir, "eiderhold-data"), "eiderhold-data") // taken from where the file lies
+	shown = strings.ReplaceAll(shown, filepath.Join(dir, "eiderhold-data"), "eiderhold-data") // config show prints the folder relative to the file
 	if status != exitOK || shown != text {
-		t.Errorf("show of the default differs from it: %d", status)
+		t.Errorf("config show of the default settings differs from them: %d", status)
 	}
 	secrets := filepath.Join(dir, "secrets")
 	if err := os.WriteFile(secrets, []byte("anna:pw\n"), 0o644); err != nil {
@@ -155,7 +156,7 @@
 	}
 }
 
-// TestAuditCommand breaks a rule on purpose in records on disk.
+// TestAuditCommand checks that audit reports a rule that is broken in records on disk.
 func TestAuditCommand(t *testing.T) {
 	dir := t.TempDir()
 	w, err := audit.Create(dir, "sockets")
--- a/cmd/eiderhold/map_test.go
+++ b/cmd/eiderhold/map_test.go
@@ -11,8 +11,8 @@
 	"eiderhold/internal/mapfile"
 )
 
-// TestMapCommands: two snapshots, of which the second has a range elsewhere, are shown, looked up, compared,
-// exported and read back; a damaged one is found, and what lies in its other blocks is still shown.
+// TestMapCommands runs the map commands on two snapshots, of which the second has a range moved, and on a damaged
+// one. The damage must be found, and the contents of the intact blocks must still be shown.
 func TestMapCommands(t *testing.T) {
 	dir := t.TempDir()
 	path := func(name string) string { return filepath.Join(dir, name) }
@@ -72,6 +72,6 @@
 	var s mapSummary
 	if err := json.Unmarshal([]byte(out[strings.Index(out, "{"):]), &s); err != nil || status != exitOK || len(s.Damaged) != 1 ||
 		len(s.Volumes) != 1 || s.Volumes[0].Runs == 0 || s.Volumes[0].Runs >= s.Runs {
-		t.Errorf("show of a damaged one: %d, %v: %+v", status, err, s)
+		t.Errorf("show of a damaged snapshot: %d, %v: %+v", status, err, s)
 	}
 }
--- a/cmd/eiderhold/moves_test.go
+++ b/cmd/eiderhold/moves_test.go
@@ -12,9 +12,9 @@
 	"eiderhold/internal/standin"
 )
 
-// TestKilledWhileDataMoves: a node joins three that hold all, and the gateway's process is killed again and again
-// while it moves data there, at steps that the copies on the new node show. In the end all is there and whole, and
-// no item lies on two nodes.
+// TestKilledWhileDataMoves adds a node to three that hold all data and repeatedly kills the gateway's process while
+// it moves data there, each time after a further copy on the new node. In the end all files must be complete and no
+// item may remain on two nodes.
 func TestKilledWhileDataMoves(t *testing.T) {
 	const files, size = 30, 30_000
 	site, settings := startSite(t, func(c *config.Config) { c.Moves.Rate = 400_000 })
@@ -73,7 +73,7 @@
 		}
 		return strings.Contains(out, "moves begun")
 	})
-	for kill := range 5 { // each a little further on
+	for kill := range 5 { // each after one more copy
 		waitFor("copies on the new node", func() bool { return newDisk.Items() > kill })
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
--- a/cmd/eiderhold/shares_test.go
+++ b/cmd/eiderhold/shares_test.go
@@ -16,7 +16,7 @@
 	"eiderhold/forecast"
 )
 
-// TestSharesCommands solves a file, values the answer, and refuses what cannot be.
+// TestSharesCommands solves a problem, evaluates the answer, and checks the errors of invalid problems and answers.
 func TestSharesCommands(t *testing.T) {
 	const file = "../../testdata/shares/small.toml"
 	if out, status := runProgram(t, "shares", "check", file); status != exitOK || !strings.Contains(out, "4 volumes, 3 nodes") {
@@ -65,7 +65,7 @@
 	lines := strings.Split(string(text), "\n")
 	for _, c := range none.Conflict {
 		if c.Name != "v4" || !strings.HasPrefix(strings.Replace(lines[c.Line-1], "forbid", "require", 1), c.Kind+" =") {
-			t.Errorf("conflict %+v stands on %q", c, lines[c.Line-1])
+			t.Errorf("conflict %+v points to line %q", c, lines[c.Line-1])
 		}
 	}
 	for _, c := range []struct {
@@ -95,12 +95,12 @@
 		t.Fatal(err)
 	}
 	if out, status := runProgram(t, "shares", "evaluate", file, answer); status != exitNegative || !strings.Contains(out, "infeasible: volume") {
-		t.Errorf("a placement that cannot be: %d %s", status, out)
+		t.Errorf("an infeasible placement: %d %s", status, out)
 	}
 }
 
-// TestSharesOverTime draws a fleet, solves and saves it, loses a node, works it out anew, and
-// compares, explains and relaxes; each with its exit status.
+// TestSharesAfterNodeLoss generates a problem, solves and saves it, resolves it after the loss of a node, and
+// runs diff, explain and solve --relax. It checks the exit status of each.
 func TestSharesAfterNodeLoss(t *testing.T) {
 	dir := t.TempDir()
 	in := func(name string) string { return filepath.Join(dir, name) }
@@ -114,7 +114,7 @@
 	}
 	drawn := want(exitOK, "[[volumes]]", "generate", "--volumes", "30", "--nodes", "6", "--zones", "2", "--load", "0.6")
 	if drawn != want(exitOK, "", "generate", "--volumes", "30", "--nodes", "6", "--zones", "2", "--load", "0.6") {
-		t.Error("the same flags draw another problem")
+		t.Error("the same flags generated another problem")
 	}
 	if err := os.WriteFile(in("fleet.toml"), []byte(drawn), 0o644); err != nil {
 		t.Fatal(err)
@@ -154,11 +154,11 @@
 	want(exitOK, "left out, since not all can be met: ", "solve", in("tight.toml"), "--steps", "10", "--relax")
 }
 
-// TestSharesGather merges what two gateways saw and plans for it.
+// TestSharesGather merges the records of two gateways and writes the demands into a problem file.
 func TestSharesGather(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
-	for _, g := range []string{"g", "h", "g"} { // one comes twice
+	for _, g := range []string{"g", "h", "g"} { // one record is given twice
 		b, err := forecast.NewBook(forecast.Settings{Gateway: g, Slot: time.Minute, Days: 2, Most: 10}, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestSharesInterrupted: Ctrl-C ends a search that would go on for hours with its best so
-// far, and an exact one with what it has and status 1.
+// TestSharesInterrupted checks that Ctrl-C ends a search of hours with the best placement so far, and an exact
+// search with status 1.
 func TestSharesInterrupted(t *testing.T) {
 	drawn, status := runProgram(t, "shares", "generate", "--volumes", "60", "--nodes", "12", "--spread", "3", "--load", "1.2")
 	fleet := filepath.Join(t.TempDir(), "fleet.toml")
@@ -228,7 +228,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		searching := func() bool { // half a second of processor time: it is long past its start
+		searching := func() bool { // after half a second of CPU time it is well past its start
 			b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", cmd.Process.Pid))
 			if err != nil {
 				t.Fatal(err)
@@ -242,13 +242,13 @@
 		}
 		for limit := time.Now().Add(20 * time.Second); !searching(); time.Sleep(time.Millisecond) {
 			if time.Now().After(limit) {
-				t.Fatal("it does not search")
+				t.Fatal("the search did not begin")
 			}
 		}
 		if err := cmd.Process.Signal(syscall.SIGINT); err != nil {
 			t.Fatal(err)
 		}
-		_ = cmd.Wait() // its status is what counts
+		_ = cmd.Wait() // the exit status is checked below
 		if got := cmd.ProcessState.ExitCode(); got != c.status || !strings.Contains(out.String(), c.want) {
 			t.Errorf("%v: status %d, want %d and %q: %.2000s", c.args, got, c.status, c.want, out.String())
 		}
