--- a/cmd/eiderhold/moves.go
+++ b/cmd/eiderhold/moves.go
@@ -64,7 +64,7 @@
 					Undone int `json:"undone"`
 				}{started, undone})
 			} else if started.Moves == 0 {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", started.Plan.Why)
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", started.Plan.Reason)
 			} else {
 				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", started.Moves, len(started.Plan.Moves))
 			}
--- a/cmd/eiderhold/shares.go
+++ b/cmd/eiderhold/shares.go
@@ -133,18 +133,18 @@
 		ctx, cancel = context.WithTimeout(ctx, f.within)
 		defer cancel()
 	}
-	var found *shares.Found
+	var found *shares.SearchResult
 	var leftOut []string
 	var trace searchTrace
 	switch {
 	case f.plain != "":
-		solve, plainErr := shares.Plain(f.plain)
+		solve, plainErr := shares.Baseline(f.plain)
 		if plainErr != nil {
 			return fmt.Errorf("--plain %w", plainErr)
 		}
 		var a *shares.Answer
 		if a, err = solve(p); a != nil {
-			found = &shares.Found{Answer: a, Bound: shares.Bound(p)}
+			found = &shares.SearchResult{Answer: a, Bound: shares.Bound(p)}
 		}
 	case f.relax:
 		steps := f.steps
@@ -158,7 +158,7 @@
 		found, trace, err = f.search(ctx, p)
 	}
 	if found == nil {
-		if errors.Is(err, shares.ErrNone) || errors.Is(err, shares.ErrNotFound) {
+		if errors.Is(err, shares.ErrInfeasible) || errors.Is(err, shares.ErrNotFound) {
 			err = errors.Join(showConflict(cmd.OutOrStdout(), file, p, f.exact, f.steps, f.output), err)
 		}
 		return negativeResult{err}
@@ -174,7 +174,7 @@
 	return f.save.write(cmd, p, found)
 }
 
-func (f *solveFlags) solveExactly(ctx context.Context, cmd *cobra.Command, p *shares.Problem) (*shares.Found, error) {
+func (f *solveFlags) solveExactly(ctx context.Context, cmd *cobra.Command, p *shares.Problem) (*shares.SearchResult, error) {
 	if !cmd.Flags().Changed("steps") {
 		f.steps = 0
 	}
@@ -182,7 +182,7 @@
 	if a == nil {
 		return nil, err
 	}
-	found := &shares.Found{Answer: a, Bound: a.Value}
+	found := &shares.SearchResult{Answer: a, Bound: a.Value}
 	if err != nil { // the search was cut short: the answer is not proven to be the highest
 		found.Bound = shares.Bound(p)
 	}
@@ -198,7 +198,7 @@
 const clockCheckSteps = 500 // search steps between two checks of the clock and of the context
 
 // search runs a search until its steps are used up or ctx is done, and shows its progress.
-func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.Found, searchTrace, error) {
+func (f *solveFlags) search(ctx context.Context, p *shares.Problem) (*shares.SearchResult, searchTrace, error) {
 	start := time.Now()
 	var trace searchTrace
 	solver, err := shares.NewSolver(p, f.seed)
@@ -241,13 +241,13 @@
 				return err
 			}
 			a, err := shares.Evaluate(p, placement)
-			if errors.As(err, new(*shares.Infeasible)) {
+			if errors.As(err, new(*shares.InfeasibleError)) {
 				return negativeResult{err}
 			}
 			if err != nil {
 				return err
 			}
-			return showAnswer(cmd.OutOrStdout(), p, &shares.Found{Answer: a, Bound: shares.Bound(p)}, nil, output)
+			return showAnswer(cmd.OutOrStdout(), p, &shares.SearchResult{Answer: a, Bound: shares.Bound(p)}, nil, output)
 		},
 	}
 	c.Flags().StringVar(&output, "output", "text", "text or json")
@@ -315,7 +315,7 @@
 }
 
 // showAnswer prints an answer with its bound and the volumes that were left out.
-func showAnswer(w io.Writer, p *shares.Problem, found *shares.Found, leftOut []string, output string) error {
+func showAnswer(w io.Writer, p *shares.Problem, found *shares.SearchResult, leftOut []string, output string) error {
 	if output == "json" {
 		byVolume := map[string]map[string]int64{}
 		for _, x := range found.Parts {
--- a/cmd/eiderhold/shares_gather.go
+++ b/cmd/eiderhold/shares_gather.go
@@ -50,7 +50,7 @@
 				}
 				merged = r
 			}
-			demands, err := forecast.Demands(merged, quantile, halfLife)
+			demands, err := forecast.EstimateDemands(merged, quantile, halfLife)
 			if err != nil {
 				return err
 			}
@@ -76,7 +76,7 @@
 			fmt.Fprintln(t, "volume\tdemand\tmean\tpeak\tgateways\tdays")
 			for _, v := range slices.Sorted(maps.Keys(demands)) {
 				d := demands[v]
-				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.2f\n", v, d.Milli, d.Mean, d.Peak, d.Gateways, d.Days)
+				fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%.2f\n", v, d.AtQuantile, d.Mean, d.Peak, d.Gateways, d.Days)
 			}
 			return t.Flush()
 		},
@@ -97,7 +97,7 @@
 	}
 	for i := range p.Volumes {
 		if d, ok := demands[p.Volumes[i].ID]; ok {
-			p.Volumes[i].Demand = min(d.Milli, shares.MostFlow)
+			p.Volumes[i].Demand = min(d.AtQuantile, shares.MaxFlow)
 		}
 	}
 	b, err := problemText(p)
@@ -121,7 +121,7 @@
 }
 
 func sharesGenerate() *cobra.Command {
-	d := shares.Draw{}
+	d := shares.GenerateOptions{}
 	c := &cobra.Command{
 		Use:     "generate",
 		Short:   "Generate a random problem for trying out the solver",
@@ -146,7 +146,7 @@
 	c.Flags().Uint64Var(&d.Seed, "seed", 1, "seed of the random numbers")
 	c.Flags().Float64Var(&d.Skew, "skew", 0.7, "Zipf exponent of the demands by rank; 0: all demands are equal")
 	c.Flags().Float64Var(&d.Load, "load", 0.8, "total demand over total usable capacity")
-	c.Flags().Int64Var(&d.Unequal, "unequal", 4, "capacity of the largest node over that of the smallest")
+	c.Flags().Int64Var(&d.MaxCapacityRatio, "unequal", 4, "capacity of the largest node over that of the smallest")
 	c.Flags().IntVar(&d.Spread, "spread", 2, "most nodes that a volume is placed on")
 	c.Flags().BoolVar(&d.Costs, "costs", false, "give the nodes of one zone a cost")
 	c.Flags().BoolVar(&d.Placed, "placed", false, "give volumes a present placement on random nodes")
