--- a/cmd/eiderhold/main_test.go
+++ b/cmd/eiderhold/main_test.go
@@ -14,29 +14,30 @@
 	"eiderhold/internal/rehearsal"
 )
 
-const asProgram = "EIDERHOLD_TEST_AS_PROGRAM"
+// runMainEnv is the environment variable with which the test binary runs as the program.
+const runMainEnv = "EIDERHOLD_TEST_AS_PROGRAM"
 
-// TestMain lets this test binary be the program, for processes that a test starts.
+// TestMain runs the program instead of the tests if runMainEnv is set, for processes that tests start.
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runMainEnv) != "" {
 		os.Exit(run(context.Background(), os.Args[1:]))
 	}
 	os.Exit(m.Run())
 }
 
-// program runs the program and returns its output and exit status.
-func program(t *testing.T, args ...string) (string, int) {
+// runProgram runs the program and returns its output and exit status.
+func runProgram(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), asProgram+"=1")
+	cmd.Env = append(os.Environ(), runMainEnv+"=1")
 	var out bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &out
-	_ = cmd.Run() // its status is what counts
+	_ = cmd.Run() // the exit status is returned
 	return out.String(), cmd.ProcessState.ExitCode()
 }
 
-// TestDays plays the scripted bad day, and one with every kind of trouble, with their
-// seeds: no rule may break.
+// TestDays runs two scripted days with their own seeds: bad-day, and one with every kind of trouble. No rule
+// may be broken.
 func TestDays(t *testing.T) {
 	for name, rules := range map[string][]int{"bad-day": {1, 2, 3, 4, 5, 7}, "all-troubles": {1, 2, 3, 4, 7}} {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +47,7 @@
 				t.Fatal(err)
 			}
 			res, err := rehearsal.Run(context.Background(), day, rehearsal.Options{Dir: filepath.Join(t.TempDir(), "day"),
-				Command: []string{os.Args[0], "serve"}, Env: []string{asProgram + "=1"}})
+				Command: []string{os.Args[0], "serve"}, Env: []string{runMainEnv + "=1"}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -55,7 +56,7 @@
 			}
 			for _, rule := range rules {
 				if res.Report.Checked[rule] == 0 {
-					t.Errorf("rule %d: nothing was looked at", rule)
+					t.Errorf("rule %d: nothing was checked", rule)
 				}
 			}
 			t.Logf("service %.3f of %.0f due; transfers %v", res.Report.Total.Part(), res.Report.Total.Due, res.Report.Transfers)
@@ -63,7 +64,7 @@
 	}
 }
 
-// TestDayFiles: what cannot be played is said with its place.
+// TestDayFiles checks that the errors of invalid days name the file and the setting.
 func TestDayFiles(t *testing.T) {
 	good, err := os.ReadFile("../../testdata/bad-day.toml")
 	if err != nil {
@@ -89,8 +90,8 @@
 }
 
 func TestConfigCommands(t *testing.T) {
-	text, status := program(t, "config", "default")
-	if status != exitDone || !strings.Contains(text, "# Unique among the gateways") {
+	text, status := runProgram(t, "config", "default")
+	if status != exitOK || !strings.Contains(text, "# Unique among the gateways") {
 		t.Fatalf("status %d: %s", status, text)
 	}
 	dir := t.TempDir()
@@ -98,13 +99,13 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if out, status := program(t, "config", "check", file); status != exitDone {
-		t.Errorf("the default is not good: %d %s", status, out)
+	if out, status := runProgram(t, "config", "check", file); status != exitOK {
+		t.Errorf("the default is not valid: %d %s", status, out)
 	}
-	shown, status := program(t, "config", "show", file)
-	shown = strings.ReplaceAll(shown, filepath.Join(dir, "eiderhold-data"), "eiderhold-data") // taken from where the file lies
-	if status != exitDone || shown != text {
-		t.Errorf("show of the default differs from it: %d", status)
+	shown, status := runProgram(t, "config", "show", file)
+	shown = strings.ReplaceAll(shown, filepath.Join(dir, "eiderhold-data"), "eiderhold-data") // config show prints the folder relative to the file
+	if status != exitOK || shown != text {
+		t.Errorf("config show of the default settings differs from them: %d", status)
 	}
 	secrets := filepath.Join(dir, "secrets")
 	if err := os.WriteFile(secrets, []byte("anna:pw\n"), 0o644); err != nil {
@@ -127,7 +128,7 @@
 		if err := os.WriteFile(file, []byte(c.text), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if out, status := program(t, "config", "check", file); status != exitShort || !strings.Contains(out, c.want) {
+		if out, status := runProgram(t, "config", "check", file); status != exitNegative || !strings.Contains(out, c.want) {
 			t.Errorf("%s: status %d, want %q in %s", name, status, c.want, out)
 		}
 	}
@@ -149,13 +150,13 @@
 		{[]string{"register", "--node", "x"}, "ID=SHARD@HOST:PORT"},
 		{[]string{"fly"}, "unknown command"},
 	} {
-		if out, status := program(t, c.args...); status != exitNot || !strings.Contains(out, c.want) {
+		if out, status := runProgram(t, c.args...); status != exitError || !strings.Contains(out, c.want) {
 			t.Errorf("%v: status %d, want %q in %s", c.args, status, c.want, out)
 		}
 	}
 }
 
-// TestAuditCommand breaks a rule on purpose in records on disk.
+// TestAuditCommand checks that audit reports a rule that is broken in records on disk.
 func TestAuditCommand(t *testing.T) {
 	dir := t.TempDir()
 	w, err := audit.Create(dir, "sockets")
@@ -170,9 +171,9 @@
 	if err := (&audit.Rules{}).Save(dir); err != nil {
 		t.Fatal(err)
 	}
-	out, status := program(t, "audit", dir, "--output", "json")
+	out, status := runProgram(t, "audit", dir, "--output", "json")
 	var rep audit.Report
-	if err := json.NewDecoder(strings.NewReader(out)).Decode(&rep); err != nil || status != exitShort ||
+	if err := json.NewDecoder(strings.NewReader(out)).Decode(&rep); err != nil || status != exitNegative ||
 		len(rep.Breaches) != 1 || rep.Breaches[0].Rule != 2 {
 		t.Errorf("status %d, %v: %s", status, err, out)
 	}
--- a/cmd/eiderhold/map.go
+++ b/cmd/eiderhold/map.go
@@ -17,24 +17,24 @@
 	"eiderhold/internal/mapfile"
 )
 
-// mapRuns is the ceiling of maps that commands read.
-const mapRuns = 1 << 28
+// maxMapRuns is the largest number of runs in a map that commands read.
+const maxMapRuns = 1 << 28
 
 func mapCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "map",
-		Short: "Look into snapshots of the extent map",
-		Long: `Look into snapshots of the extent map: which shard, and which epoch of its node, holds each extent of
-a volume, as of a version of the map. The layout is in docs/format/mapfile.md.`,
+		Short: "Inspect snapshots of the extent map",
+		Long: `Inspect snapshots of the extent map. A snapshot records, for one version of the map, which shard and which
+epoch of its node hold each extent of a volume. The layout is in docs/format/mapfile.md.`,
 		Example: "  eiderhold map show map.snapshot\n  eiderhold map lookup map.snapshot records 1234",
 	}
 	c.AddCommand(mapShow(), mapLookup(), mapDiff(), mapVerify(), mapExport(), mapImport())
 	return c
 }
 
-// readMap reads a snapshot whole. Blocks that cannot be read are told on w, and left out.
+// readMap reads a snapshot. Damaged blocks are reported on w and left out.
 func readMap(w io.Writer, file string) (mapfile.Header, *extentmap.View, []mapfile.Damage, error) {
-	m, err := extentmap.New(mapRuns)
+	m, err := extentmap.New(maxMapRuns)
 	if err != nil {
 		return mapfile.Header{}, nil, nil, err
 	}
@@ -48,16 +48,17 @@
 	return h, m.View(), damaged, nil
 }
 
-// mapSums is what show prints.
-type mapSums struct {
+// mapSummary is the output of map show.
+type mapSummary struct {
 	mapfile.Header
 	Bytes   uint64           `json:"bytes"`
-	Volumes []mapSum         `json:"volumes"`
-	Homes   []mapSum         `json:"homes"`
+	Volumes []mapCounts      `json:"volumes"`
+	Homes   []mapCounts      `json:"homes"`
 	Damaged []mapfile.Damage `json:"damaged,omitempty"`
 }
 
-type mapSum struct {
+// mapCounts holds the counts of a volume, or of an epoch of a shard.
+type mapCounts struct {
 	Volume string `json:"volume,omitempty"`
 	Shard  *int32 `json:"shard,omitempty"`
 	Epoch  uint32 `json:"epoch,omitempty"`
@@ -68,7 +69,7 @@
 	var output string
 	c := &cobra.Command{
 		Use:     "show FILE",
-		Short:   "Show what a snapshot holds, by volume and by shard",
+		Short:   "Show the contents of a snapshot by volume and by shard",
 		Example: "  eiderhold map show map.snapshot --output json",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -79,7 +80,7 @@
 			if err != nil {
 				return err
 			}
-			s := mapSums{Header: h, Bytes: mapfile.HeaderBytes + uint64(h.Blocks)*mapfile.BlockBytes, Damaged: damaged}
+			s := mapSummary{Header: h, Bytes: mapfile.HeaderBytes + uint64(h.Blocks)*mapfile.BlockBytes, Damaged: damaged}
 			volumes := map[string]extentmap.Sum{}
 			v.All(func(r extentmap.Run) bool {
 				if r.Shard != extentmap.Nowhere {
@@ -89,13 +90,13 @@
 				return true
 			})
 			for _, name := range slices.Sorted(maps.Keys(volumes)) {
-				s.Volumes = append(s.Volumes, mapSum{Volume: name, Sum: volumes[name]})
+				s.Volumes = append(s.Volumes, mapCounts{Volume: name, Sum: volumes[name]})
 			}
 			homes := v.Shards()
 			for _, h := range slices.SortedFunc(maps.Keys(homes), func(a, b extentmap.Home) int {
 				return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Epoch, b.Epoch))
 			}) {
-				s.Homes = append(s.Homes, mapSum{Shard: &h.Shard, Epoch: h.Epoch, Sum: homes[h]})
+				s.Homes = append(s.Homes, mapCounts{Shard: &h.Shard, Epoch: h.Epoch, Sum: homes[h]})
 			}
 			if output == "json" {
 				return printJSON(cmd.OutOrStdout(), s)
@@ -107,7 +108,7 @@
 	return c
 }
 
-func printMap(w io.Writer, file string, s *mapSums) error {
+func printMap(w io.Writer, file string, s *mapSummary) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	_, _ = fmt.Fprintf(t, "%s: version %d of term %d, %s extents in %s runs, %d blocks, %s\n\nvolume\truns\textents\n",
 		file, s.Version, s.Term, humanize.Comma(int64(s.Extents)), humanize.Comma(int64(s.Runs)), s.Blocks, humanize.IBytes(s.Bytes))
@@ -132,9 +133,9 @@
 	var output string
 	c := &cobra.Command{
 		Use:   "lookup FILE VOLUME EXTENT",
-		Short: "Say where an extent lies",
-		Long: `Say where an extent lies, and which of its neighbours lie there too.
-Exit status: 0 it is known, 1 it is not in the snapshot, 2 the snapshot could not be read.`,
+		Short: "Show where an extent is stored",
+		Long: `Show the shard and epoch that hold an extent, and the range of extents around it with the same location.
+Exit status: 0 the extent was found, 1 it is not in the snapshot, 2 the snapshot could not be read.`,
 		Example: "  eiderhold map lookup map.snapshot records 1234",
 		Args:    cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -143,7 +144,7 @@
 			}
 			extent, err := strconv.ParseUint(args[2], 10, 64)
 			if err != nil {
-				return fmt.Errorf("EXTENT %q: a number from 0 on", args[2])
+				return fmt.Errorf("EXTENT %q: expected a number from 0 on", args[2])
 			}
 			_, v, _, err := readMap(cmd.ErrOrStderr(), args[0])
 			if err != nil {
@@ -155,7 +156,7 @@
 			}
 			switch {
 			case found == nil:
-				return short{fmt.Errorf("%s: extent %d of %q is not known there", args[0], extent, args[1])}
+				return negativeResult{fmt.Errorf("%s: extent %d of %q is not known there", args[0], extent, args[1])}
 			case output == "json":
 				return printJSON(cmd.OutOrStdout(), found)
 			}
@@ -170,33 +171,34 @@
 
 func mapDiff() *cobra.Command {
 	var output string
-	var most int
+	var maxRanges int
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
-		Short: "Show which extents lie elsewhere in another snapshot",
-		Long: `Show the ranges that two snapshots know differently: moved, known to one only, or on another epoch of their
-node. Exit status: 0 none differs, 1 some do, 2 a snapshot could not be read.`,
+		Short: "Show which extents have different locations in two snapshots",
+		Long: `Show the ranges that differ between two snapshots: those that were moved, are known to only one, or are on
+another epoch of their node.
+Exit status: 0 no range differs, 1 some ranges differ, 2 a snapshot could not be read.`,
 		Example: "  eiderhold map diff yesterday.snapshot today.snapshot --most 20",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := checkOutput(output); err != nil {
 				return err
 			}
-			if most < 1 {
-				return fmt.Errorf("--most %d: at least 1", most)
+			if maxRanges < 1 {
+				return fmt.Errorf("--most %d: expected at least 1", maxRanges)
 			}
-			_, was, _, err := readMap(cmd.ErrOrStderr(), args[0])
+			_, oldMap, _, err := readMap(cmd.ErrOrStderr(), args[0])
 			if err != nil {
 				return err
 			}
-			_, is, _, err := readMap(cmd.ErrOrStderr(), args[1])
+			_, newMap, _, err := readMap(cmd.ErrOrStderr(), args[1])
 			if err != nil {
 				return err
 			}
 			var list []extentmap.Difference
 			ranges, extents := 0, uint64(0)
-			extentmap.Diff(was, is, func(d extentmap.Difference) bool {
-				if len(list) < most {
+			extentmap.Diff(oldMap, newMap, func(d extentmap.Difference) bool {
+				if len(list) < maxRanges {
 					list = append(list, d)
 				}
 				ranges++
@@ -209,12 +211,12 @@
 				err = printDiff(cmd.OutOrStdout(), list, ranges, extents)
 			}
 			if err == nil && ranges > 0 {
-				return short{errors.New("the snapshots differ")}
+				return negativeResult{errors.New("the snapshots differ")}
 			}
 			return err
 		},
 	}
-	c.Flags().IntVar(&most, "most", 100, "ranges to show")
+	c.Flags().IntVar(&maxRanges, "most", 100, "most ranges to show")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
@@ -245,9 +247,9 @@
 	return &cobra.Command{
 		Use:   "verify FILE",
 		Short: "Check every block of a snapshot",
-		Long: `Check the header and every block of a snapshot. A gateway that starts from a damaged one leaves out the damaged
-blocks and asks for their extents when they are wanted.
-Exit status: 0 whole, 1 blocks are damaged or runs missing, 2 it is no snapshot.`,
+		Long: `Check the header and every block of a snapshot. A gateway that starts from a damaged snapshot ignores the damaged
+blocks and requests their extents when they are needed.
+Exit status: 0 the snapshot is intact, 1 blocks are damaged or runs are missing, 2 the file is not a snapshot.`,
 		Example: "  eiderhold map verify map.snapshot",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -258,7 +260,7 @@
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: version %d of term %d: %d of %d blocks, %d of %d runs\n",
 				args[0], h.Version, h.Term, int(h.Blocks)-len(damaged), h.Blocks, v.Len(), h.Runs)
 			if len(damaged) > 0 || uint64(v.Len()) != h.Runs {
-				return short{fmt.Errorf("%s is damaged", args[0])}
+				return negativeResult{fmt.Errorf("%s is damaged", args[0])}
 			}
 			return nil
 		},
@@ -268,9 +270,9 @@
 func mapExport() *cobra.Command {
 	return &cobra.Command{
 		Use:   "export FILE OUT.parquet",
-		Short: "Write a snapshot as a columnar file (Parquet), a row a run",
-		Long: `Write a snapshot as a columnar file (Apache Parquet): volume, from, to (after the last extent), shard
-(-1: nowhere), epoch, version. Term and version of the whole are in its metadata.`,
+		Short: "Write a snapshot as a columnar file (Parquet) with one row for each run",
+		Long: `Write a snapshot as a columnar file (Apache Parquet) with the columns volume, from, to (one after the last
+extent), shard (-1: nowhere), epoch and version. The term and version of the map are in the file's metadata.`,
 		Example: "  eiderhold map export map.snapshot map.parquet",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -284,7 +286,7 @@
 			}
 			_, _ = fmt.Fprintf(cmd.OutOrStdout(), "%s: %d rows\n", args[1], rows)
 			if len(damaged) > 0 {
-				return short{fmt.Errorf("%s is damaged: the rows are not all", args[0])}
+				return negativeResult{fmt.Errorf("%s is damaged: the export is incomplete", args[0])}
 			}
 			return nil
 		},
@@ -294,11 +296,11 @@
 func mapImport() *cobra.Command {
 	return &cobra.Command{
 		Use:     "import IN.parquet FILE",
-		Short:   "Write a columnar file of map export as a snapshot",
+		Short:   "Write a file of map export as a snapshot",
 		Example: "  eiderhold map import map.parquet map.snapshot",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			m, err := extentmap.New(mapRuns)
+			m, err := extentmap.New(maxMapRuns)
 			if err != nil {
 				return err
 			}
--- a/cmd/eiderhold/moves.go
+++ b/cmd/eiderhold/moves.go
@@ -15,38 +15,39 @@
 	"eiderhold/mover"
 )
 
-// movesEvery is how often a command that waits looks.
-const movesEvery = 200 * time.Millisecond
+// movesPollInterval is the interval at which a waiting command polls the gateway.
+const movesPollInterval = 200 * time.Millisecond
 
 func spaceRebalance() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var flags planFlags
 	var output string
 	var detach bool
 	c := &cobra.Command{
 		Use:   "rebalance (--config FILE | --dir DIR)",
-		Short: "Move extents so that shards fill evenly, while they are served",
-		Long: `Plan as "space plan" does, and have the running gateway carry the plan out: each run of extents is copied at low
-worth, through the same decisions as all requests; then the catalogue is switched, and what is left behind is collected
-once nobody reads it. A gateway that is killed goes on when it starts again. The pace is that of [moves] in its settings.
-The command waits for the end; Ctrl-C ends the command, not the moves.
-Exit status: 0 all moves are done, 1 some were undone, 2 it could not be planned.`,
+		Short: "Move extents between shards so that these fill evenly, without an interruption of service",
+		Long: `Make a plan like "space plan" and have the running gateway carry it out. Each run of extents is copied with requests
+of low worth, which are scheduled like all others; then the catalogue is switched to the copy, and the items at the
+source are deleted once no transfer reads them. A gateway that is killed continues when it starts again. [moves] in
+its settings limits the rate.
+The command waits until all moves have ended. Ctrl-C ends the command, not the moves.
+Exit status: 0 all moves are done, 1 some were undone, 2 no plan could be made.`,
 		Example: "  eiderhold space rebalance --dir eiderhold-data --least 0.1\n  eiderhold space rebalance --dir eiderhold-data --detach",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
 			if err := flags.check(); err != nil {
 				return err
 			}
-			s := &gateway.Started{}
-			if err := gateway.Order(cmd.Context(), dir, "/rebalance", gateway.PlanQuery(flags.set), s); err != nil {
+			started := &gateway.Started{}
+			if err := gateway.Order(cmd.Context(), dir, "/rebalance", gateway.PlanQuery(flags.set), started); err != nil {
 				return err
 			}
 			var list []mover.Progress
-			if !detach && s.Moves > 0 {
+			if !detach && started.Moves > 0 {
 				if list, err = waitForMoves(cmd.Context(), dir, cmd.ErrOrStderr()); err != nil {
 					return err
 				}
@@ -61,46 +62,46 @@
 				err = printJSON(cmd.OutOrStdout(), struct {
 					*gateway.Started
 					Undone int `json:"undone"`
-				}{s, undone})
-			} else if s.Moves == 0 {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", s.Plan.Reason)
+				}{started, undone})
+			} else if started.Moves == 0 {
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "nothing moves: %s\n", started.Plan.Reason)
 			} else {
-				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", s.Moves, len(s.Plan.Moves))
+				_, err = fmt.Fprintf(cmd.OutOrStdout(), "%d of %d moves begun; eiderhold space moves shows them\n", started.Moves, len(started.Plan.Moves))
 			}
 			if err == nil && undone > 0 {
-				return short{fmt.Errorf("%d moves were undone: eiderhold space moves says why", undone)}
+				return negativeResult{fmt.Errorf("%d moves were undone: eiderhold space moves shows the reasons", undone)}
 			}
 			return err
 		},
 	}
-	at.add(c)
+	target.add(c)
 	flags.add(c)
-	c.Flags().BoolVar(&detach, "detach", false, "do not wait for the end")
+	c.Flags().BoolVar(&detach, "detach", false, "do not wait until the moves have ended")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
-// waitForMoves waits until all moves are over, and tells on w how far they are.
+// waitForMoves waits until all moves have ended and reports the progress on w.
 func waitForMoves(ctx context.Context, dir string, w io.Writer) (list []mover.Progress, err error) {
-	tick := time.NewTicker(movesEvery)
+	tick := time.NewTicker(movesPollInterval)
 	defer tick.Stop()
-	for told := time.Now(); ; {
+	for lastReport := time.Now(); ; {
 		list = nil
 		if err := gateway.Command(ctx, dir, "/moves", nil, &list); err != nil {
 			return nil, err
 		}
-		over := 0
+		finished := 0
 		for _, p := range list {
 			if p.Over() {
-				over++
+				finished++
 			}
 		}
-		if over == len(list) {
+		if finished == len(list) {
 			return list, nil
 		}
-		if time.Since(told) > 2*time.Second {
-			told = time.Now()
-			_, _ = fmt.Fprintf(w, "%d of %d moves are over\n", over, len(list))
+		if time.Since(lastReport) > 2*time.Second {
+			lastReport = time.Now()
+			_, _ = fmt.Fprintf(w, "%d of %d moves are over\n", finished, len(list))
 		}
 		select {
 		case <-ctx.Done():
@@ -111,7 +112,7 @@
 }
 
 func spaceMoves() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var output string
 	c := &cobra.Command{
 		Use:     "moves (--config FILE | --dir DIR)",
@@ -119,7 +120,7 @@
 		Example: "  eiderhold space moves --dir eiderhold-data",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
@@ -138,29 +139,29 @@
 			return t.Flush()
 		},
 	}
-	at.add(c)
+	target.add(c)
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
 func spaceUndo() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	c := &cobra.Command{
 		Use:     "undo (--config FILE | --dir DIR) MOVE",
-		Short:   "Take a move back that has not been switched yet",
+		Short:   "Undo a move that has not been switched yet",
 		Example: "  eiderhold space undo --dir eiderhold-data 17",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			dir, err := at.find()
+			dir, err := target.path()
 			if err != nil {
 				return err
 			}
 			if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
-				return fmt.Errorf("MOVE %q: a number, as space moves shows it", args[0])
+				return fmt.Errorf("MOVE %q: expected a number from the output of eiderhold space moves", args[0])
 			}
 			return gateway.Order(cmd.Context(), dir, "/moves/undo", url.Values{"id": {args[0]}}, &struct{}{})
 		},
 	}
-	at.add(c)
+	target.add(c)
 	return c
 }
--- a/cmd/eiderhold/space.go
+++ b/cmd/eiderhold/space.go
@@ -20,17 +20,18 @@
 	"eiderhold/rebalance"
 )
 
-// folder is a gateway's folder, by its settings or its name.
-type folder struct{ file, dir string }
+// gatewayFolder holds the flags that name a gateway's folder: its settings file or the folder itself.
+type gatewayFolder struct{ file, dir string }
 
-func (f *folder) add(c *cobra.Command) {
-	c.Flags().StringVar(&f.file, "config", "", "settings file of the gateway")
-	c.Flags().StringVar(&f.dir, "dir", "", "its folder (gateway.dir)")
+func (f *gatewayFolder) add(c *cobra.Command) {
+	c.Flags().StringVar(&f.file, "config", "", "settings file of the gateway, which names its folder")
+	c.Flags().StringVar(&f.dir, "dir", "", "folder of the gateway (gateway.dir)")
 	c.MarkFlagsOneRequired("config", "dir")
 	c.MarkFlagsMutuallyExclusive("config", "dir")
 }
 
-func (f *folder) find() (string, error) {
+// path returns the folder.
+func (f *gatewayFolder) path() (string, error) {
 	if f.dir != "" {
 		return f.dir, nil
 	}
@@ -42,18 +43,18 @@
 }
 
 func spaceCommand() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var output string
 	c := &cobra.Command{
 		Use:   "space (--config FILE | --dir DIR)",
-		Short: "Show what shards and modules hold",
-		Long: `Show how many bytes each shard holds and can hold, which of them take new data, and what
-each module's files come to against its quota: as the gateway of that folder says, or, if none
-runs, as it wrote down last.`,
+		Short: "Show the space that shards and modules use",
+		Long: `Show the bytes used and the capacity of each shard, which shards take new data, and the bytes of
+each module's files against its quota. The figures come from the gateway that runs on the folder
+or, if none runs, from the file that it wrote last.`,
 		Example: "  eiderhold space --config gateway.toml\n  eiderhold space --dir eiderhold-data --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
@@ -71,21 +72,21 @@
 			return printSpace(cmd.OutOrStdout(), s, time.Now())
 		},
 	}
-	at.add(c)
-	c.Flags().StringVar(&output, "output", "text", "text or json; in JSON bytes are numbers")
+	target.add(c)
+	c.Flags().StringVar(&output, "output", "text", "text or json; JSON has plain numbers of bytes")
 	c.AddCommand(spacePlan(), spaceRebalance(), spaceMoves(), spaceUndo())
 	return c
 }
 
-// open checks how a command is to print and finds its folder.
-func (f *folder) open(output string) (string, error) {
+// checkedPath checks the --output flag and returns the folder.
+func (f *gatewayFolder) checkedPath(output string) (string, error) {
 	if err := checkOutput(output); err != nil {
 		return "", err
 	}
-	return f.find()
+	return f.path()
 }
 
-// planFlags are the settings of a plan on the command line.
+// planFlags holds the flags for the settings of a plan.
 type planFlags struct {
 	set  rebalance.Settings
 	rate string
@@ -93,36 +94,37 @@
 
 func (f *planFlags) add(c *cobra.Command) {
 	f.set = rebalance.Default
-	c.Flags().Float64Var(&f.set.MinDifference, "least", f.set.MinDifference, "difference in the part used for which a byte is worth moving")
-	c.Flags().IntVar(&f.set.MaxMoves, "moves", f.set.MaxMoves, "most moves of the plan")
-	c.Flags().IntVar(&f.set.MaxMovesPerShard, "at-once", f.set.MaxMovesPerShard, "moves that one shard takes part in at a time")
-	c.Flags().StringVar(&f.rate, "rate", humanize.IBytes(uint64(f.set.BytesPerSecond)), "bytes a second that one shard gives or takes, for the time that is told")
+	c.Flags().Float64Var(&f.set.MinDifference, "least", f.set.MinDifference, "least difference between the used fractions of two shards for which data is moved")
+	c.Flags().IntVar(&f.set.MaxMoves, "moves", f.set.MaxMoves, "most moves in the plan")
+	c.Flags().IntVar(&f.set.MaxMovesPerShard, "at-once", f.set.MaxMovesPerShard, "most moves from or to one shard at a time")
+	c.Flags().StringVar(&f.rate, "rate", humanize.IBytes(uint64(f.set.BytesPerSecond)), "bytes a second moved from or to one shard, used to estimate the duration")
 }
 
 func (f *planFlags) check() error {
 	bytes, err := humanize.ParseBytes(f.rate)
 	if err != nil || bytes > math.MaxInt64 {
-		return fmt.Errorf("--rate %q: bytes a second, as 16MiB", f.rate)
+		return fmt.Errorf("--rate %q: expected bytes a second, like 16MiB", f.rate)
 	}
 	f.set.BytesPerSecond = int64(bytes)
 	return f.set.Check()
 }
 
 func spacePlan() *cobra.Command {
-	var at folder
+	var target gatewayFolder
 	var flags planFlags
 	var output, file string
 	c := &cobra.Command{
 		Use:   "plan (--config FILE | --dir DIR)",
-		Short: "Plan which extents are to move so that shards fill evenly",
-		Long: `Plan which extents are to move between shards so that these fill evenly, in waves, and what they
-will hold then. The gateway of that folder must be running; nothing is moved. Shards that are cold,
-lost, or past their mark take nothing, and what a solution of shares places stays on its nodes.
-Exit status: 0 planned, also if nothing is to move; 2 it could not be planned.`,
+		Short: "Plan which extents to move so that shards fill evenly",
+		Long: `Plan which extents to move between shards, in waves, so that the shards fill evenly, and show how
+full they are before and after. Nothing is moved. A gateway must be running on the folder. Shards
+that are cold, lost, or above their watermark get no data, and volumes that a solution of shares
+places stay on their nodes.
+Exit status: 0 planned, even if nothing is to be moved; 2 no plan could be made.`,
 		Example: "  eiderhold space plan --dir eiderhold-data --least 0.1 --rate 32MiB --chart plan.svg",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			dir, err := at.open(output)
+			dir, err := target.checkedPath(output)
 			if err != nil {
 				return err
 			}
@@ -144,14 +146,14 @@
 			return printPlan(cmd.OutOrStdout(), p)
 		},
 	}
-	at.add(c)
+	target.add(c)
 	flags.add(c)
-	c.Flags().StringVar(&file, "chart", "", "file for a chart (SVG) of what shards hold before and after")
+	c.Flags().StringVar(&file, "chart", "", "file for a chart (SVG) of how full shards are before and after")
 	c.Flags().StringVar(&output, "output", "text", "text or json")
 	return c
 }
 
-// planChart draws the parts used before and after.
+// planChart draws the used fraction of each shard before and after.
 func planChart(file string, p *rebalance.Plan) error {
 	var names []string
 	before, after := chart.Series{Name: "before"}, chart.Series{Name: "after"}
@@ -162,9 +164,9 @@
 	return chart.Bars(file, "Shards before and after", "percent used", names, before, after)
 }
 
-const movesShown = 20 // of a plan, as text
+const maxPlanMovesShown = 20 // moves that are printed of a plan as text
 
-// printPlan writes what moves, and what it comes to.
+// printPlan writes the shards, the moves and the summary of a plan.
 func printPlan(w io.Writer, p *rebalance.Plan) error {
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "shard\tbefore\tafter")
@@ -177,7 +179,7 @@
 	shown := 0
 	for i, wave := range p.Waves {
 		for _, m := range wave {
-			if shown++; shown <= movesShown {
+			if shown++; shown <= maxPlanMovesShown {
 				x := &p.Moves[m]
 				fmt.Fprintf(t, "%d\t%s\t%s\t%d\t%s\t%d\t%d\n", i+1, x.Volume, x.Base, x.Extents, humanize.IBytes(uint64(x.Bytes)), x.Shard, x.To)
 			}
@@ -186,8 +188,8 @@
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if shown > movesShown {
-		fmt.Fprintf(w, "... and %d more (--output json has all)\n", shown-movesShown)
+	if shown > maxPlanMovesShown {
+		fmt.Fprintf(w, "... and %d more (--output json has all)\n", shown-maxPlanMovesShown)
 	}
 	fmt.Fprintf(w, "\n%d moves in %d waves, %s, about %v at the rate; it ends there since %s\n", len(p.Moves), len(p.Waves),
 		humanize.IBytes(uint64(p.Bytes)), p.EstimatedDuration.Round(time.Second), p.Reason)
@@ -196,7 +198,7 @@
 	return nil
 }
 
-// printSpace writes tables; sizes in binary units.
+// printSpace writes the tables of shards and modules, with sizes in binary units.
 func printSpace(w io.Writer, s *gateway.Space, now time.Time) error {
 	size := func(n int64) string { return humanize.IBytes(uint64(max(0, n))) }
 	part := func(n, of int64) string {
@@ -209,27 +211,27 @@
 		now.Sub(s.At).Round(time.Second), 100*s.High, 100*s.Low)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "shard\tnodes\tzone\tused\tof\tpart\tstate\treport's age")
-	var used, of, most int64
-	told, takes := 0, 0
+	var used, capacity, maxUsed int64
+	reporting, accepting := 0, 0
 	for _, x := range s.Shards {
-		of2 := "not told"
+		capacityText := "not told"
 		if x.Capacity > 0 {
-			of2 = size(x.Capacity)
-			used, of, told = used+x.Used, of+x.Capacity, told+1
-			most = max(most, x.Used)
+			capacityText = size(x.Capacity)
+			used, capacity, reporting = used+x.Used, capacity+x.Capacity, reporting+1
+			maxUsed = max(maxUsed, x.Used)
 		}
 		if x.State == gateway.StateTakes {
-			takes++
+			accepting++
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Shard, strings.Join(x.Nodes, " "), x.Zone, size(x.Used), of2,
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", x.Shard, strings.Join(x.Nodes, " "), x.Zone, size(x.Used), capacityText,
 			part(x.Used, x.Capacity), x.State, x.Age)
 	}
-	fmt.Fprintf(t, "all\t%d of %d take new data\t\t%s\t%s\t%s\n", takes, len(s.Shards), size(used), size(of), part(used, of))
+	fmt.Fprintf(t, "all\t%d of %d take new data\t\t%s\t%s\t%s\n", accepting, len(s.Shards), size(used), size(capacity), part(used, capacity))
 	if err := t.Flush(); err != nil {
 		return err
 	}
-	if told > 0 && used > 0 {
-		fmt.Fprintf(w, "fullest over mean: %.2f\n", float64(most)*float64(told)/float64(used))
+	if reporting > 0 && used > 0 {
+		fmt.Fprintf(w, "fullest over mean: %.2f\n", float64(maxUsed)*float64(reporting)/float64(used))
 	}
 	t = tabwriter.NewWriter(w, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(t, "\nmodule\tfiles\tbytes\tquota\tpart")
