--- a/cmd/eiderhold/bench_test.go
+++ b/cmd/eiderhold/bench_test.go
@@ -121,11 +121,11 @@
 	b.Helper()
 	for try := 0; ; try++ {
 		rep, err := (&standin.Client{Addr: g.addr}).Push(context.Background(), "records", "", files)
-		if err == nil && len(rep.Said) == 0 {
+		if err == nil && len(rep.Messages) == 0 {
 			return
 		}
 		if try == 100 {
-			b.Fatal(err, rep.Said)
+			b.Fatal(err, rep.Messages)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -253,7 +253,7 @@
 								[]standin.ClientFile{{Path: fmt.Sprintf("p%d-%d", n%2, i), Data: data, MTime: int64(n)}})
 						}
 						mu.Lock()
-						said += len(rep.Said)
+						said += len(rep.Messages)
 						mu.Unlock()
 					}()
 				}
@@ -306,7 +306,7 @@
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				(&standin.Client{Addr: g.addr, StopRead: 5 * time.Second}).Pull(ctx, "records", "f", nil)
+				(&standin.Client{Addr: g.addr, ReadPause: 5 * time.Second}).Pull(ctx, "records", "f", nil)
 			}()
 		}
 		time.Sleep(4 * time.Second) // all transfers are blocked with full windows
@@ -324,7 +324,7 @@
 func BenchmarkAllocations(b *testing.B) {
 	for _, kib := range []int{16, 64, 256} {
 		b.Run(fmt.Sprintf("extent/%dKiB", kib), func(b *testing.B) {
-			g := startBenchGateway(b, 4, func(c *config.Config) { c.Rsync.Extent = kib << 10 })
+			g := startBenchGateway(b, 4, func(c *config.Config) { c.Rsync.ExtentBytes = kib << 10 })
 			g.push(b, standin.ClientFile{Path: "f", Data: randomBytes(1, 512*kib<<10), MTime: 1})
 			for range b.N {
 				(&standin.Client{Addr: g.addr}).Pull(context.Background(), "records", "f", nil)
@@ -394,7 +394,7 @@
 				began := make(chan bool)
 				c := &standin.Client{Addr: g.addr, Timeout: 10 * time.Second, Before: func(string) { close(began) }}
 				if trouble == "standing-client" {
-					c.StopRead = time.Minute
+					c.ReadPause = time.Minute
 				} else {
 					g.site.Node("node-3").Set(func(x *standin.Trouble) { x.Hang = true })
 				}
--- a/cmd/eiderhold/dev.go
+++ b/cmd/eiderhold/dev.go
@@ -29,7 +29,7 @@
 			if nodes < 1 || nodes > 1000 {
 				return fmt.Errorf("--nodes %d: expected 1 to 1000", nodes)
 			}
-			log, _, err := telemetry.Logger(os.Stderr, level)
+			log, _, err := telemetry.NewLogger(os.Stderr, level)
 			if err != nil {
 				return err
 			}
--- a/cmd/eiderhold/kill_test.go
+++ b/cmd/eiderhold/kill_test.go
@@ -100,7 +100,7 @@
 					v := version[i]
 					f := standin.ClientFile{Path: fmt.Sprint("f", i), Data: bytesOf(i, v), MTime: int64(v)}
 					rep, err := (&standin.Client{Addr: addr}).Push(ctx, "records", "", []standin.ClientFile{f})
-					if err == nil && rep.Goodbye && len(rep.Said) == 0 {
+					if err == nil && rep.Complete && len(rep.Messages) == 0 {
 						confirmed[i] = v
 					}
 				}
@@ -116,7 +116,7 @@
 		found := map[int]bool{}
 		for try := 0; ; try++ { // the gateway may not have its node list yet
 			rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
-			if err == nil && len(rep.Said) == 0 {
+			if err == nil && len(rep.Messages) == 0 {
 				for _, f := range rep.Files {
 					var i int
 					if _, err := fmt.Sscanf(f.Path, "f%d", &i); err != nil {
@@ -132,7 +132,7 @@
 				break
 			}
 			if try == 200 {
-				t.Fatalf("round %d: %v %q", round, err, rep.Said)
+				t.Fatalf("round %d: %v %q", round, err, rep.Messages)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -197,7 +197,7 @@
 	}
 	readOnly := func() bool {
 		rep, _ := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", []standin.ClientFile{{Path: "f", Data: []byte("x"), MTime: 1}})
-		return strings.Contains(strings.Join(rep.Said, ""), "read only")
+		return strings.Contains(strings.Join(rep.Messages, ""), "read only")
 	}
 	change("read_only = false", "read_only = true")
 	for limit := time.Now().Add(20 * time.Second); !readOnly(); time.Sleep(5 * time.Millisecond) {
@@ -220,8 +220,8 @@
 // on a new controller.
 func TestRecordedRunReplays(t *testing.T) {
 	site, file := startSite(t, func(c *config.Config) {
-		c.Recorder.On, c.Recorder.FileSize = true, 1<<16
-		c.Recorder.Files = 1000
+		c.Recorder.On, c.Recorder.FileBytes = true, 1<<16
+		c.Recorder.MaxFiles = 1000
 	})
 	cmd, addr := startServe(t, file)
 	var wg sync.WaitGroup
@@ -263,10 +263,10 @@
 	cmd, addr := startServe(t, file)
 	f := standin.ClientFile{Path: "f", Data: randomBytes(1, 4<<20), MTime: 1}
 	for try := 0; ; try++ {
-		if rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", []standin.ClientFile{f}); err == nil && len(rep.Said) == 0 {
+		if rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", []standin.ClientFile{f}); err == nil && len(rep.Messages) == 0 {
 			break
 		} else if try == 200 {
-			t.Fatal(err, rep.Said)
+			t.Fatal(err, rep.Messages)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -321,7 +321,7 @@
 		if err != nil {
 			return false, err.Error()
 		}
-		return rep.Goodbye && len(rep.Said) == 0, strings.Join(rep.Said, "\n")
+		return rep.Complete && len(rep.Messages) == 0, strings.Join(rep.Messages, "\n")
 	}
 	var confirmed []int
 	next := 0
@@ -359,8 +359,8 @@
 		}
 	}
 	rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
-	if err != nil || len(rep.Said) > 0 {
-		t.Fatal(err, rep.Said)
+	if err != nil || len(rep.Messages) > 0 {
+		t.Fatal(err, rep.Messages)
 	}
 	whole := map[string]bool{}
 	for _, f := range rep.Files {
--- a/cmd/eiderhold/live.go
+++ b/cmd/eiderhold/live.go
@@ -26,7 +26,7 @@
 			if err != nil {
 				return err
 			}
-			log, _, err := telemetry.Logger(os.Stderr, "info")
+			log, _, err := telemetry.NewLogger(os.Stderr, "info")
 			if err != nil {
 				return err
 			}
--- a/cmd/eiderhold/live_test.go
+++ b/cmd/eiderhold/live_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	waitUntilReady(addr)
-	log.Has("configuration read again")
+	log.WaitFor("configuration read again")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	log.Has("ending")
+	log.WaitFor("ending")
 	if err := cmd.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	}
 	agent.Close()
 	watch.Conn.Close()
-	log.Has("discovery: a connection ended")
+	log.WaitFor("discovery: a connection ended")
 	for range 300 {
 		idle, err := net.Dial("tcp", addr)
 		if err != nil {
--- a/cmd/eiderhold/main_test.go
+++ b/cmd/eiderhold/main_test.go
@@ -163,8 +163,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.Put(audit.Record{T: 1, What: audit.Effect, Key: "k", Class: "record-write", Node: "a"})
-	w.Put(audit.Record{T: 2, What: audit.Effect, Key: "k", Class: "record-write", Node: "b"})
+	w.Put(audit.Record{T: 1, Kind: audit.Effect, Key: "k", Class: "record-write", Node: "a"})
+	w.Put(audit.Record{T: 2, Kind: audit.Effect, Key: "k", Class: "record-write", Node: "b"})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/eiderhold/map.go
+++ b/cmd/eiderhold/map.go
@@ -83,7 +83,7 @@
 			s := mapSummary{Header: h, Bytes: mapfile.HeaderBytes + uint64(h.Blocks)*mapfile.BlockBytes, Damaged: damaged}
 			volumes := map[string]extentmap.Sum{}
 			v.All(func(r extentmap.Run) bool {
-				if r.Shard != extentmap.Nowhere {
+				if r.Shard != extentmap.NoShard {
 					sum := volumes[r.Volume]
 					volumes[r.Volume] = extentmap.Sum{Runs: sum.Runs + 1, Extents: sum.Extents + r.To - r.From}
 				}
@@ -92,8 +92,8 @@
 			for _, name := range slices.Sorted(maps.Keys(volumes)) {
 				s.Volumes = append(s.Volumes, mapCounts{Volume: name, Sum: volumes[name]})
 			}
-			homes := v.Shards()
-			for _, h := range slices.SortedFunc(maps.Keys(homes), func(a, b extentmap.Home) int {
+			homes := v.SumByLocation()
+			for _, h := range slices.SortedFunc(maps.Keys(homes), func(a, b extentmap.Location) int {
 				return cmp.Or(cmp.Compare(a.Shard, b.Shard), cmp.Compare(a.Epoch, b.Epoch))
 			}) {
 				s.Homes = append(s.Homes, mapCounts{Shard: &h.Shard, Epoch: h.Epoch, Sum: homes[h]})
@@ -123,7 +123,7 @@
 }
 
 func shardName(shard int32) string {
-	if shard == extentmap.Nowhere {
+	if shard == extentmap.NoShard {
 		return "nowhere"
 	}
 	return strconv.Itoa(int(shard))
@@ -226,14 +226,14 @@
 	if len(list) > 0 {
 		_, _ = fmt.Fprintln(t, "volume\tfrom\tto\twas\tis\tversions")
 	}
-	name := func(known bool, h extentmap.Home) string {
+	name := func(known bool, h extentmap.Location) string {
 		if !known {
 			return "not known"
 		}
 		return fmt.Sprintf("%s.%d", shardName(h.Shard), h.Epoch)
 	}
 	for _, d := range list {
-		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%d, %d\n", d.Volume, d.From, d.To-1, name(d.Knew, d.Was), name(d.Knows, d.Is), d.WasAt, d.IsAt)
+		_, _ = fmt.Fprintf(t, "%s\t%d\t%d\t%s\t%s\t%d, %d\n", d.Volume, d.From, d.To-1, name(d.WasKnown, d.Was), name(d.IsKnown, d.Is), d.WasAt, d.IsAt)
 	}
 	_, _ = fmt.Fprintf(t, "%d ranges of %d extents differ", ranges, extents)
 	if more := ranges - len(list); more > 0 {
--- a/cmd/eiderhold/map_test.go
+++ b/cmd/eiderhold/map_test.go
@@ -22,7 +22,7 @@
 	}
 	i := uint64(0)
 	if _, err := m.Snapshot(1, 9, func() (r extentmap.Run, ok bool, err error) {
-		r = extentmap.Run{Range: extentmap.Range{Volume: "records", From: i * 10, To: i*10 + 10}, Home: extentmap.Home{Shard: int32(i % 7)}, Version: 9}
+		r = extentmap.Run{Range: extentmap.Range{Volume: "records", From: i * 10, To: i*10 + 10}, Location: extentmap.Location{Shard: int32(i % 7)}, Version: 9}
 		i++
 		return r, i <= 20_000, nil
 	}); err != nil {
@@ -31,7 +31,7 @@
 	if _, err := mapfile.Save(path("old"), m.View()); err != nil {
 		t.Fatal(err)
 	}
-	moved := extentmap.Run{Range: extentmap.Range{Volume: "records", From: 15, To: 25}, Home: extentmap.Home{Shard: 8, Epoch: 2}}
+	moved := extentmap.Run{Range: extentmap.Range{Volume: "records", From: 15, To: 25}, Location: extentmap.Location{Shard: 8, Epoch: 2}}
 	if _, err := m.Apply(extentmap.Delta{Term: 1, Version: 10, Runs: []extentmap.Run{moved}}); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/eiderhold/moves.go
+++ b/cmd/eiderhold/moves.go
@@ -42,8 +42,8 @@
 			if err := flags.check(); err != nil {
 				return err
 			}
-			started := &gateway.Started{}
-			if err := gateway.Order(cmd.Context(), dir, "/rebalance", gateway.PlanQuery(flags.set), started); err != nil {
+			started := &gateway.RebalanceResult{}
+			if err := gateway.Post(cmd.Context(), dir, "/rebalance", gateway.PlanQuery(flags.set), started); err != nil {
 				return err
 			}
 			var list []mover.Progress
@@ -60,7 +60,7 @@
 			}
 			if output == "json" {
 				err = printJSON(cmd.OutOrStdout(), struct {
-					*gateway.Started
+					*gateway.RebalanceResult
 					Undone int `json:"undone"`
 				}{started, undone})
 			} else if started.Moves == 0 {
@@ -87,12 +87,12 @@
 	defer tick.Stop()
 	for lastReport := time.Now(); ; {
 		list = nil
-		if err := gateway.Command(ctx, dir, "/moves", nil, &list); err != nil {
+		if err := gateway.Get(ctx, dir, "/moves", nil, &list); err != nil {
 			return nil, err
 		}
 		finished := 0
 		for _, p := range list {
-			if p.Over() {
+			if p.Finished() {
 				finished++
 			}
 		}
@@ -125,7 +125,7 @@
 				return err
 			}
 			var list []mover.Progress
-			if err := gateway.Command(cmd.Context(), dir, "/moves", nil, &list); err != nil {
+			if err := gateway.Get(cmd.Context(), dir, "/moves", nil, &list); err != nil {
 				return err
 			}
 			if output == "json" {
@@ -159,7 +159,7 @@
 			if _, err := strconv.ParseUint(args[0], 10, 64); err != nil {
 				return fmt.Errorf("MOVE %q: expected a number from the output of eiderhold space moves", args[0])
 			}
-			return gateway.Order(cmd.Context(), dir, "/moves/undo", url.Values{"id": {args[0]}}, &struct{}{})
+			return gateway.Post(cmd.Context(), dir, "/moves/undo", url.Values{"id": {args[0]}}, &struct{}{})
 		},
 	}
 	target.add(c)
--- a/cmd/eiderhold/moves_test.go
+++ b/cmd/eiderhold/moves_test.go
@@ -35,8 +35,8 @@
 	for i := range files {
 		tree = append(tree, standin.ClientFile{Path: fmt.Sprint("f", i), Data: randomBytes(int64(i), size), MTime: 1})
 	}
-	if rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", tree); err != nil || len(rep.Said) > 0 {
-		t.Fatal(err, rep.Said)
+	if rep, err := (&standin.Client{Addr: addr}).Push(context.Background(), "records", "", tree); err != nil || len(rep.Messages) > 0 {
+		t.Fatal(err, rep.Messages)
 	}
 	items := func() (sum int) {
 		for i := range 4 {
@@ -86,8 +86,8 @@
 	})
 	waitFor("what was left behind to be collected", func() bool { return items() == before })
 	rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
-	if err != nil || len(rep.Said) > 0 {
-		t.Fatal(err, rep.Said)
+	if err != nil || len(rep.Messages) > 0 {
+		t.Fatal(err, rep.Messages)
 	}
 	whole := 0
 	for _, f := range rep.Files {
--- a/cmd/eiderhold/rehearse.go
+++ b/cmd/eiderhold/rehearse.go
@@ -71,7 +71,7 @@
 					return err
 				}
 			}
-			log, _, err := telemetry.Logger(os.Stderr, "info")
+			log, _, err := telemetry.NewLogger(os.Stderr, "info")
 			if err != nil {
 				return err
 			}
@@ -223,7 +223,7 @@
 				return err
 			}
 			tornNote := ""
-			if res.Torn {
+			if res.Truncated {
 				tornNote = "; the last file ends within a batch, as after a kill"
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%d batches, %d events, %d actions: the same%s\n", res.Batches, res.Events, res.Actions, tornNote)
--- a/cmd/eiderhold/serve.go
+++ b/cmd/eiderhold/serve.go
@@ -36,7 +36,7 @@
 			if err != nil {
 				return err
 			}
-			log, level, err := telemetry.Logger(os.Stderr, cfg.Gateway.LogLevel)
+			log, level, err := telemetry.NewLogger(os.Stderr, cfg.Gateway.LogLevel)
 			if err != nil {
 				return err
 			}
@@ -94,8 +94,8 @@
 				}
 				continue
 			}
-			log.Info("draining: transfers may end, no new connections", "within", cfg.Gateway.Drain.D())
-			drainCtx, cancel := context.WithTimeout(ctx, cfg.Gateway.Drain.D())
+			log.Info("draining: transfers may end, no new connections", "within", cfg.Gateway.DrainTimeout.D())
+			drainCtx, cancel := context.WithTimeout(ctx, cfg.Gateway.DrainTimeout.D())
 			go func() {
 				<-signals
 				log.Warn("second signal: ending at once")
@@ -182,7 +182,7 @@
 			RunE: func(cmd *cobra.Command, args []string) error {
 				cfg, err := config.Load(args[0])
 				if err == nil {
-					_, err = gateway.Modules(cfg)
+					_, err = gateway.LoadModules(cfg)
 				}
 				if err != nil {
 					return negativeResult{err}
--- a/cmd/eiderhold/space.go
+++ b/cmd/eiderhold/space.go
@@ -59,7 +59,7 @@
 				return err
 			}
 			s := &gateway.Space{}
-			if err := gateway.Command(cmd.Context(), dir, "/space", nil, s); errors.Is(err, gateway.ErrNotRunning) {
+			if err := gateway.Get(cmd.Context(), dir, "/space", nil, s); errors.Is(err, gateway.ErrNotRunning) {
 				if s, err = gateway.ReadSpace(dir); err != nil {
 					return err
 				}
@@ -132,7 +132,7 @@
 				return err
 			}
 			p := &rebalance.Plan{}
-			if err := gateway.Command(cmd.Context(), dir, "/plan", gateway.PlanQuery(flags.set), p); err != nil {
+			if err := gateway.Get(cmd.Context(), dir, "/plan", gateway.PlanQuery(flags.set), p); err != nil {
 				return err
 			}
 			if file != "" {
--- a/extentmap/book.go
+++ b/extentmap/book.go
@@ -56,7 +56,7 @@
 // Decision is the result of Refresher.Decide for one request.
 type Decision struct {
 	Action
-	Home                     // for Use
+	Location                 // for Use
 	Version    uint64        // version of the map for the attempt to carry
 	RetryAfter time.Duration // estimated time until a refresh is answered
 	Why        string
@@ -64,9 +64,9 @@
 
 // MovedAnswer is a node's answer "moved": as of Version of the map, the node does not hold the extent.
 type MovedAnswer struct {
-	Version uint64
-	Home    // the new location, if Known
-	Known   bool
+	Version  uint64
+	Location // the new location, if Known
+	Known    bool
 }
 
 // Refresher tracks which parts of the map are unknown or reported wrong. It decides which requests wait, which
@@ -115,7 +115,7 @@
 // hint is a location reported by a node.
 type hint struct {
 	extent  uint64
-	home    Home
+	home    Location
 	version uint64
 	expiry  time.Duration
 }
@@ -146,7 +146,7 @@
 
 // Decide returns what to do with a request for an extent whose client waits for at most patience.
 func (b *Refresher) Decide(v *View, volume string, extent uint64, patience, now time.Duration) Decision {
-	var home Home
+	var home Location
 	var version uint64
 	known := false
 	if vol, ok := v.Volume(volume); ok {
@@ -161,7 +161,7 @@
 		for i := range g.hints { // a hint newer than the map is used until the map catches up
 			if t := &g.hints[i]; t.extent == extent && (!known || t.version > version) && t.expiry > now {
 				b.requestRefresh(g, now)
-				return Decision{Action: Use, Home: t.home, Version: t.version}
+				return Decision{Action: Use, Location: t.home, Version: t.version}
 			}
 		}
 		if known && g.staleBefore > version {
@@ -171,8 +171,8 @@
 	switch {
 	case !known:
 		return b.waitOrRefuse(k, g, patience, now, "where it lies is not known")
-	case home.Shard != Nowhere:
-		return Decision{Action: Use, Home: home, Version: version}
+	case home.Shard != NoShard:
+		return Decision{Action: Use, Location: home, Version: version}
 	case g != nil && !g.inFlight && g.answered && now-g.lastRefresh < b.settings.AbsenceDuration:
 		return Decision{Action: Absent, Version: version}
 	}
@@ -253,7 +253,7 @@
 		g = &group{wantedSince: now, nextRefresh: now}
 		b.groups[k] = g
 	}
-	if known && w.Version <= max(version, v.Mark) && g.idle && g.answered {
+	if known && w.Version <= max(version, v.Watermark) && g.idle && g.answered {
 		b.counts.Disputed++
 		g.disputes++
 		g.nextRefresh = max(g.nextRefresh, now+b.backoff(g.disputes))
@@ -266,7 +266,7 @@
 	g.staleBefore = max(g.staleBefore, w.Version, version+1)
 	g.hints = slices.DeleteFunc(g.hints, func(t hint) bool { return t.expiry <= now || t.extent == extent && t.version <= w.Version })
 	if w.Known && len(g.hints) < int(min(b.settings.Group, 4096)) && !slices.ContainsFunc(g.hints, func(t hint) bool { return t.extent == extent }) {
-		g.hints = append(g.hints, hint{extent, w.Home, w.Version, now + b.settings.HintDuration})
+		g.hints = append(g.hints, hint{extent, w.Location, w.Version, now + b.settings.HintDuration})
 	}
 	return true, nil
 }
--- a/extentmap/book_test.go
+++ b/extentmap/book_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	m := mustNew(t, 10_000)
-	if _, err := m.Snapshot(1, 5, runSource([]Run{{Range{"v", 0, 10_000}, Home{Shard: 1}, 5}})); err != nil {
+	if _, err := m.Snapshot(1, 5, runSource([]Run{{Range{"v", 0, 10_000}, Location{Shard: 1}, 5}})); err != nil {
 		t.Fatal(err)
 	}
 	return b, m
@@ -49,7 +49,7 @@
 		t.Errorf("%d refreshes", asked)
 	}
 	in := b.Range("v", 7)
-	if err := m.Fetched(in, 1, 6, []Run{{in, Home{Shard: 2}, 6}}); err != nil {
+	if err := m.Fetched(in, 1, 6, []Run{{in, Location{Shard: 2}, 6}}); err != nil {
 		t.Fatal(err)
 	}
 	b.Answered(in, true, 3*ms)
@@ -72,7 +72,7 @@
 	for _, w := range []struct {
 		extent uint64
 		MovedAnswer
-	}{{3, MovedAnswer{Version: 8, Home: Home{Shard: 4}, Known: true}}, {5000, MovedAnswer{Version: 8}}} {
+	}{{3, MovedAnswer{Version: 8, Location: Location{Shard: 4}, Known: true}}, {5000, MovedAnswer{Version: 8}}} {
 		if newer, err := b.Moved(m.View(), "v", w.extent, w.MovedAnswer, 0); !newer || err != nil {
 			t.Fatal(newer, err)
 		}
@@ -105,13 +105,13 @@
 // Repeated answers that contradict a completed refresh lengthen the interval between refreshes.
 func TestMovedAnswers(t *testing.T) {
 	b, m := newTestRefresher(t, nil)
-	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 4, Home: Home{Shard: 9}, Known: true}, 0); newer || b.Counts().Outdated != 1 {
+	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 4, Location: Location{Shard: 9}, Known: true}, 0); newer || b.Counts().Outdated != 1 {
 		t.Errorf("an answer older than the map is recorded")
 	}
-	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 6, Home: Home{Shard: 9}, Known: true}, 0); !newer {
+	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 6, Location: Location{Shard: 9}, Known: true}, 0); !newer {
 		t.Error("an answer newer than the map is not recorded")
 	}
-	if _, err := m.Apply(Delta{Term: 1, Version: 6, Runs: []Run{{Range{"v", 0, 10}, Home{Shard: 2}, 0}}}); err != nil {
+	if _, err := m.Apply(Delta{Term: 1, Version: 6, Runs: []Run{{Range{"v", 0, 10}, Location{Shard: 2}, 0}}}); err != nil {
 		t.Fatal(err)
 	}
 	if v := b.Decide(m.View(), "v", 3, time.Second, 0); v.Action != Use || v.Shard != 2 {
@@ -125,12 +125,12 @@
 			now += ms
 			continue
 		}
-		if err := m.Fetched(due[0], 1, 6, []Run{{due[0], Home{Shard: 2}, 6}}); err != nil {
+		if err := m.Fetched(due[0], 1, 6, []Run{{due[0], Location{Shard: 2}, 6}}); err != nil {
 			t.Fatal(err)
 		}
 		b.Answered(due[0], true, now)
 		gaps = append(gaps, now)
-		if newer, err := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 6, Home: Home{Shard: 1}, Known: true}, now); newer || err != nil {
+		if newer, err := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 6, Location: Location{Shard: 1}, Known: true}, now); newer || err != nil {
 			t.Fatal(newer, err)
 		}
 	}
@@ -195,7 +195,7 @@
 			t.Fatal(err)
 		}
 		m := mustNew(t, 1000)
-		if _, err := m.Snapshot(1, 1, runSource([]Run{{Range{"v", 0, 20}, Home{Shard: 1}, 1}})); err != nil {
+		if _, err := m.Snapshot(1, 1, runSource([]Run{{Range{"v", 0, 20}, Location{Shard: 1}, 1}})); err != nil {
 			t.Fatal(err)
 		}
 		now, version := time.Duration(0), uint64(1)
@@ -218,7 +218,7 @@
 				}
 			case 2:
 				version += uint64(rapid.IntRange(0, 1).Draw(t, "later"))
-				_, _ = b.Moved(m.View(), "v", e, MovedAnswer{Version: version, Home: Home{Shard: 3}, Known: rapid.Bool().Draw(t, "known")}, now)
+				_, _ = b.Moved(m.View(), "v", e, MovedAnswer{Version: version, Location: Location{Shard: 3}, Known: rapid.Bool().Draw(t, "known")}, now)
 			case 3:
 				for _, r := range b.Due(now) {
 					if inFlight[r] {
--- a/extentmap/diff.go
+++ b/extentmap/diff.go
@@ -9,12 +9,12 @@
 // Difference is a range for which two views differ.
 type Difference struct {
 	Range
-	Was   Home   `json:"was"` // valid if Knew; Is is valid if Knows
-	Is    Home   `json:"is"`
-	Knew  bool   `json:"knew"`
-	Knows bool   `json:"knows"`
-	WasAt uint64 `json:"was_at"` // version that assigned Was, as IsAt for Is
-	IsAt  uint64 `json:"is_at"`
+	Was      Location `json:"was"` // valid if Knew; Is is valid if Knows
+	Is       Location `json:"is"`
+	WasKnown bool     `json:"knew"`
+	IsKnown  bool     `json:"knows"`
+	WasAt    uint64   `json:"was_at"` // version that assigned Was, as IsAt for Is
+	IsAt     uint64   `json:"is_at"`
 }
 
 // wholeVolume returns the range of all extents of a volume.
@@ -42,7 +42,7 @@
 	y, okY := b()
 	var last Difference // not passed to fn yet
 	emit := func(d Difference) bool {
-		if last.To == d.From && last.From < last.To && last.Knew == d.Knew && last.Knows == d.Knows && last.Was == d.Was && last.Is == d.Is {
+		if last.To == d.From && last.From < last.To && last.WasKnown == d.WasKnown && last.IsKnown == d.IsKnown && last.Was == d.Was && last.Is == d.Is {
 			last.To = d.To
 			last.WasAt, last.IsAt = max(last.WasAt, d.WasAt), max(last.IsAt, d.IsAt)
 			return true
@@ -55,12 +55,12 @@
 	for okX || okY {
 		d := Difference{Range: Range{name, at, math.MaxUint64}}
 		if okX {
-			d.clip(&x, &d.Knew, &d.Was, &d.WasAt)
+			d.clip(&x, &d.WasKnown, &d.Was, &d.WasAt)
 		}
 		if okY {
-			d.clip(&y, &d.Knows, &d.Is, &d.IsAt)
+			d.clip(&y, &d.IsKnown, &d.Is, &d.IsAt)
 		}
-		if (d.Knew || d.Knows) && (d.Knew != d.Knows || d.Was != d.Is) && !emit(d) {
+		if (d.WasKnown || d.IsKnown) && (d.WasKnown != d.IsKnown || d.Was != d.Is) && !emit(d) {
 			return false
 		}
 		at = d.To
@@ -76,13 +76,13 @@
 
 // clip ends the range at the next start or end of a run, and records the run's location if the run covers the
 // range.
-func (d *Difference) clip(r *Run, knows *bool, home *Home, at *uint64) {
+func (d *Difference) clip(r *Run, knows *bool, home *Location, at *uint64) {
 	if r.From > d.From {
 		d.To = min(d.To, r.From)
 		return
 	}
 	d.To = min(d.To, r.To)
-	*knows, *home, *at = true, r.Home, r.Version
+	*knows, *home, *at = true, r.Location, r.Version
 }
 
 func (v *View) volumeRuns(name string) iter.Seq[Run] {
@@ -93,11 +93,11 @@
 func (v *View) Volumes() []string { return slices.Sorted(slices.Values(v.volumeNames)) }
 
 // Shards returns the number of runs and extents by location.
-func (v *View) Shards() map[Home]Sum {
-	sums := map[Home]Sum{}
+func (v *View) SumByLocation() map[Location]Sum {
+	sums := map[Location]Sum{}
 	v.All(func(r Run) bool {
-		s := sums[r.Home]
-		sums[r.Home] = Sum{s.Runs + 1, s.Extents + r.To - r.From}
+		s := sums[r.Location]
+		sums[r.Location] = Sum{s.Runs + 1, s.Extents + r.To - r.From}
 		return true
 	})
 	return sums
--- a/extentmap/diff_test.go
+++ b/extentmap/diff_test.go
@@ -20,7 +20,7 @@
 			for n := range rapid.IntRange(0, 12).Draw(t, "changes") {
 				a := rapid.IntRange(0, space-1).Draw(t, "from")
 				r := Run{Range{fmt.Sprint("v", rapid.IntRange(0, 1).Draw(t, "volume")), uint64(a), uint64(rapid.IntRange(a+1, space).Draw(t, "to"))},
-					Home{Shard: int32(rapid.IntRange(0, 2).Draw(t, "shard"))}, 0}
+					Location{Shard: int32(rapid.IntRange(0, 2).Draw(t, "shard"))}, 0}
 				if _, err := m.Apply(Delta{1, uint64(n + 1), []Run{r}}); err != nil {
 					t.Fatal(err)
 				}
@@ -31,7 +31,7 @@
 		differ := map[string]bool{}
 		var last Difference
 		Diff(a, b, func(d Difference) bool {
-			if d.Volume == last.Volume && (d.From < last.To || d.From == last.To && d.Was == last.Was && d.Is == last.Is && d.Knew == last.Knew && d.Knows == last.Knows) {
+			if d.Volume == last.Volume && (d.From < last.To || d.From == last.To && d.Was == last.Was && d.Is == last.Is && d.WasKnown == last.WasKnown && d.IsKnown == last.IsKnown) {
 				t.Fatalf("%+v after %+v", d, last)
 			}
 			last = d
@@ -42,7 +42,7 @@
 		})
 		for _, name := range []string{"v0", "v1"} {
 			for e := uint64(0); e < space; e++ {
-				at := func(v *View) (h Home, ok bool) {
+				at := func(v *View) (h Location, ok bool) {
 					if vol, there := v.Volume(name); there {
 						h, _, ok = v.Lookup(vol, e)
 					}
--- a/extentmap/extentmap.go
+++ b/extentmap/extentmap.go
@@ -29,10 +29,10 @@
 )
 
 // Nowhere is the shard number of extents that do not exist according to the authority.
-const Nowhere = -1
+const NoShard = -1
 
 // Home is the location of extents.
-type Home struct {
+type Location struct {
 	Shard int32  `json:"shard"` // Nowhere: the extents do not exist
 	Epoch uint32 `json:"epoch"` // of the shard's node; it increases when the node comes back with other data
 }
@@ -49,7 +49,7 @@
 // Run is a range whose extents have the same location, and the version of the map that assigned it.
 type Run struct {
 	Range
-	Home
+	Location
 	Version uint64 `json:"version"`
 }
 
@@ -60,8 +60,8 @@
 		return errors.New("range without a volume name")
 	case r.From >= r.To:
 		return fmt.Errorf("range %v: its end is not above its start", r.Range)
-	case r.Shard < Nowhere:
-		return fmt.Errorf("range %v: shard %d: expected a shard number, or %d for extents that do not exist", r.Range, r.Shard, Nowhere)
+	case r.Shard < NoShard:
+		return fmt.Errorf("range %v: shard %d: expected a shard number, or %d for extents that do not exist", r.Range, r.Shard, NoShard)
 	}
 	return nil
 }
--- a/extentmap/map.go
+++ b/extentmap/map.go
@@ -11,10 +11,10 @@
 // View is one immutable version of the map; reading it takes no lock. A caller that holds a View, such as a
 // running transfer, keeps that version alive; nodes that no other version shares are freed with it.
 type View struct {
-	Term    uint64 // of the authority
-	Mark    uint64 // the watermark: all changes up to this version are applied
-	Synced  bool   // a snapshot has been applied
-	Extents uint64 // number of extents that exist
+	Term      uint64 // of the authority
+	Watermark uint64 // the watermark: all changes up to this version are applied
+	Synced    bool   // a snapshot has been applied
+	Extents   uint64 // number of extents that exist
 
 	root        *node
 	runs        int
@@ -33,10 +33,10 @@
 
 // Lookup returns the location of an extent and the version that assigned it. It returns false if the map does not
 // know the extent. Home.Shard is Nowhere if the extent does not exist according to the authority.
-func (v *View) Lookup(vol VolumeID, extent uint64) (h Home, version uint64, ok bool) {
+func (v *View) Lookup(vol VolumeID, extent uint64) (h Location, version uint64, ok bool) {
 	r := v.root.lookup(key{extent, vol})
 	if r == nil || r.volume != vol || r.end() <= extent {
-		return Home{}, 0, false
+		return Location{}, 0, false
 	}
 	return r.home, r.version, true
 }
@@ -96,7 +96,7 @@
 	if len(m.pending) == 0 {
 		return 0, 0
 	}
-	mark := m.View().Mark
+	mark := m.View().Watermark
 	first := slices.Min(slices.Collect(maps.Keys(m.pending)))
 	return mark + 1, first
 }
@@ -123,12 +123,12 @@
 	if v.Synced && d.Term != v.Term {
 		return 0, fmt.Errorf("%w: term %d, expected %d", ErrTerm, d.Term, v.Term)
 	}
-	if w, waits := m.pending[d.Version]; waits && w.Term == d.Term || v.Synced && d.Version <= v.Mark {
+	if w, waits := m.pending[d.Version]; waits && w.Term == d.Term || v.Synced && d.Version <= v.Watermark {
 		return Duplicate, nil
 	}
-	if !v.Synced || d.Version > v.Mark+1 {
+	if !v.Synced || d.Version > v.Watermark+1 {
 		if len(m.pending) >= MaxPending {
-			return 0, fmt.Errorf("%w: %d changes wait for version %d", ErrTooManyPending, len(m.pending), v.Mark+1)
+			return 0, fmt.Errorf("%w: %d changes wait for version %d", ErrTooManyPending, len(m.pending), v.Watermark+1)
 		}
 		m.pending[d.Version] = d
 		if !v.Synced {
@@ -140,8 +140,8 @@
 		delete(m.pending, d.Version)
 		return 0, err
 	}
-	if d.Version == v.Mark+1 {
-		c.view.Mark++
+	if d.Version == v.Watermark+1 {
+		c.view.Watermark++
 		m.advanceWatermark(c)
 	}
 	m.commit(c)
@@ -155,11 +155,11 @@
 // one.
 func (m *Map) advanceWatermark(c *viewBuilder) {
 	for {
-		if _, ok := m.pending[c.view.Mark+1]; !ok {
+		if _, ok := m.pending[c.view.Watermark+1]; !ok {
 			return
 		}
-		c.view.Mark++
-		delete(m.pending, c.view.Mark)
+		c.view.Watermark++
+		delete(m.pending, c.view.Watermark)
 	}
 }
 
@@ -169,10 +169,10 @@
 // current term and is older than the watermark.
 func (m *Map) Snapshot(term, version uint64, next func() (Run, bool, error)) (bool, error) {
 	v := m.View()
-	if v.Synced && term == v.Term && version < v.Mark {
+	if v.Synced && term == v.Term && version < v.Watermark {
 		return false, nil
 	}
-	c := newViewBuilder(&View{Term: term, Mark: version, Synced: true, volumeIDs: map[string]VolumeID{}})
+	c := newViewBuilder(&View{Term: term, Watermark: version, Synced: true, volumeIDs: map[string]VolumeID{}})
 	for {
 		r, ok, err := next()
 		if err != nil {
@@ -228,14 +228,14 @@
 	if !v.Synced || term != v.Term {
 		return fmt.Errorf("%w: the answer has term %d, expected %d", ErrTerm, term, v.Term)
 	}
-	requested := Run{in, Home{Shard: Nowhere}, version}
+	requested := Run{in, Location{Shard: NoShard}, version}
 	if err := requested.validate(); err != nil {
 		return fmt.Errorf("extentmap: fetched: %w", err)
 	}
 	runs = slices.SortedFunc(slices.Values(runs), func(a, b Run) int { return cmp.Compare(a.From, b.From) })
 	c := newViewBuilder(v)
 	at := in.From
-	put := func(from, to uint64, h Home) error {
+	put := func(from, to uint64, h Location) error {
 		if from >= to {
 			return nil
 		}
@@ -249,15 +249,15 @@
 		if r.Volume != in.Volume || r.From < at || r.To > in.To {
 			return fmt.Errorf("extentmap: fetched %v: range %v is outside of it or overlaps another one", in, r.Range)
 		}
-		if err := put(at, r.From, Home{Shard: Nowhere}); err != nil {
+		if err := put(at, r.From, Location{Shard: NoShard}); err != nil {
 			return err
 		}
-		if err := put(r.From, r.To, r.Home); err != nil {
+		if err := put(r.From, r.To, r.Location); err != nil {
 			return err
 		}
 		at = r.To
 	}
-	if err := put(at, in.To, Home{Shard: Nowhere}); err != nil {
+	if err := put(at, in.To, Location{Shard: NoShard}); err != nil {
 		return err
 	}
 	m.commit(c)
@@ -358,7 +358,7 @@
 		return err
 	}
 	if c.canAppend(vol, r) {
-		c.insertRun(run{r.From, vol, uint32(r.To - r.From), r.Home, r.Version})
+		c.insertRun(run{r.From, vol, uint32(r.To - r.From), r.Location, r.Version})
 		return nil
 	}
 	if c.replaceInPlace(vol, r) {
@@ -411,10 +411,10 @@
 		return false
 	}
 	x := c.edit.mutableRun(k)
-	if x.home.Shard != Nowhere {
+	if x.home.Shard != NoShard {
 		c.view.Extents -= uint64(x.length)
 	}
-	if x.home, x.version = r.Home, r.Version; x.home.Shard != Nowhere {
+	if x.home, x.version = r.Location, r.Version; x.home.Shard != NoShard {
 		c.view.Extents += uint64(x.length)
 	}
 	return true
@@ -466,26 +466,26 @@
 		to, since = old.end(), max(since, old.version)
 	}
 	for ; from < to; from += min(to-from, MaxRunExtents) {
-		c.insertRun(run{from, vol, uint32(min(to-from, MaxRunExtents)), r.Home, since})
+		c.insertRun(run{from, vol, uint32(min(to-from, MaxRunExtents)), r.Location, since})
 	}
 }
 
 // mergeable reports whether a neighbour can be merged with r: both have the same location and, if their versions
 // differ, no change up to the later version is still missing.
 func (c *viewBuilder) mergeable(f *run, r *Run) bool {
-	return f.home == r.Home && (f.version == r.Version || c.view.Synced && max(f.version, r.Version) <= c.view.Mark+1)
+	return f.home == r.Location && (f.version == r.Version || c.view.Synced && max(f.version, r.Version) <= c.view.Watermark+1)
 }
 
 func (c *viewBuilder) insertRun(r run) {
 	c.edit.insert(r)
-	if r.home.Shard != Nowhere {
+	if r.home.Shard != NoShard {
 		c.view.Extents += uint64(r.length)
 	}
 }
 
 func (c *viewBuilder) removeRun(r *run) {
 	c.edit.remove(r.key())
-	if r.home.Shard != Nowhere {
+	if r.home.Shard != NoShard {
 		c.view.Extents -= uint64(r.length)
 	}
 }
--- a/extentmap/map_test.go
+++ b/extentmap/map_test.go
@@ -45,7 +45,7 @@
 			err = fmt.Errorf("%v after %v", r, last)
 		}
 		last = r
-		if runs++; r.Shard != Nowhere {
+		if runs++; r.Shard != NoShard {
 			extents += r.To - r.From
 		}
 		return err == nil
@@ -62,7 +62,7 @@
 func TestAgainstReferenceModel(t *testing.T) {
 	const volumes, space = 2, 300
 	type at struct {
-		Home
+		Location
 		version uint64
 		known   bool
 	}
@@ -81,7 +81,7 @@
 					r := deltas[rapid.IntRange(0, n-1).Draw(t, "which")].Runs[0].Range
 					v, a, b = int(r.Volume[1]-'0'), int(r.From), int(r.To)
 				}
-				h := Home{Shard: int32(rapid.IntRange(0, 3).Draw(t, "shard")), Epoch: uint32(rapid.IntRange(0, 1).Draw(t, "epoch"))}
+				h := Location{Shard: int32(rapid.IntRange(0, 3).Draw(t, "shard")), Epoch: uint32(rapid.IntRange(0, 1).Draw(t, "epoch"))}
 				d.Runs = append(d.Runs, Run{Range{name(v), uint64(a), uint64(b)}, h, 0})
 				for e := a; e < b; e++ {
 					now[v][e] = at{h, d.Version, true}
@@ -92,7 +92,7 @@
 		runsAt := func(version, v, a, b int) (runs []Run) {
 			for e := a; e < b; e++ {
 				if s := history[version][v][e]; s.known {
-					runs = append(runs, Run{Range{name(v), uint64(e), uint64(e + 1)}, s.Home, s.version})
+					runs = append(runs, Run{Range{name(v), uint64(e), uint64(e + 1)}, s.Location, s.version})
 				}
 			}
 			return runs
@@ -106,7 +106,7 @@
 				v := int(r.Volume[1] - '0')
 				for e := r.From; e < r.To; e++ {
 					if s := &model[v][e]; d.Version >= s.version {
-						*s = at{r.Home, d.Version, true}
+						*s = at{r.Location, d.Version, true}
 					}
 				}
 			}
@@ -156,8 +156,8 @@
 				mark++
 			}
 			view := m.View()
-			if view.Mark != uint64(mark) || view.Synced != synced {
-				t.Fatalf("watermark %d, want %d; synced %v", view.Mark, mark, view.Synced)
+			if view.Watermark != uint64(mark) || view.Synced != synced {
+				t.Fatalf("watermark %d, want %d; synced %v", view.Watermark, mark, view.Synced)
 			}
 			if err := checkTree(view); err != nil {
 				t.Fatal(err)
@@ -166,7 +166,7 @@
 				vol, there := view.Volume(name(v))
 				for e := range space {
 					h, _, ok := view.Lookup(vol, uint64(e))
-					if want := model[v][e]; (there && ok) != want.known || want.known && h != want.Home {
+					if want := model[v][e]; (there && ok) != want.known || want.known && h != want.Location {
 						t.Fatalf("%s %d: %v, %v, want %+v", name(v), e, h, ok, want)
 					}
 				}
@@ -192,9 +192,9 @@
 					}
 					for e := a; e < b; e++ {
 						if s := &model[v][e]; s.version <= uint64(version) {
-							*s = at{history[version][v][e].Home, uint64(version), true}
+							*s = at{history[version][v][e].Location, uint64(version), true}
 							if !history[version][v][e].known {
-								s.Home = Home{Shard: Nowhere}
+								s.Location = Location{Shard: NoShard}
 							}
 						}
 					}
@@ -226,16 +226,16 @@
 		e := uint64(0)
 		return func() (Run, bool, error) {
 			e++
-			return Run{Range{"v", e - 1, e}, Home{Shard: int32(e % 5)}, 1}, e <= space, nil
+			return Run{Range{"v", e - 1, e}, Location{Shard: int32(e % 5)}, 1}, e <= space, nil
 		}
 	}()); err != nil {
 		t.Fatal(err)
 	}
-	model := make([]Home, space)
+	model := make([]Location, space)
 	for e := range model {
-		model[e] = Home{Shard: int32((e + 1) % 5)}
+		model[e] = Location{Shard: int32((e + 1) % 5)}
 	}
-	same := func(v *View, model []Home) {
+	same := func(v *View, model []Location) {
 		t.Helper()
 		if err := checkTree(v); err != nil {
 			t.Fatal(err)
@@ -252,7 +252,7 @@
 		for range 100 {
 			from := rng.Intn(space)
 			to := min(space, from+1+[]int{0, 0, 0, rng.Intn(10), rng.Intn(400)}[rng.Intn(5)])
-			h := Home{Shard: int32(rng.Intn(40)), Epoch: uint32(rng.Intn(2))}
+			h := Location{Shard: int32(rng.Intn(40)), Epoch: uint32(rng.Intn(2))}
 			d.Runs = append(d.Runs, Run{Range{"v", uint64(from), uint64(to)}, h, 0})
 			for e := from; e < to; e++ {
 				model[e] = h
@@ -276,7 +276,7 @@
 	version := uint64(0)
 	put := func(e uint64, shard int32) {
 		version++
-		if _, err := m.Apply(Delta{1, version, []Run{{Range{"v", e, e + 1}, Home{Shard: shard}, 0}}}); err != nil {
+		if _, err := m.Apply(Delta{1, version, []Run{{Range{"v", e, e + 1}, Location{Shard: shard}, 0}}}); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -300,7 +300,7 @@
 // new term are rejected until a snapshot of it replaces the map.
 func TestTermChange(t *testing.T) {
 	m := mustNew(t, 1000)
-	run := func(shard int32, version uint64) Run { return Run{Range{"v", 0, 10}, Home{Shard: shard}, version} }
+	run := func(shard int32, version uint64) Run { return Run{Range{"v", 0, 10}, Location{Shard: shard}, version} }
 	if _, err := m.Snapshot(1, 7, runSource([]Run{run(1, 7)})); err != nil {
 		t.Fatal(err)
 	}
@@ -317,8 +317,8 @@
 	if taken, err := m.Snapshot(2, 2, runSource([]Run{run(3, 1)})); !taken || err != nil {
 		t.Fatal(taken, err)
 	}
-	if h, _, _ := m.View().Lookup(0, 5); h.Shard != 3 || m.View().Mark != 2 {
-		t.Errorf("after the new term's snapshot: %v at version %d", h, m.View().Mark)
+	if h, _, _ := m.View().Lookup(0, 5); h.Shard != 3 || m.View().Watermark != 2 {
+		t.Errorf("after the new term's snapshot: %v at version %d", h, m.View().Watermark)
 	}
 	if h, _, _ := v.Lookup(0, 5); h.Shard != 1 {
 		t.Errorf("a view taken before the snapshot has %v", h)
@@ -335,7 +335,7 @@
 	}
 	found := 0
 	for i := range runs {
-		d := Delta{Term: 1, Version: uint64(i + 1), Runs: []Run{{Range{"v", uint64(i) * 2, uint64(i)*2 + 1}, Home{Shard: int32(i % 97)}, 0}}}
+		d := Delta{Term: 1, Version: uint64(i + 1), Runs: []Run{{Range{"v", uint64(i) * 2, uint64(i)*2 + 1}, Location{Shard: int32(i % 97)}, 0}}}
 		if _, err := m.Apply(d); err != nil {
 			t.Fatal(err)
 		}
@@ -372,7 +372,7 @@
 		t.Fatal(err)
 	}
 	d := func(version int) Delta {
-		return Delta{Term: 1, Version: uint64(version), Runs: []Run{{Range{"v", uint64(version % 50), uint64(version%50) + 1}, Home{Shard: int32(version % 7)}, 0}}}
+		return Delta{Term: 1, Version: uint64(version), Runs: []Run{{Range{"v", uint64(version % 50), uint64(version%50) + 1}, Location{Shard: int32(version % 7)}, 0}}}
 	}
 	for i := range MaxPending {
 		if _, err := m.Apply(d(i + 2)); err != nil {
@@ -385,8 +385,8 @@
 	if a, b := m.Missing(); a != 1 || b != 2 {
 		t.Errorf("missing %d to %d", a, b)
 	}
-	if taken, err := m.Snapshot(1, 1, runSource(nil)); !taken || err != nil || m.View().Mark != MaxPending+1 {
-		t.Errorf("%v, %v, watermark %d", taken, err, m.View().Mark)
+	if taken, err := m.Snapshot(1, 1, runSource(nil)); !taken || err != nil || m.View().Watermark != MaxPending+1 {
+		t.Errorf("%v, %v, watermark %d", taken, err, m.View().Watermark)
 	}
 }
 
@@ -397,7 +397,7 @@
 		if at >= n {
 			return Run{}, false, nil
 		}
-		r := Run{Range{"v", uint64(at), uint64(at + length)}, Home{Shard: int32(at / length * 7 % 1009)}, 1}
+		r := Run{Range{"v", uint64(at), uint64(at + length)}, Location{Shard: int32(at / length * 7 % 1009)}, 1}
 		at += length
 		return r, true, nil
 	}
@@ -419,7 +419,7 @@
 		n -= n % length
 		before := heapBytes()
 		keep := any(nil)
-		var lookup func(e uint64) Home
+		var lookup func(e uint64) Location
 		change := func(i int) {}
 		measure := func(name string) {
 			perExtent := float64(heapBytes()-before) / float64(n)
@@ -444,7 +444,7 @@
 		ranges := func(i int) (list []Run) {
 			for k := range 1000 {
 				e := uint64((i*1000+k)*6151%(n/length)) * length
-				list = append(list, Run{Range{"v", e, e + length}, Home{Shard: int32(k % 13)}, 0})
+				list = append(list, Run{Range{"v", e, e + length}, Location{Shard: int32(k % 13)}, 0})
 			}
 			return list
 		}
@@ -453,9 +453,9 @@
 		if _, err := m.Snapshot(1, 1, uniformRuns(n, length)); err != nil {
 			b.Fatal(err)
 		}
-		keep, lookup = m, func(e uint64) Home { h, _, _ := m.View().Lookup(0, e); return h }
+		keep, lookup = m, func(e uint64) Location { h, _, _ := m.View().Lookup(0, e); return h }
 		change = func(i int) {
-			if _, err := m.Apply(Delta{1, m.View().Mark + 1, ranges(i)}); err != nil {
+			if _, err := m.Apply(Delta{1, m.View().Watermark + 1, ranges(i)}); err != nil {
 				b.Fatal(err)
 			}
 		}
@@ -466,7 +466,7 @@
 		var sorted []run
 		next := uniformRuns(n, length)
 		for r, ok, _ := next(); ok; r, ok, _ = next() {
-			sorted = append(sorted, run{r.From, 0, uint32(r.To - r.From), r.Home, 1})
+			sorted = append(sorted, run{r.From, 0, uint32(r.To - r.From), r.Location, 1})
 		}
 		find := func(e uint64) int {
 			i, ok := slices.BinarySearchFunc(sorted, e, func(r run, e uint64) int {
@@ -482,11 +482,11 @@
 			}
 			return i
 		}
-		lookup = func(e uint64) Home { return sorted[find(e)].home }
+		lookup = func(e uint64) Location { return sorted[find(e)].home }
 		change = func(i int) { // copies the slice, so that readers need no lock
 			c := slices.Clone(sorted)
 			for _, r := range ranges(i) {
-				c[find(r.From)].home = r.Home
+				c[find(r.From)].home = r.Location
 			}
 			sorted = c
 		}
@@ -497,17 +497,17 @@
 		tree := btree.NewG(32, func(a, b run) bool { return a.start < b.start })
 		next = uniformRuns(n, length)
 		for r, ok, _ := next(); ok; r, ok, _ = next() {
-			tree.ReplaceOrInsert(run{r.From, 0, uint32(r.To - r.From), r.Home, 1})
+			tree.ReplaceOrInsert(run{r.From, 0, uint32(r.To - r.From), r.Location, 1})
 		}
 		keep = tree
-		lookup = func(e uint64) (h Home) {
+		lookup = func(e uint64) (h Location) {
 			tree.DescendLessOrEqual(run{start: e}, func(r run) bool { h = r.home; return false })
 			return h
 		}
 		change = func(i int) {
 			c := tree.Clone()
 			for _, r := range ranges(i) {
-				c.ReplaceOrInsert(run{r.From, 0, length, r.Home, 2})
+				c.ReplaceOrInsert(run{r.From, 0, length, r.Location, 2})
 			}
 			tree = c
 		}
@@ -518,18 +518,18 @@
 			continue // a Go map of 50 million entries takes about 2 GiB
 		}
 		before = heapBytes()
-		plain := map[uint64]Home{}
+		plain := map[uint64]Location{}
 		next = uniformRuns(n, length)
 		for r, ok, _ := next(); ok; r, ok, _ = next() {
 			for e := r.From; e < r.To; e++ {
-				plain[e] = r.Home
+				plain[e] = r.Location
 			}
 		}
-		keep, lookup = plain, func(e uint64) Home { return plain[e] }
+		keep, lookup = plain, func(e uint64) Location { return plain[e] }
 		change = func(i int) {
 			for _, r := range ranges(i) {
 				for e := r.From; e < r.To; e++ {
-					plain[e] = r.Home
+					plain[e] = r.Location
 				}
 			}
 		}
--- a/extentmap/tree.go
+++ b/extentmap/tree.go
@@ -23,7 +23,7 @@
 	start   uint64
 	volume  VolumeID
 	length  uint32 // number of extents
-	home    Home
+	home    Location
 	version uint64
 }
 
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -17,27 +17,27 @@
 )
 
 // What is the kind of a record.
-type What string
+type Kind string
 
 // The kinds of record. Each comment begins with the process that writes it.
 const (
-	Arrive  What = "arrive" // node: read a request frame
-	End     What = "end"    // node: wrote the answer, or would have written it to a connection that still existed
-	Effect  What = "effect" // node: a write took effect
-	Repeat  What = "repeat" // node: dropped a write whose key had taken effect
-	Fell    What = "fell"   // node: overloaded while cold and went down
-	Told    What = "told"   // register: sent a node's entry to a gateway
-	Ask     What = "ask"    // client: a transfer, or a file of one, began
-	Final   What = "final"  // client: the transfer or file ended
-	Start   What = "start"  // client or rehearsal: started a gateway's process
-	Kill    What = "kill"   // client or rehearsal: killed a gateway's process or sent it SIGTERM
-	Stalled What = "stood"  // rehearsal: a gateway's process was stopped for the time Took
+	Arrive        Kind = "arrive" // node: read a request frame
+	End           Kind = "end"    // node: wrote the answer, or would have written it to a connection that still existed
+	Effect        Kind = "effect" // node: a write took effect
+	Repeat        Kind = "repeat" // node: dropped a write whose key had taken effect
+	Collapse      Kind = "fell"   // node: overloaded while cold and went down
+	NodeSent      Kind = "told"   // register: sent a node's entry to a gateway
+	TransferStart Kind = "ask"    // client: a transfer, or a file of one, began
+	TransferEnd   Kind = "final"  // client: the transfer or file ended
+	Start         Kind = "start"  // client or rehearsal: started a gateway's process
+	Kill          Kind = "kill"   // client or rehearsal: killed a gateway's process or sent it SIGTERM
+	Stalled       Kind = "stood"  // rehearsal: a gateway's process was stopped for the time Took
 )
 
 // Record is one line of a records file. T is in nanoseconds since the Unix epoch, by the machine's clock.
 type Record struct {
 	T       int64   `json:"t"`
-	What    What    `json:"what"`
+	Kind    Kind    `json:"what"`
 	Node    string  `json:"node,omitempty"`
 	Shard   int     `json:"shard,omitempty"`
 	Zone    string  `json:"zone,omitempty"`
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -162,7 +162,7 @@
 	}
 	sort.SliceStable(a.recs, func(i, j int) bool { return a.recs[i].T < a.recs[j].T })
 	for _, r := range a.recs {
-		switch r.What {
+		switch r.Kind {
 		case Start:
 			a.starts[r.Gateway] = append(a.starts[r.Gateway], r.T)
 		case Kill:
@@ -230,12 +230,12 @@
 	open := map[key]*arrival{}
 	for i := range a.recs {
 		r := &a.recs[i]
-		if r.What != Arrive && r.What != End && r.What != Effect {
+		if r.Kind != Arrive && r.Kind != End && r.Kind != Effect {
 			continue
 		}
 		k := requestKey{a.incarnationAt(r.Gateway, r.T), r.Ref}
 		at := key{k, r.Node, r.Conn, r.Attempt}
-		if r.What == Arrive {
+		if r.Kind == Arrive {
 			x := &arrival{Record: *r}
 			if all[k] == nil {
 				order = append(order, k)
@@ -243,7 +243,7 @@
 			all[k] = append(all[k], x)
 			open[at] = x
 		} else if x := open[at]; x != nil {
-			if r.What == End {
+			if r.Kind == End {
 				x.end = r
 			} else {
 				x.effect = true
@@ -269,14 +269,14 @@
 	lastTime := int64(0)
 	for _, r := range a.recs {
 		lastTime = max(lastTime, r.T)
-		switch r.What {
-		case Ask:
+		switch r.Kind {
+		case TransferStart:
 			if transfers[r.ID] != nil {
 				a.breach(1, r.T, "transfer %s begins twice", r.ID)
 			}
 			transfers[r.ID] = &transfer{Record: r}
 			order = append(order, r.ID)
-		case Final:
+		case TransferEnd:
 			b := transfers[r.ID]
 			if b == nil {
 				a.breach(1, r.T, "transfer %s ends and never began", r.ID)
@@ -329,7 +329,7 @@
 func (a *auditor) checkEffects() {
 	effectByKey := map[string]*Record{}
 	for i, r := range a.recs {
-		if r.What != Effect || r.Key == "" || a.classes[r.Class].Effect == "safe" {
+		if r.Kind != Effect || r.Key == "" || a.classes[r.Class].Effect == "safe" {
 			continue
 		}
 		a.rep.Checked[2]++
@@ -371,8 +371,8 @@
 	type pair struct{ gateway, node string }
 	told := map[pair]int64{}
 	for _, r := range a.recs {
-		switch r.What {
-		case Told:
+		switch r.Kind {
+		case NodeSent:
 			p := pair{r.Gateway, r.Node}
 			if r.State == "ready" {
 				delete(told, p)
@@ -410,8 +410,8 @@
 	starts := map[string]map[string]int64{} // node -> gateway -> time at which it was told of the node's start
 	var recent []Record
 	for _, r := range a.recs {
-		switch r.What {
-		case Told:
+		switch r.Kind {
+		case NodeSent:
 			if r.Started != 0 && r.State == "ready" {
 				if starts[r.Node] == nil {
 					starts[r.Node] = map[string]int64{}
@@ -423,7 +423,7 @@
 		case Arrive:
 			recent = append(recent, r)
 			a.rep.Checked[4]++
-		case Fell:
+		case Collapse:
 			sum, known := 0.0, 0.0
 			for i := len(recent) - 1; i >= 0 && r.T-recent[i].T <= int64(a.rules.FallSpan); i-- {
 				x := recent[i]
@@ -453,7 +453,7 @@
 	buckets := map[string]*bucket{}
 	seen := map[requestKey]bool{}
 	for _, r := range a.recs {
-		if r.What != Arrive {
+		if r.Kind != Arrive {
 			continue
 		}
 		p := a.plans[a.rules.Volumes[r.Volume]]
@@ -521,7 +521,7 @@
 	byIncarnation := map[incarnation][]Record{}
 	var incarnations []incarnation
 	for _, r := range a.recs {
-		if r.What == Arrive {
+		if r.Kind == Arrive {
 			l := a.incarnationAt(r.Gateway, r.T)
 			if byIncarnation[l] == nil {
 				incarnations = append(incarnations, l)
@@ -594,13 +594,13 @@
 		}
 	}
 	for _, r := range a.recs {
-		if r.What == Ask {
+		if r.Kind == TransferStart {
 			asksByID[r.ID] = r
 		}
 	}
 	ends := map[string]Record{}
 	for _, r := range a.recs {
-		if r.What == Final {
+		if r.Kind == TransferEnd {
 			ends[r.ID] = r
 		}
 	}
@@ -688,9 +688,9 @@
 	files, all := map[int]map[string]bool{}, map[string]bool{}
 	for _, r := range a.recs {
 		switch {
-		case r.What == Told:
+		case r.Kind == NodeSent:
 			counts[r.Shard] += 0
-		case r.What == End && r.Result == "done" && writes[r.Class]:
+		case r.Kind == End && r.Result == "done" && writes[r.Class]:
 			counts[r.Shard]++
 			if r.Item == "" {
 				continue
--- a/internal/audit/rules_test.go
+++ b/internal/audit/rules_test.go
@@ -22,21 +22,21 @@
 const ms = int64(time.Millisecond)
 
 func arrive(t int64, node string, ref uint64, attempt int, class string) Record {
-	return Record{T: t * ms, What: Arrive, Node: node, Gateway: "g", Ref: ref, Attempt: attempt, Class: class,
+	return Record{T: t * ms, Kind: Arrive, Node: node, Gateway: "g", Ref: ref, Attempt: attempt, Class: class,
 		Volume: "v", Item: "i", Units: 1, Shard: int(node[len(node)-1] - '0')}
 }
 
 func end(t int64, node string, ref uint64, attempt int, result string) Record {
-	return Record{T: t * ms, What: End, Node: node, Gateway: "g", Ref: ref, Attempt: attempt, Result: result}
+	return Record{T: t * ms, Kind: End, Node: node, Gateway: "g", Ref: ref, Attempt: attempt, Result: result}
 }
 
 func transfer(id string, from, to, limit int64, result string) []Record {
-	return []Record{{T: from * ms, What: Ask, ID: id, Gateway: "g", Class: "read", Plan: "p", Units: 1, Limit: limit * ms},
-		{T: to * ms, What: Final, ID: id, Gateway: "g", Result: result, Took: (to - from) * ms}}
+	return []Record{{T: from * ms, Kind: TransferStart, ID: id, Gateway: "g", Class: "read", Plan: "p", Units: 1, Limit: limit * ms},
+		{T: to * ms, Kind: TransferEnd, ID: id, Gateway: "g", Result: result, Took: (to - from) * ms}}
 }
 
 func told(t int64, node, state string) Record {
-	return Record{T: t * ms, What: Told, Gateway: "g", Node: node, State: state}
+	return Record{T: t * ms, Kind: NodeSent, Gateway: "g", Node: node, State: state}
 }
 
 // TestCheckFindsBreaches checks for each rule that Check reports records that break it, and reports nothing
@@ -64,7 +64,7 @@
 			r.Started = 1
 		}
 		return in(r, arrive(500, "n1", 1, 0, "read"), arrive(600, "n1", 2, 0, "read"),
-			Record{T: 700 * ms, What: Fell, Node: "n1"})
+			Record{T: 700 * ms, Kind: Collapse, Node: "n1"})
 	}
 	for _, c := range []struct {
 		name string
@@ -77,12 +77,12 @@
 		{"never answered", 1, append(transfer("a", 0, 900, 1000, "served")[:1], transfer("b", 2000, 2100, 1000, "served")...), "never ended"},
 		{"answered twice", 1, append(transfer("a", 0, 900, 1000, "served"), transfer("a", 0, 950, 1000, "served")[1]), "ends 2 times"},
 		{"silent", 1, transfer("a", 0, 900, 1000, "silent"), "gave up"},
-		{"killed meanwhile", 0, append(transfer("a", 0, 5000, 1000, "silent"), Record{T: 500 * ms, What: Kill, Gateway: "g"}), ""},
+		{"killed meanwhile", 0, append(transfer("a", 0, 5000, 1000, "silent"), Record{T: 500 * ms, Kind: Kill, Gateway: "g"}), ""},
 		{"sent after it was served", 1, in(arrive(0, "n1", 1, 0, "read"), end(10, "n1", 1, 0, "done"), arrive(90, "n1", 1, 1, "read")), "had served it"},
 		{"second copy", 0, in(arrive(0, "n1", 1, 0, "read"), arrive(50, "n1", 1, 1, "read"), end(55, "n1", 1, 0, "done")), ""},
 
-		{"effect twice", 2, in(Record{What: Effect, T: 1, Key: "k", Class: "write", Node: "n1"},
-			Record{What: Effect, T: 2, Key: "k", Class: "write", Node: "n2"}), "took effect"},
+		{"effect twice", 2, in(Record{Kind: Effect, T: 1, Key: "k", Class: "write", Node: "n1"},
+			Record{Kind: Effect, T: 2, Key: "k", Class: "write", Node: "n2"}), "took effect"},
 		{"keyed again in its cell and window", 0, in(arrive(0, "n1", 1, 0, "write"), arrive(900, "m1", 1, 1, "write")), ""},
 		{"keyed again elsewhere", 2, in(arrive(0, "n1", 1, 0, "write"), arrive(90, "n2", 1, 1, "write")), "outside the group"},
 		{"keyed again elsewhere after busy", 0, in(arrive(0, "n1", 1, 0, "write"), end(1, "n1", 1, 0, "busy"), arrive(90, "n2", 1, 1, "write")), ""},
@@ -92,7 +92,7 @@
 		{"within the grace", 0, in(told(0, "n1", "draining"), arrive(1900, "n1", 1, 0, "read")), ""},
 		{"after the grace", 3, in(told(0, "n1", "draining"), told(1000, "n1", "gone"), arrive(2100, "n1", 1, 0, "read")), "after the gateway was told"},
 		{"ready again", 0, in(told(0, "n1", "draining"), told(1000, "n1", "ready"), arrive(2100, "n1", 1, 0, "read")), ""},
-		{"process stopped", 0, in(told(0, "n1", "draining"), Record{T: 1500 * ms, What: Stalled, Gateway: "g", Took: 1600 * ms},
+		{"process stopped", 0, in(told(0, "n1", "draining"), Record{T: 1500 * ms, Kind: Stalled, Gateway: "g", Took: 1600 * ms},
 			arrive(3000, "n1", 1, 0, "read")), ""},
 
 		{"cold node overloaded", 4, fell(true), "fell over"},
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	w.Put(arrive(5, "n1", 1, 0, "read"))
-	w.Put(Record{What: Fell, Node: "n1"})
+	w.Put(Record{Kind: Collapse, Node: "n1"})
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/audit/service_test.go
+++ b/internal/audit/service_test.go
@@ -48,7 +48,7 @@
 		recs = append(recs, r)
 	}
 	done := func(shard int, class, result string) {
-		recs = append(recs, Record{T: ms, What: End, Shard: shard, Class: class, Result: result, Item: fmt.Sprintf("g-1-%d.%d", len(recs)/2, len(recs))})
+		recs = append(recs, Record{T: ms, Kind: End, Shard: shard, Class: class, Result: result, Item: fmt.Sprintf("g-1-%d.%d", len(recs)/2, len(recs))})
 	}
 	for range 6 {
 		done(1, "write", "done")
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -113,7 +113,7 @@
 	b := &Backend{settings: settings, owner: owner, log: log, nodes: map[string]*node{}, attempts: map[uint64]*attempt{}}
 	b.ctx, b.cancel = context.WithCancel(context.Background())
 	client, err := gnet.NewClient(&handler{b: b}, gnet.WithNumEventLoop(settings.Loops), gnet.WithTicker(true),
-		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(telemetry.Gnet{Log: log}),
+		gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(telemetry.GnetLogger{Log: log}),
 		gnet.WithReadBufferCap(256<<10), gnet.WithWriteBufferCap(1<<20))
 	if err == nil {
 		err = client.Start()
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -174,7 +174,7 @@
 	b.Send(read(11, "n", "i", 1)) // occupies the only core and is never answered
 	b.Send(read(12, "n", "i", 1))
 	waitUntil(t, func() bool { return n.Counts().Arrived == before+2 })
-	n.Cut()
+	n.CloseConns()
 	o.wait(t, 12)
 	for _, ref := range []uint64{11, 12} {
 		if got := o.result(ref); got.Result != control.Reset {
--- a/internal/backend/handler.go
+++ b/internal/backend/handler.go
@@ -57,7 +57,7 @@
 		}
 		frame, n, err := nodewire.Decode(p)
 		if errors.Is(err, nodewire.ErrShort) {
-			if need := nodewire.Need(p); need > c.needBytes {
+			if need := nodewire.FrameLen(p); need > c.needBytes {
 				c.needBytes = need
 				continue
 			}
@@ -143,7 +143,7 @@
 // toOutcome converts a node's answer to an outcome. An answer to a read with the wrong number of bytes is an error.
 func toOutcome(a *attempt, f *nodewire.Answer) host.Outcome {
 	o := host.Outcome{Ref: a.Ref, Shard: int(f.Shard), VolumeUse: int(f.VolumeUse),
-		OthersGot: float64(f.OthersMilli) / 1000, Load: loadValues(f.Queue, f.LatencyUs), Text: f.Text}
+		OthersGot: float64(f.OthersMilliUnits) / 1000, Load: loadValues(f.Queue, f.LatencyUs), Text: f.Text}
 	switch f.Result {
 	case nodewire.Done:
 		o.Result = control.Done
--- a/internal/backend/http/backend_test.go
+++ b/internal/backend/http/backend_test.go
@@ -71,7 +71,7 @@
 func (r *harness) waitReceived(t *testing.T, n *standin.HTTPNode) {
 	t.Helper()
 	received := make(chan bool)
-	go func() { n.Seen(1); close(received) }()
+	go func() { n.WaitSeen(1); close(received) }()
 	const timeout = 20 * time.Second // an attempt has 5 s
 	select {
 	case <-received:
@@ -152,7 +152,7 @@
 			if o := <-r.outcomes; o.Result != control.Done || string(o.Data.B) != "second" {
 				t.Fatalf("the next request got %+v", o)
 			}
-			if s := n.Seen(2); (s[0].Conn == s[1].Conn) != c.reused {
+			if s := n.WaitSeen(2); (s[0].Conn == s[1].Conn) != c.reused {
 				t.Fatalf("connections %d and %d; expected reuse %v", s[0].Conn, s[1].Conn, c.reused)
 			}
 		})
@@ -202,7 +202,7 @@
 			if o := <-r.outcomes; string(o.Data.B) != "two" {
 				t.Fatalf("got %q", o.Data.B)
 			}
-			if s := n.Seen(2); s[1].Conn == 1 {
+			if s := n.WaitSeen(2); s[1].Conn == 1 {
 				t.Fatal("the connection with unsolicited bytes was reused")
 			}
 		})
@@ -216,7 +216,7 @@
 	if o := <-r.outcomes; o.VolumeUse != 86 || !slices.Equal(o.Load, []float64{3, 14.5}) {
 		t.Fatalf("%+v", o)
 	}
-	s := n.Seen(1)[0]
+	s := n.WaitSeen(1)[0]
 	if s.Method != "PUT" || s.Target != "/api/v/i" || s.ID != "0123456789abcdef" || s.Key != "k" || s.Body != "body" || s.Left == "" {
 		t.Errorf("%+v", s)
 	}
@@ -255,12 +255,12 @@
 		reply standin.Reply
 		want  control.Result
 	}{
-		{"reset after the last byte", standin.Reply{Then: standin.Hang}, control.Reset},
+		{"reset after the last byte", standin.Reply{Then: standin.Reset}, control.Reset},
 		{"closed after the last byte", standin.Reply{Then: closeConn}, control.Reset},
-		{"reset in the answer", standin.Reply{Text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Then: standin.Hang}, control.Reset},
+		{"reset in the answer", standin.Reply{Text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Then: standin.Reset}, control.Reset},
 		{"closed in the answer", standin.Reply{Text: "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nabc", Then: closeConn}, control.Reset},
 		{"closed in chunks", standin.Reply{Text: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", Then: closeConn}, control.Reset},
-		{"no length, reset", standin.Reply{Text: "HTTP/1.1 200 OK\r\n\r\nabc", Then: standin.Hang}, control.Reset},
+		{"no length, reset", standin.Reply{Text: "HTTP/1.1 200 OK\r\n\r\nabc", Then: standin.Reset}, control.Reset},
 		{"no length, ended", standin.Reply{Text: "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nabc", Then: closeConn}, control.Done},
 		{"no length, ended while it is sent to", standin.Reply{Text: "HTTP/1.1 200 \r\n\r\nabc",
 			Then: func(c net.Conn) { _ = c.(*net.TCPConn).CloseWrite() }}, control.Done},
@@ -273,7 +273,7 @@
 			if o := <-r.outcomes; o.Result != c.want || o.Result == control.Done && string(o.Data.B) != "abc" {
 				t.Fatalf("%+v, expected result %d", o, c.want)
 			}
-			if k := len(n.Seen(1)); k != 1 {
+			if k := len(n.WaitSeen(1)); k != 1 {
 				t.Fatalf("the request came %d times", k)
 			}
 		})
@@ -293,7 +293,7 @@
 		if _, err := c.Read(make([]byte, 1)); err != nil {
 			t.Fatal(err)
 		}
-		standin.Hang(c)
+		standin.Reset(c)
 		if o := <-r.outcomes; o.Result != control.Unreachable && o.Result != control.Reset { // depends on how much the kernel took
 			t.Fatalf("%+v", o)
 		}
@@ -361,7 +361,7 @@
 	two := r.send("a", "y") // waits: the connection limit is reached
 	r.Drop(two)
 	r.Drop(one)
-	n.Alone(0)
+	n.WaitConns(0)
 	if s := r.readStats(); s.Out != 0 || s.Waiting != 0 || s.Conns != 0 || s.Given != 1 || s.Written != 1 {
 		t.Fatalf("%+v", s)
 	}
@@ -421,7 +421,7 @@
 			if o := <-r.outcomes; o.Result != control.Done {
 				t.Fatalf("%+v", o)
 			}
-			if s := other.Seen(1); len(s) != 1 || s[0].Body != "z" {
+			if s := other.WaitSeen(1); len(s) != 1 || s[0].Body != "z" {
 				t.Fatalf("the node has seen %+v", s)
 			}
 			if s := r.readStats(); s.Barred != 1 || s.Out != 0 || s.Waiting != 0 {
@@ -450,7 +450,7 @@
 			t.Fatalf("%+v", o)
 		}
 	}
-	left, err := strconv.Atoi(other.Seen(1)[0].Left)
+	left, err := strconv.Atoi(other.WaitSeen(1)[0].Left)
 	if err != nil || left > int((5*time.Second-wait).Milliseconds()) || left < int((5*time.Second-time.Since(began)).Milliseconds())-1 {
 		t.Fatalf("told %d ms after %v: %v", left, time.Since(began), err)
 	}
@@ -510,7 +510,7 @@
 			t.Fatalf("%+v", o)
 		}
 	}
-	n.Alone(0)
+	n.WaitConns(0)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 8<<20 {
@@ -574,7 +574,7 @@
 		}
 	}
 	r.Nodes(nil)
-	n.Alone(0)
+	n.WaitConns(0)
 	done := make(chan [2]int)
 	r.loop.Post(func() { done <- [2]int{len(r.nodes), len(r.attempts)} })
 	if left := <-done; left[0] > 1 || left[1] != 0 {
--- a/internal/collect/collect.go
+++ b/internal/collect/collect.go
@@ -28,13 +28,13 @@
 	settings Settings
 	store    *store.Catalogue
 	host     *host.Host
-	work     extent.Work
+	work     extent.CostModel
 	log      *slog.Logger
 	shards   func() []int // returns the shards of the listed nodes
 }
 
 // New returns a collector. Run starts it.
-func New(set Settings, s *store.Catalogue, h *host.Host, w extent.Work, shards func() []int, log *slog.Logger) *Collector {
+func New(set Settings, s *store.Catalogue, h *host.Host, w extent.CostModel, shards func() []int, log *slog.Logger) *Collector {
 	if set.ScanInterval == 0 {
 		set.ScanInterval = 2 * time.Second
 	}
@@ -80,7 +80,7 @@
 			continue // retried by a later scan
 		}
 		ended := make(chan error, 1)
-		c.store.Collected(seqs[i], func(err error) { ended <- err })
+		c.store.RemoveGarbage(seqs[i], func(err error) { ended <- err })
 		if err := <-ended; err != nil {
 			return gone, err
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -48,51 +48,51 @@
 
 // Config is a complete settings file.
 type Config struct {
-	Gateway  Gateway  `toml:"gateway" comment:"This host."`
-	Register Register `toml:"register" comment:"The node list: Server-Sent Events, cached in the gateway's folder."`
-	Nodes    Nodes    `toml:"nodes" comment:"Connections to storage nodes."`
-	Safety   Safety   `toml:"safety" comment:"Limits that the storage nodes set for requests to them."`
-	Worth    Worth    `toml:"worth" comment:"How units of work and the worth of requests are computed, and the classes for reads and writes."`
-	Rsync    Rsync    `toml:"rsync" comment:"The rsync front."`
-	Pacing   Pacing   `toml:"pacing" comment:"How a transfer requests its extents."`
-	Place    Place    `toml:"placement" comment:"Which shards new extents are placed on."`
-	Moves    Moves    `toml:"moves" comment:"How data is moved between shards (eiderhold space rebalance)."`
-	Shares   Shares   `toml:"shares" comment:"Solutions of shares (eiderhold shares), taken from the register's stream or a file."`
-	Forecast Forecast `toml:"forecast" comment:"Record of the demand of volumes, for eiderhold shares gather; kept in the gateway's folder."`
-	Recorder Recorder `toml:"recorder" comment:"Record of the controller's batches and actions, for eiderhold replay."`
-	Classes  []Class  `toml:"class" comment:"The classes of request."`
-	Plans    []Plan   `toml:"plan" comment:"What each volume of a plan is entitled to, over all gateways."`
-	Modules  []Module `toml:"module" comment:"The rsync modules: each is a volume with a plan."`
+	Gateway   Gateway   `toml:"gateway" comment:"This host."`
+	Register  Register  `toml:"register" comment:"The node list: Server-Sent Events, cached in the gateway's folder."`
+	Nodes     Nodes     `toml:"nodes" comment:"Connections to storage nodes."`
+	Safety    Safety    `toml:"safety" comment:"Limits that the storage nodes set for requests to them."`
+	Worth     Worth     `toml:"worth" comment:"How units of work and the worth of requests are computed, and the classes for reads and writes."`
+	Rsync     Rsync     `toml:"rsync" comment:"The rsync front."`
+	Pacing    Pacing    `toml:"pacing" comment:"How a transfer requests its extents."`
+	Placement Placement `toml:"placement" comment:"Which shards new extents are placed on."`
+	Moves     Moves     `toml:"moves" comment:"How data is moved between shards (eiderhold space rebalance)."`
+	Shares    Shares    `toml:"shares" comment:"Solutions of shares (eiderhold shares), taken from the register's stream or a file."`
+	Forecast  Forecast  `toml:"forecast" comment:"Record of the demand of volumes, for eiderhold shares gather; kept in the gateway's folder."`
+	Recorder  Recorder  `toml:"recorder" comment:"Record of the controller's batches and actions, for eiderhold replay."`
+	Classes   []Class   `toml:"class" comment:"The classes of request."`
+	Plans     []Plan    `toml:"plan" comment:"What each volume of a plan is entitled to, over all gateways."`
+	Modules   []Module  `toml:"module" comment:"The rsync modules: each is a volume with a plan."`
 }
 
 // Gateway holds the settings of this host.
 type Gateway struct {
-	Name     string   `toml:"name" comment:"Unique among the gateways: item names begin with it. Letters, digits, - and _."`
-	Zone     string   `toml:"zone" comment:"Zone of this host; empty if the site has no zones."`
-	Dir      string   `toml:"dir" comment:"Folder of the catalogue, the cached node list and the recorder. It must survive restarts."`
-	Seed     int64    `toml:"seed" comment:"Seed of the controller's random numbers; 0: a new one at each start."`
-	Hosts    int      `toml:"hosts" comment:"Number of gateways in the fleet, this one included."`
-	Open     int      `toml:"open_requests" comment:"Most requests open at a time; further ones are refused immediately."`
-	Drain    Duration `toml:"drain" comment:"How long transfers may take to end after SIGTERM."`
-	LogLevel string   `toml:"log_level" comment:"debug, info, warn or error. Read again at SIGHUP."`
+	Name            string   `toml:"name" comment:"Unique among the gateways: item names begin with it. Letters, digits, - and _."`
+	Zone            string   `toml:"zone" comment:"Zone of this host; empty if the site has no zones."`
+	Dir             string   `toml:"dir" comment:"Folder of the catalogue, the cached node list and the recorder. It must survive restarts."`
+	Seed            int64    `toml:"seed" comment:"Seed of the controller's random numbers; 0: a new one at each start."`
+	Hosts           int      `toml:"hosts" comment:"Number of gateways in the fleet, this one included."`
+	MaxOpenRequests int      `toml:"open_requests" comment:"Most requests open at a time; further ones are refused immediately."`
+	DrainTimeout    Duration `toml:"drain" comment:"How long transfers may take to end after SIGTERM."`
+	LogLevel        string   `toml:"log_level" comment:"debug, info, warn or error. Read again at SIGHUP."`
 }
 
 // Register holds the settings of the node list's source.
 type Register struct {
-	URL     string   `toml:"url" comment:"URL of the event stream, http://HOST:PORT/nodes."`
-	Silence Duration `toml:"silence" comment:"A stream without any data for this long is closed and requested again."`
-	Settle  Duration `toml:"settle" comment:"A list that lost half its nodes or more applies at once, but is cached only if it lasts this long."`
+	URL            string   `toml:"url" comment:"URL of the event stream, http://HOST:PORT/nodes."`
+	SilenceTimeout Duration `toml:"silence" comment:"A stream without any data for this long is closed and requested again."`
+	SettleTime     Duration `toml:"settle" comment:"A list that lost half its nodes or more applies at once, but is cached only if it lasts this long."`
 }
 
 // Nodes holds the limits of the connections to nodes.
 type Nodes struct {
-	Conns     int      `toml:"connections" comment:"Most connections to one node."`
-	Streams   int      `toml:"streams" comment:"Attempts at a time on a connection before another one is opened."`
-	Waiting   int      `toml:"waiting" comment:"Most attempts that wait for a connection to one node; further ones are not sent."`
-	Dial      Duration `toml:"dial_timeout" comment:"Limit for opening a connection and its hello exchange."`
-	IdleClose Duration `toml:"idle_close" comment:"A connection without attempts is closed after this long."`
-	Cancel    bool     `toml:"cancel" comment:"Cancel attempts at nodes whose answer is no longer needed."`
-	Loops     int      `toml:"loops" comment:"Event loops for connections to nodes."`
+	MaxConnections int      `toml:"connections" comment:"Most connections to one node."`
+	Streams        int      `toml:"streams" comment:"Attempts at a time on a connection before another one is opened."`
+	Waiting        int      `toml:"waiting" comment:"Most attempts that wait for a connection to one node; further ones are not sent."`
+	DialTimeout    Duration `toml:"dial_timeout" comment:"Limit for opening a connection and its hello exchange."`
+	IdleTimeout    Duration `toml:"idle_close" comment:"A connection without attempts is closed after this long."`
+	Cancel         bool     `toml:"cancel" comment:"Cancel attempts at nodes whose answer is no longer needed."`
+	Loops          int      `toml:"loops" comment:"Event loops for connections to nodes."`
 }
 
 // Safety holds the limits that the storage nodes set for requests.
@@ -125,20 +125,20 @@
 	BulkClass      string   `toml:"bulk_class" comment:"Class of read requests that belong to a large file."`
 	BulkAboveBytes int64    `toml:"bulk_above" comment:"Files with more bytes than this are large."`
 	WriteClass     string   `toml:"write_class" comment:"Class of write requests; its effect must be keyed."`
-	Collect        string   `toml:"collect_class" comment:"Class of requests that delete items to which nothing refers."`
+	CollectClass   string   `toml:"collect_class" comment:"Class of requests that delete items to which nothing refers."`
 }
 
 // Rsync holds the settings of the rsync front.
 type Rsync struct {
-	Listen    string   `toml:"listen" comment:"HOST:PORT to listen on; port 0 takes a free port."`
-	Loops     int      `toml:"loops" comment:"Event loops for connections of clients."`
-	MOTD      string   `toml:"motd" comment:"Greeting that every client is shown. Read again at SIGHUP, with the modules."`
-	Extent    int      `toml:"extent_bytes" comment:"Files are split into extents of this size."`
-	Conns     int      `toml:"connections" comment:"Most clients at a time; further ones are rejected with the message of rsync for it."`
-	Files     int      `toml:"files" comment:"Most entries of file lists held over all transfers, about half a KiB each; a transfer that would exceed it ends with an error."`
-	Budget    int64    `toml:"buffer_bytes" comment:"Most bytes of extents held over all transfers; at the limit, transfers wait."`
-	Handshake Duration `toml:"handshake" comment:"A client that has not begun its transfer after this time is disconnected."`
-	Stall     Duration `toml:"stall" comment:"A connection without any traffic for this long is closed. A client that reads a large file of its own may be silent for a long time."`
+	Listen         string   `toml:"listen" comment:"HOST:PORT to listen on; port 0 takes a free port."`
+	Loops          int      `toml:"loops" comment:"Event loops for connections of clients."`
+	MOTD           string   `toml:"motd" comment:"Greeting that every client is shown. Read again at SIGHUP, with the modules."`
+	ExtentBytes    int      `toml:"extent_bytes" comment:"Files are split into extents of this size."`
+	MaxConnections int      `toml:"connections" comment:"Most clients at a time; further ones are rejected with the message of rsync for it."`
+	MaxFileEntries int      `toml:"files" comment:"Most entries of file lists held over all transfers, about half a KiB each; a transfer that would exceed it ends with an error."`
+	BufferBytes    int64    `toml:"buffer_bytes" comment:"Most bytes of extents held over all transfers; at the limit, transfers wait."`
+	Handshake      Duration `toml:"handshake" comment:"A client that has not begun its transfer after this time is disconnected."`
+	Stall          Duration `toml:"stall" comment:"A connection without any traffic for this long is closed. A client that reads a large file of its own may be silent for a long time."`
 }
 
 // Pacing holds pacing.Settings.
@@ -155,37 +155,37 @@
 
 // Recorder holds the settings of the record of batches.
 type Recorder struct {
-	On       bool  `toml:"on" comment:"Whether batches are recorded. Switched off, the recorder costs nothing."`
-	FileSize int64 `toml:"file_bytes" comment:"A file is closed at this size and the next one is begun."`
-	Files    int   `toml:"files" comment:"Files kept; the oldest is deleted."`
+	On        bool  `toml:"on" comment:"Whether batches are recorded. Switched off, the recorder costs nothing."`
+	FileBytes int64 `toml:"file_bytes" comment:"A file is closed at this size and the next one is begun."`
+	MaxFiles  int   `toml:"files" comment:"Files kept; the oldest is deleted."`
 }
 
 // Place holds placement.Settings and placement.Marks.
-type Place struct {
-	Choice int      `toml:"choice" comment:"Number of candidate shards for a new extent, 1 to 8; 0: all shards, by what this host knows of them."`
-	Width  int      `toml:"width" comment:"Number of shards over which a large file is spread."`
-	Whole  int64    `toml:"whole_up_to" comment:"Extents of files up to this many bytes are placed together on one shard."`
-	High   float64  `toml:"high" comment:"Fraction of its capacity at which a shard stops taking new extents ..."`
-	Low    float64  `toml:"low" comment:"... and below which it takes new extents again."`
-	Hold   Duration `toml:"hold" comment:"A shard that had no room for an extent gets no new extents for this long, whatever it reports."`
+type Placement struct {
+	Choice    int      `toml:"choice" comment:"Number of candidate shards for a new extent, 1 to 8; 0: all shards, by what this host knows of them."`
+	Width     int      `toml:"width" comment:"Number of shards over which a large file is spread."`
+	WholeUpTo int64    `toml:"whole_up_to" comment:"Extents of files up to this many bytes are placed together on one shard."`
+	High      float64  `toml:"high" comment:"Fraction of its capacity at which a shard stops taking new extents ..."`
+	Low       float64  `toml:"low" comment:"... and below which it takes new extents again."`
+	Hold      Duration `toml:"hold" comment:"A shard that had no room for an extent gets no new extents for this long, whatever it reports."`
 }
 
 // Moves holds mover.Settings: how data is moved between shards.
 type Moves struct {
-	AtOnce int   `toml:"at_once" comment:"Most moves from or to one shard at a time."`
-	Copies int   `toml:"copies" comment:"Extents of one move that are copied at a time."`
-	Rate   int64 `toml:"rate" comment:"Most bytes a second that are moved from or to one shard."`
-	Tries  int   `toml:"tries" comment:"A move is undone after this many consecutive failures of one extent."`
+	PerShard int   `toml:"at_once" comment:"Most moves from or to one shard at a time."`
+	Copies   int   `toml:"copies" comment:"Extents of one move that are copied at a time."`
+	Rate     int64 `toml:"rate" comment:"Most bytes a second that are moved from or to one shard."`
+	Tries    int   `toml:"tries" comment:"A move is undone after this many consecutive failures of one extent."`
 }
 
 // MoveSettings returns the settings of package mover. The grace period is 0 because the items that a move leaves
 // at its source are deleted only when no transfer reads them any more.
 func (c *Config) MoveSettings() mover.Settings {
 	s := mover.Default
-	s.PerShard, s.Copies, s.Rate, s.Tries, s.Grace = c.Moves.AtOnce, c.Moves.Copies, c.Moves.Rate, c.Moves.Tries, 0
+	s.MaxMovesPerShard, s.MaxActions, s.BytesPerSecond, s.MaxTries, s.RemovalDelay = c.Moves.PerShard, c.Moves.Copies, c.Moves.Rate, c.Moves.Tries, 0
 	for _, class := range c.Classes {
-		if class.Name == c.Worth.Collect {
-			s.Late = class.Deadline.D()
+		if class.Name == c.Worth.CollectClass {
+			s.MaxCopyDuration = class.Deadline.D()
 		}
 	}
 	return s
@@ -193,18 +193,18 @@
 
 // Shares holds the settings of the sources of solutions.
 type Shares struct {
-	File   string   `toml:"file" comment:"Solution file to watch, in addition to the register's stream; empty: none."`
-	Poll   Duration `toml:"poll" comment:"How often the file is checked for a change."`
-	Keep   int      `toml:"keep" comment:"Solutions kept in the gateway's folder, the one in use included."`
-	Inputs string   `toml:"inputs" comment:"Digest of the problem (shown by eiderhold shares check); only its solutions are accepted; empty: solutions of any problem."`
+	File         string   `toml:"file" comment:"Solution file to watch, in addition to the register's stream; empty: none."`
+	PollInterval Duration `toml:"poll" comment:"How often the file is checked for a change."`
+	Keep         int      `toml:"keep" comment:"Solutions kept in the gateway's folder, the one in use included."`
+	Inputs       string   `toml:"inputs" comment:"Digest of the problem (shown by eiderhold shares check); only its solutions are accepted; empty: solutions of any problem."`
 }
 
 // Forecast holds the settings of the record of demand.
 type Forecast struct {
-	Slot    Duration `toml:"slot" comment:"Time over which demand is averaged. It must be the same on all gateways."`
-	Days    int      `toml:"days" comment:"Days kept, today included."`
-	Volumes int      `toml:"volumes" comment:"Most volumes kept, about 5 KB each; beyond it those with the least demand are dropped."`
-	Write   Duration `toml:"write" comment:"How often the record is written to forecast.dat; 0s: nothing is recorded."`
+	Slot          Duration `toml:"slot" comment:"Time over which demand is averaged. It must be the same on all gateways."`
+	Days          int      `toml:"days" comment:"Days kept, today included."`
+	Volumes       int      `toml:"volumes" comment:"Most volumes kept, about 5 KB each; beyond it those with the least demand are dropped."`
+	WriteInterval Duration `toml:"write" comment:"How often the record is written to forecast.dat; 0s: nothing is recorded."`
 }
 
 // Class defines a class of request.
@@ -235,45 +235,45 @@
 
 // Module defines an rsync module.
 type Module struct {
-	Name      string   `toml:"name" comment:"Name that clients use; also the name of its volume."`
-	Comment   string   `toml:"comment" comment:"Description in the list of modules."`
-	Plan      string   `toml:"plan" comment:"Plan of the volume."`
-	ReadOnly  bool     `toml:"read_only" comment:"Clients cannot push."`
-	WriteOnly bool     `toml:"write_only" comment:"Clients cannot pull."`
-	Hidden    bool     `toml:"hidden" comment:"Left out of the list of modules."`
-	Users     []string `toml:"users" comment:"Users who may connect, with a password; empty: everyone, without a password."`
-	Secrets   string   `toml:"secrets_file" comment:"File with lines of user:password; rejected if its mode lets other users access it."`
-	Conns     int      `toml:"connections" comment:"Most clients of the module at a time; 0: no limit of its own."`
-	Quota     int64    `toml:"quota_bytes" comment:"Most bytes of its files, as counted in this gateway's catalogue; 0: no limit."`
-	Share     float64  `toml:"share" comment:"Units a second of the volume's share at this gateway, fixed in advance; 0: not fixed."`
+	Name           string   `toml:"name" comment:"Name that clients use; also the name of its volume."`
+	Comment        string   `toml:"comment" comment:"Description in the list of modules."`
+	Plan           string   `toml:"plan" comment:"Plan of the volume."`
+	ReadOnly       bool     `toml:"read_only" comment:"Clients cannot push."`
+	WriteOnly      bool     `toml:"write_only" comment:"Clients cannot pull."`
+	Hidden         bool     `toml:"hidden" comment:"Left out of the list of modules."`
+	Users          []string `toml:"users" comment:"Users who may connect, with a password; empty: everyone, without a password."`
+	SecretsFile    string   `toml:"secrets_file" comment:"File with lines of user:password; rejected if its mode lets other users access it."`
+	MaxConnections int      `toml:"connections" comment:"Most clients of the module at a time; 0: no limit of its own."`
+	QuotaBytes     int64    `toml:"quota_bytes" comment:"Most bytes of its files, as counted in this gateway's catalogue; 0: no limit."`
+	Share          float64  `toml:"share" comment:"Units a second of the volume's share at this gateway, fixed in advance; 0: not fixed."`
 }
 
 // Default returns complete, valid settings for a gateway on one machine.
 func Default() *Config {
 	p := pacing.Default
 	return &Config{
-		Gateway: Gateway{Name: "gateway-1", Dir: "eiderhold-data", Hosts: 1, Open: 100_000,
-			Drain: Duration(20 * time.Second), LogLevel: "info"},
-		Register: Register{URL: "http://127.0.0.1:8740/nodes", Silence: Duration(5 * time.Second), Settle: Duration(30 * time.Second)},
-		Nodes: Nodes{Conns: 4, Streams: 32, Waiting: 256, Dial: Duration(250 * time.Millisecond),
-			IdleClose: Duration(30 * time.Second), Cancel: true, Loops: 1},
+		Gateway: Gateway{Name: "gateway-1", Dir: "eiderhold-data", Hosts: 1, MaxOpenRequests: 100_000,
+			DrainTimeout: Duration(20 * time.Second), LogLevel: "info"},
+		Register: Register{URL: "http://127.0.0.1:8740/nodes", SilenceTimeout: Duration(5 * time.Second), SettleTime: Duration(30 * time.Second)},
+		Nodes: Nodes{MaxConnections: 4, Streams: 32, Waiting: 256, DialTimeout: Duration(250 * time.Millisecond),
+			IdleTimeout: Duration(30 * time.Second), Cancel: true, Loops: 1},
 		Safety: Safety{MaxAttempts: 4, MaxRetryAfter: Duration(2 * time.Second), SecondCopies: true,
 			DrainGrace: Duration(2 * time.Second), ColdFor: Duration(18 * time.Second), ColdCapacity: 0.2,
 			FallMultiple: 4, FallSpan: Duration(2 * time.Second), ColdBears: 40,
 			ExtraFree: 10, ExtraShare: 0.2, ExtraSpan: Duration(10 * time.Second)},
 		Worth: Worth{UnitBytes: 64 << 10, MeanUnits: 2, MostUnits: 6, ReadClass: "record-read", BulkClass: "bulk-export",
-			BulkAboveBytes: 8 << 20, WriteClass: "record-write", Collect: "collect"},
-		Rsync: Rsync{Listen: "127.0.0.1:8730", Loops: 2, MOTD: "", Extent: 256 << 10, Conns: 4000, Files: 1_000_000,
-			Budget: 512 << 20, Handshake: Duration(20 * time.Second), Stall: Duration(5 * time.Minute)},
+			BulkAboveBytes: 8 << 20, WriteClass: "record-write", CollectClass: "collect"},
+		Rsync: Rsync{Listen: "127.0.0.1:8730", Loops: 2, MOTD: "", ExtentBytes: 256 << 10, MaxConnections: 4000, MaxFileEntries: 1_000_000,
+			BufferBytes: 512 << 20, Handshake: Duration(20 * time.Second), Stall: Duration(5 * time.Minute)},
 		Pacing: Pacing{Tries: p.MaxTries, Patience: Duration(p.ExtentTimeout), TimeoutPart: p.TimeoutFraction, Least: Duration(p.MinTryTime),
 			WindowStart: p.InitialWindow, WindowTop: p.MaxWindow, ShardPause: Duration(p.ShardPause), LeaveOut: p.MaxFilesLeftOut},
-		Place: Place{Choice: placement.Default.Choice, Width: placement.Default.Width, Whole: placement.Default.MaxWholeFileBytes,
+		Placement: Placement{Choice: placement.Default.Choice, Width: placement.Default.Width, WholeUpTo: placement.Default.MaxWholeFileBytes,
 			High: placement.DefaultMarks.High, Low: placement.DefaultMarks.Low, Hold: Duration(placement.DefaultMarks.Hold)},
-		Moves:  Moves{AtOnce: mover.Default.PerShard, Copies: mover.Default.Copies, Rate: mover.Default.Rate, Tries: mover.Default.Tries},
-		Shares: Shares{Poll: Duration(2 * time.Second), Keep: 5},
+		Moves:  Moves{PerShard: mover.Default.MaxMovesPerShard, Copies: mover.Default.MaxActions, Rate: mover.Default.BytesPerSecond, Tries: mover.Default.MaxTries},
+		Shares: Shares{PollInterval: Duration(2 * time.Second), Keep: 5},
 		Forecast: Forecast{Slot: Duration(forecast.Default.Slot), Days: forecast.Default.Days, Volumes: forecast.Default.MaxVolumes,
-			Write: Duration(5 * time.Minute)},
-		Recorder: Recorder{FileSize: 64 << 20, Files: 4},
+			WriteInterval: Duration(5 * time.Minute)},
+		Recorder: Recorder{FileBytes: 64 << 20, MaxFiles: 4},
 		Classes: []Class{
 			{Name: "record-read", Effect: "safe", Aim: Duration(120 * time.Millisecond), Deadline: Duration(time.Second), Worth: 2, LateWorth: 0.1},
 			{Name: "record-write", Effect: "keyed", Group: "cell", Window: Duration(1200 * time.Millisecond),
@@ -366,8 +366,8 @@
 		c.Shares.File = filepath.Join(base, c.Shares.File)
 	}
 	for i := range c.Modules {
-		if m := &c.Modules[i]; m.Secrets != "" && !filepath.IsAbs(m.Secrets) {
-			m.Secrets = filepath.Join(base, m.Secrets)
+		if m := &c.Modules[i]; m.SecretsFile != "" && !filepath.IsAbs(m.SecretsFile) {
+			m.SecretsFile = filepath.Join(base, m.SecretsFile)
 		}
 	}
 	return c, nil
@@ -386,22 +386,22 @@
 		"gateway.name = %q: expected 1 to 64 letters, digits, - and _", g.Name)
 	require(g.Dir != "", "gateway.dir is empty: expected a folder that survives restarts")
 	require(g.Hosts >= 1, "gateway.hosts = %d: expected at least 1", g.Hosts)
-	require(g.Open >= 1, "gateway.open_requests = %d: expected at least 1", g.Open)
-	require(g.Drain >= 0, "gateway.drain = %v: expected 0s or more", g.Drain.D())
+	require(g.MaxOpenRequests >= 1, "gateway.open_requests = %d: expected at least 1", g.MaxOpenRequests)
+	require(g.DrainTimeout >= 0, "gateway.drain = %v: expected 0s or more", g.DrainTimeout.D())
 	require(slices.Contains([]string{"debug", "info", "warn", "error"}, g.LogLevel),
 		"gateway.log_level = %q: expected debug, info, warn or error", g.LogLevel)
 	require(strings.HasPrefix(c.Register.URL, "http://"), "register.url = %q: expected http://HOST:PORT/nodes", c.Register.URL)
-	require(c.Register.Silence > 0, "register.silence = %v: expected more than 0s", c.Register.Silence.D())
+	require(c.Register.SilenceTimeout > 0, "register.silence = %v: expected more than 0s", c.Register.SilenceTimeout.D())
 	n := &c.Nodes
-	require(n.Conns >= 1 && n.Streams >= 1 && n.Waiting >= 1 && n.Loops >= 1,
+	require(n.MaxConnections >= 1 && n.Streams >= 1 && n.Waiting >= 1 && n.Loops >= 1,
 		"nodes: connections, streams, waiting and loops: expected at least 1 each")
-	require(n.Dial > 0, "nodes.dial_timeout = %v: expected more than 0s", n.Dial.D())
+	require(n.DialTimeout > 0, "nodes.dial_timeout = %v: expected more than 0s", n.DialTimeout.D())
 	r := &c.Rsync
 	_, _, err := net.SplitHostPort(r.Listen)
 	require(err == nil, "rsync.listen = %q: expected HOST:PORT", r.Listen)
-	require(r.Extent >= 4096 && r.Extent <= nodewire.MaxPayload, "rsync.extent_bytes = %d: expected 4096 to %d", r.Extent, nodewire.MaxPayload)
-	require(r.Loops >= 1 && r.Conns >= 1 && r.Files >= 1, "rsync: loops, connections and files: expected at least 1 each")
-	require(r.Budget >= 4*int64(r.Extent), "rsync.buffer_bytes = %d: expected at least four extents", r.Budget)
+	require(r.ExtentBytes >= 4096 && r.ExtentBytes <= nodewire.MaxPayload, "rsync.extent_bytes = %d: expected 4096 to %d", r.ExtentBytes, nodewire.MaxPayload)
+	require(r.Loops >= 1 && r.MaxConnections >= 1 && r.MaxFileEntries >= 1, "rsync: loops, connections and files: expected at least 1 each")
+	require(r.BufferBytes >= 4*int64(r.ExtentBytes), "rsync.buffer_bytes = %d: expected at least four extents", r.BufferBytes)
 	require(r.Handshake > 0 && r.Stall >= Duration(2*time.Second), "rsync: expected a handshake of more than 0s and a stall of at least 2s")
 	if set := c.MoveSettings(); set.Check() != nil {
 		errs = append(errs, fmt.Errorf("moves: %w", set.Check()))
@@ -409,10 +409,10 @@
 	if err := c.PacingSettings().Check(); err != nil {
 		errs = append(errs, fmt.Errorf("pacing: %w", err))
 	}
-	require(c.Shares.Poll > 0 && c.Shares.Keep >= 1, "shares: poll = %v, keep = %d: expected more than 0s and at least 1", c.Shares.Poll.D(), c.Shares.Keep)
+	require(c.Shares.PollInterval > 0 && c.Shares.Keep >= 1, "shares: poll = %v, keep = %d: expected more than 0s and at least 1", c.Shares.PollInterval.D(), c.Shares.Keep)
 	digest, err := hex.DecodeString(c.Shares.Inputs)
 	require(c.Shares.Inputs == "" || err == nil && len(digest) == 32, "shares.inputs = %q: expected 64 hexadecimal digits or nothing", c.Shares.Inputs)
-	require(c.Forecast.Write >= 0, "forecast.write = %v: expected 0s or more", c.Forecast.Write.D())
+	require(c.Forecast.WriteInterval >= 0, "forecast.write = %v: expected 0s or more", c.Forecast.WriteInterval.D())
 	if set := c.PlacementSettings(); set.Choice != 0 && set.Check() != nil {
 		errs = append(errs, fmt.Errorf("placement: %w", set.Check()))
 	}
@@ -423,7 +423,7 @@
 	if set := c.ForecastSettings(); set.Check() != nil {
 		errs = append(errs, fmt.Errorf("forecast: %w", set.Check()))
 	}
-	require(!c.Recorder.On || c.Recorder.FileSize >= 1<<16 && c.Recorder.Files >= 1,
+	require(!c.Recorder.On || c.Recorder.FileBytes >= 1<<16 && c.Recorder.MaxFiles >= 1,
 		"recorder: expected file_bytes of at least 65536 and files of at least 1")
 	set, err := c.Settings()
 	if err != nil {
@@ -465,7 +465,7 @@
 		if m.ReadOnly && m.WriteOnly {
 			errs = append(errs, fmt.Errorf("%s: read_only and write_only exclude each other: nothing could be transferred", where))
 		}
-		if len(m.Users) > 0 != (m.Secrets != "") {
+		if len(m.Users) > 0 != (m.SecretsFile != "") {
 			errs = append(errs, fmt.Errorf("%s: users and secrets_file go together: expected both or neither", where))
 		}
 		if strings.ContainsAny(m.Comment, "\r\n\x00") {
@@ -510,10 +510,10 @@
 }
 
 // Work returns how bytes are counted as units and which classes operations belong to.
-func (c *Config) Work() extent.Work {
+func (c *Config) Work() extent.CostModel {
 	w := &c.Worth
-	return extent.Work{UnitBytes: w.UnitBytes, Most: w.MostUnits, ReadClass: w.ReadClass, BulkClass: w.BulkClass,
-		Bulk: w.BulkAboveBytes, WriteClass: w.WriteClass, CollectClass: w.Collect}
+	return extent.CostModel{UnitBytes: w.UnitBytes, MaxUnits: w.MostUnits, ReadClass: w.ReadClass, BulkClass: w.BulkClass,
+		BulkThresholdBytes: w.BulkAboveBytes, WriteClass: w.WriteClass, CollectClass: w.CollectClass}
 }
 
 // ForecastSettings returns the settings of package forecast.
@@ -524,12 +524,12 @@
 
 // PlacementSettings returns the settings of package placement.
 func (c *Config) PlacementSettings() placement.Settings {
-	return placement.Settings{Choice: c.Place.Choice, Width: c.Place.Width, MaxWholeFileBytes: c.Place.Whole}
+	return placement.Settings{Choice: c.Placement.Choice, Width: c.Placement.Width, MaxWholeFileBytes: c.Placement.WholeUpTo}
 }
 
 // Marks returns the high and low watermarks of the shards.
 func (c *Config) Marks() placement.Marks {
-	return placement.Marks{High: c.Place.High, Low: c.Place.Low, Hold: c.Place.Hold.D()}
+	return placement.Marks{High: c.Placement.High, Low: c.Placement.Low, Hold: c.Placement.Hold.D()}
 }
 
 // PacingSettings returns the settings of package pacing.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -83,7 +83,7 @@
 // TestWatch checks that a feed without a known list requests the whole list and then a watch from its revision, that
 // changes are delivered, and that the watch continues from the last revision after the connection is cut.
 func TestWatch(t *testing.T) {
-	a := newAgent(t, "", standin.Greet)
+	a := newAgent(t, "", standin.DefaultGreeting)
 	f, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, "")
 	w := a.Next()
 	if !w.Whole {
@@ -117,7 +117,7 @@
 // TestOlderRevision checks that changes of an older revision are not applied, and that the feed then requests the
 // whole list and a watch from its revision.
 func TestOlderRevision(t *testing.T) {
-	a := newAgent(t, "", standin.Greet)
+	a := newAgent(t, "", standin.DefaultGreeting)
 	_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
@@ -149,7 +149,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a := newAgent(t, "", standin.Greet)
+			a := newAgent(t, "", standin.DefaultGreeting)
 			_, h, _ := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
 			w := a.Next()
 			expect(t, h, "cached s-1=0")
@@ -164,13 +164,13 @@
 // TestBadEntries checks that an invalid entry is logged and skipped, and that an object which is malformed or too long
 // ends the watch, which is then opened again.
 func TestBadEntries(t *testing.T) {
-	a := newAgent(t, "", standin.Greet)
+	a := newAgent(t, "", standin.DefaultGreeting)
 	_, h, log := startFeed(t, a.Addr(), membership.DefaultTiming, standin.List(1, true, target("s-1", "active")))
 	w := a.Next()
 	expect(t, h, "cached s-1=0")
 	w.Line(standin.List(2, false, target("odd", "asleep"), target("s-2", "active")))
 	expect(t, h, "delta s-2=0")
-	log.Has("odd: state")
+	log.WaitFor("odd: state")
 	w.Line(`{"rev":3,]`)
 	if w = a.Next(); w.From != 2 {
 		t.Fatalf("from %d", w.From)
@@ -184,7 +184,7 @@
 	if w = a.Next(); w.From != 2 {
 		t.Fatalf("from %d", w.From)
 	}
-	log.Has("an object of over")
+	log.WaitFor("an object of over")
 }
 
 // TestAddressChange checks that a new address is contacted at once, and that the former watch stays open until the new
@@ -197,8 +197,8 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	f, h, log := startFeed(t, addr, membership.DefaultTiming, standin.List(7, true, target("s-1", "active")))
-	log.Has("a connection ended")
-	a := newAgent(t, addr, standin.Greet) // it comes up later
+	log.WaitFor("a connection ended")
+	a := newAgent(t, addr, standin.DefaultGreeting) // it comes up later
 	former := a.Next()
 	expect(t, h, "cached s-1=0")
 	b := newAgent(t, "", func(w standin.Watch) { w.Head() }) // no object yet
@@ -227,7 +227,7 @@
 		"empty lines only":          func(w standin.Watch) { w.Head(); w.Line(""); w.Line("") },
 		"refuses":                   func(w standin.Watch) { w.Conn.Close() },
 		"an error":                  func(w standin.Watch) { _, _ = io.WriteString(w.Conn, "HTTP/1.1 503 X\r\n\r\n") },
-		"silent again at once":      standin.Greet,
+		"silent again at once":      standin.DefaultGreeting,
 	}
 	for name, first := range bad {
 		t.Run(name, func(t *testing.T) {
@@ -235,7 +235,7 @@
 			a := newAgent(t, "", func(w standin.Watch) {
 				switch n.Add(1) {
 				case 1:
-					standin.Greet(w)
+					standin.DefaultGreeting(w)
 				case 2, 3:
 					first(w)
 				default:
@@ -256,7 +256,7 @@
 	var n atomic.Int32
 	a := newAgent(t, "", func(w standin.Watch) {
 		if n.Add(1) == 1 {
-			standin.Greet(w)
+			standin.DefaultGreeting(w)
 		}
 	})
 	_, h, _ := startFeed(t, a.Addr(), shortTiming, standin.List(7, true, target("s-1", "active")))
@@ -279,7 +279,7 @@
 	}{
 		{"changes", func(w standin.Watch) { w.Head(); w.Line(standin.List(6, false, target("s-1", "left"))) },
 			[]string{"cached s-1=0 s-2=0", "delta s-1=2"}},
-		{"nothing new", standin.Greet, []string{"cached s-1=0 s-2=0"}},
+		{"nothing new", standin.DefaultGreeting, []string{"cached s-1=0 s-2=0"}},
 		{"the whole list", func(w standin.Watch) { w.Head(); w.Line(standin.List(9, true, target("s-3", "active"))) },
 			[]string{"full s-3=0"}},
 		{"says nothing", func(standin.Watch) {}, []string{"cached s-1=0 s-2=0"}},
--- a/internal/extent/extent.go
+++ b/internal/extent/extent.go
@@ -46,35 +46,35 @@
 
 // Work determines the cost and the class of an operation. It is the only place that converts bytes to units or
 // chooses the class of an operation.
-type Work struct {
-	UnitBytes    int     // bytes per unit
-	Most         float64 // maximum number of units of a request; 0: no maximum
-	ReadClass    string  // class of reads of files up to Bulk bytes
-	BulkClass    string  // class of reads of larger files
-	Bulk         int64
-	WriteClass   string
-	CollectClass string // class of the removal of garbage
+type CostModel struct {
+	UnitBytes          int     // bytes per unit
+	MaxUnits           float64 // maximum number of units of a request; 0: no maximum
+	ReadClass          string  // class of reads of files up to Bulk bytes
+	BulkClass          string  // class of reads of larger files
+	BulkThresholdBytes int64
+	WriteClass         string
+	CollectClass       string // class of the removal of garbage
 }
 
 // Units returns the size of a request of n bytes, which is at least one unit.
-func (w Work) Units(n int) float64 {
+func (w CostModel) Units(n int) float64 {
 	u := float64(n) / float64(w.UnitBytes)
-	if w.Most > 0 {
-		u = min(u, w.Most)
+	if w.MaxUnits > 0 {
+		u = min(u, w.MaxUnits)
 	}
 	return max(1, u)
 }
 
 // Read returns the class of a read that belongs to a transfer of total bytes.
-func (w Work) Read(total int64) string {
-	if total > w.Bulk {
+func (w CostModel) Read(total int64) string {
+	if total > w.BulkThresholdBytes {
 		return w.BulkClass
 	}
 	return w.ReadClass
 }
 
 // Check returns an error if a setting is invalid or a class does not exist.
-func (w Work) Check(classes []control.Class) error {
+func (w CostModel) Check(classes []control.Class) error {
 	if w.UnitBytes <= 0 {
 		return fmt.Errorf("unit of %d bytes: expected a positive number", w.UnitBytes)
 	}
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -436,11 +436,11 @@
 	more := strings.Repeat("x", 100)
 	for name, leave := range map[string]func(c *client){
 		"closes":                         func(c *client) { c.Close() },
-		"resets":                         func(c *client) { standin.Hang(c.Conn) },
+		"resets":                         func(c *client) { standin.Reset(c.Conn) },
 		"ends its sending":               func(c *client) { _ = c.Conn.(*net.TCPConn).CloseWrite() },
 		"closes with more sent":          func(c *client) { c.send(more); c.Close() },
 		"closes with too much sent":      func(c *client) { c.send(strings.Repeat("x", maxBufferedBytes+1)); c.Close() },
-		"resets with pipelined requests": func(c *client) { c.send(get(id(8)) + get(id(9))); standin.Hang(c.Conn) },
+		"resets with pipelined requests": func(c *client) { c.send(get(id(8)) + get(id(9))); standin.Reset(c.Conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t, 10)
--- a/internal/front/rsync/conn.go
+++ b/internal/front/rsync/conn.go
@@ -64,7 +64,7 @@
 // start creates the session and starts the timers for its handshake and for stalls.
 func (c *conn) start() {
 	c.session = proto.NewSession(&gateway{c.front, c})
-	c.handshakeTimer = c.front.after(c.startedAt+c.front.opt.Handshake, c, func() {
+	c.handshakeTimer = c.front.after(c.startedAt+c.front.opt.HandshakeTimeout, c, func() {
 		if !c.active.Load() {
 			c.disconnect("the handshake took too long")
 		}
@@ -150,8 +150,8 @@
 			c.lastOutbound = out
 		}
 	}
-	if now-c.lastProgress > c.front.opt.Stall {
-		c.disconnect(fmt.Sprintf("nothing moved for %v", c.front.opt.Stall))
+	if now-c.lastProgress > c.front.opt.StallTimeout {
+		c.disconnect(fmt.Sprintf("nothing moved for %v", c.front.opt.StallTimeout))
 	}
 	c.stallTimer = c.front.after(now+stallCheckInterval, c, c.checkStall)
 }
--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -34,16 +34,16 @@
 // Module is an rsync module that the front serves: a volume and its plan.
 type Module struct {
 	proto.Module
-	Plan    string
-	Quota   int64             // maximum total bytes of its files; 0: no limit
-	Share   float64           // announced units per second; 0: none
-	Hosts   int               // number of gateways that serve the volume
-	MaxConn int               // maximum concurrent connections; 0: no limit for the module
-	Secrets map[string]string // passwords by user name
+	Plan     string
+	Quota    int64             // maximum total bytes of its files; 0: no limit
+	Share    float64           // announced units per second; 0: none
+	Gateways int               // number of gateways that serve the volume
+	MaxConns int               // maximum concurrent connections; 0: no limit for the module
+	Secrets  map[string]string // passwords by user name
 }
 
 // Spot tells which shards a new extent may be written to.
-type Spot struct {
+type Placement struct {
 	Tiers [][]int // preferred shards in descending order of preference; empty: any shard
 	Avoid []int   // shards that accept no new extents, in ascending order
 }
@@ -55,7 +55,7 @@
 	Host        *host.Host
 	Catalogue   *store.Catalogue
 	Classes     []control.Class
-	Work        extent.Work
+	Work        extent.CostModel
 	Pacing      pacing.Settings
 	Modules     []Module
 	MOTD        string
@@ -63,16 +63,16 @@
 	ExtentBytes int
 	// Place returns the shards that an extent of a file of size bytes (negative: unknown) may be written
 	// to, or an error that says why no shard accepts it. nil: any shard may be used.
-	Place func(volume, file string, index int, size int64) (Spot, error)
+	Place func(volume, file string, index int, size int64) (Placement, error)
 	// Lost reports whether a shard has stopped answering, with the reason and the time after which the
 	// client should retry. nil: no shard is ever considered lost.
-	Lost      func(shard int) (why string, back time.Duration, lost bool)
-	MaxConns  int           // maximum concurrent connections
-	MaxFiles  int           // maximum file list entries, over all transfers
-	Budget    int64         // maximum bytes of extents held in memory, over all transfers
-	Handshake time.Duration // time limit for everything before the transfer
-	Stall     time.Duration // a connection without progress for this time is closed
-	Log       *slog.Logger
+	ShardLost        func(shard int) (why string, back time.Duration, lost bool)
+	MaxConns         int           // maximum concurrent connections
+	MaxListEntries   int           // maximum file list entries, over all transfers
+	BufferBytes      int64         // maximum bytes of extents held in memory, over all transfers
+	HandshakeTimeout time.Duration // time limit for everything before the transfer
+	StallTimeout     time.Duration // a connection without progress for this time is closed
+	Log              *slog.Logger
 }
 
 // Front is a running rsync front.
@@ -137,7 +137,7 @@
 	}
 	f := &Front{opt: opt, startErr: make(chan error, 1), stopped: make(chan struct{}),
 		classes: map[string]control.Class{}, modules: map[string]*Module{}, conns: map[*conn]bool{},
-		moduleConns: map[string]int{}, quotas: map[string]*placement.Quota{}, budgetWaiters: map[*conn]bool{}, budget: pacing.Budget{Limit: opt.Budget, Reserve: 0.25},
+		moduleConns: map[string]int{}, quotas: map[string]*placement.Quota{}, budgetWaiters: map[*conn]bool{}, budget: pacing.Budget{Limit: opt.BufferBytes, Reserve: 0.25},
 		wheel: wheel.New[timer](time.Millisecond, opt.Host.Now()), timerAdded: make(chan struct{}, 1)}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for _, c := range opt.Classes {
@@ -148,7 +148,7 @@
 	}
 	go func() {
 		err := gnet.Run(&handler{front: f}, "tcp://"+opt.Listen, gnet.WithNumEventLoop(max(1, opt.Loops)),
-			gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(telemetry.Gnet{Log: opt.Log}),
+			gnet.WithReuseAddr(true), gnet.WithTCPNoDelay(gnet.TCPNoDelay), gnet.WithLogger(telemetry.GnetLogger{Log: opt.Log}),
 			gnet.WithReadBufferCap(128<<10), gnet.WithWriteBufferCap(256<<10))
 		select {
 		case f.startErr <- fmt.Errorf("rsync front: listen on %s: %w", opt.Listen, err):
@@ -465,22 +465,22 @@
 	if m == nil {
 		return 0, false
 	}
-	if m.MaxConn > 0 && f.moduleConns[module] >= m.MaxConn {
+	if m.MaxConns > 0 && f.moduleConns[module] >= m.MaxConns {
 		f.stats.TurnedAway++
-		return m.MaxConn, false
+		return m.MaxConns, false
 	}
 	f.moduleConns[module]++
 	gw.conn.moduleName = module
-	return m.MaxConn, true
+	return m.MaxConns, true
 }
 
-func (gw *gateway) MaxFiles() int { return gw.front.opt.MaxFiles }
+func (gw *gateway) MaxFiles() int { return gw.front.opt.MaxListEntries }
 
 func (gw *gateway) ReserveListEntries(n int) bool {
 	f := gw.front
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.listEntries > 0 && f.listEntries+n > f.opt.MaxFiles {
+	if f.listEntries > 0 && f.listEntries+n > f.opt.MaxListEntries {
 		return false
 	}
 	f.listEntries += n
--- a/internal/front/rsync/reader.go
+++ b/internal/front/rsync/reader.go
@@ -100,13 +100,13 @@
 	r.fetches[i] = h
 	h.request = &extentRequest{index: i, bytes: int64(x.Length), class: r.class, needed: needed, shard: x.Shard,
 		build: func(try pacing.Try) (*host.Request, error) {
-			if t.front.opt.Lost != nil {
-				if why, back, lost := t.front.opt.Lost(x.Shard); lost {
+			if t.front.opt.ShardLost != nil {
+				if why, back, lost := t.front.opt.ShardLost(x.Shard); lost {
 					return nil, &ExtentError{Refused: true, Cause: why, RetryAfter: back}
 				}
 			}
 			return &host.Request{Class: r.class, Plan: t.module.Plan, Volume: t.module.Name, Item: x.Item, Shard: x.Shard,
-				Hosts: t.module.Hosts, Units: t.front.opt.Work.Units(x.Length), Share: t.module.Share,
+				Hosts: t.module.Gateways, Units: t.front.opt.Work.Units(x.Length), Share: t.module.Share,
 				Expires: try.Expires, Retry: try.Retry, Op: nodewire.Read, Length: x.Length}, nil
 		},
 		onAnswer: func(a host.Answer) (pacing.TryResult, string) {
--- a/internal/front/rsync/transfer.go
+++ b/internal/front/rsync/transfer.go
@@ -447,7 +447,7 @@
 		})
 	}
 	if old, ok := f.Ref.(store.Entry); ok && f.IsRegular() {
-		t.front.opt.Catalogue.Amend(t.module.Name, f.Path, old.Base, func(e *store.Entry) {
+		t.front.opt.Catalogue.UpdateAttributes(t.module.Name, f.Path, old.Base, func(e *store.Entry) {
 			e.Mode, e.MTime, e.UID, e.GID = f.Mode, f.MTime, f.UID, f.GID
 		}, done)
 		return p
--- a/internal/front/rsync/writer.go
+++ b/internal/front/rsync/writer.go
@@ -32,7 +32,7 @@
 	parts         []store.Part
 	unannounced   []*outgoingExtent // extents that wait for their announcement to be recorded
 	openExtents   int               // finished extents that are neither served nor given up
-	lost          []store.Lost
+	lost          []store.OrphanItem
 	heldBytes     int64
 	quota         *placement.Quota // nil: no quota, or already released
 	replacedBytes int64            // size of the replaced version; set only with a quota
@@ -54,7 +54,7 @@
 
 // Create begins a new version of the file at f's path.
 func (t *transfer) Create(f proto.File) proto.Writer {
-	w := &writer{transfer: t, path: f.Path, announcedSize: f.Size, base: t.front.opt.Catalogue.NewBase()}
+	w := &writer{transfer: t, path: f.Path, announcedSize: f.Size, base: t.front.opt.Catalogue.NewItemPrefix()}
 	t.writers[w] = true
 	if err := w.admit(); err != nil {
 		t.refused++
@@ -215,7 +215,7 @@
 	x.request = &extentRequest{index: x.index, bytes: int64(len(x.data.B)), class: class, reserved: true, shard: control.AnyShard, writer: w,
 		onAbandon: func() { w.dropExtent(x) },
 		build: func(try pacing.Try) (*host.Request, error) {
-			var spot Spot
+			var spot Placement
 			if place := t.front.opt.Place; place != nil {
 				var err error
 				if spot, err = place(t.module.Name, w.base, x.index, w.announcedSize); err != nil {
@@ -224,7 +224,7 @@
 			}
 			item := store.Item(w.base, x.index, x.try)
 			return &host.Request{Class: class, Plan: t.module.Plan, Volume: t.module.Name, Item: item, Shard: control.AnyShard,
-				Hosts: t.module.Hosts, Units: t.front.opt.Work.Units(len(x.data.B)), Share: t.module.Share,
+				Hosts: t.module.Gateways, Units: t.front.opt.Work.Units(len(x.data.B)), Share: t.module.Share,
 				Expires: try.Expires, Retry: try.Retry, Tiers: spot.Tiers, Avoid: spot.Avoid, Op: nodewire.Write, Key: item, Payload: x.data.B}, nil
 		},
 		onAnswer: func(a host.Answer) (pacing.TryResult, string) {
@@ -233,7 +233,7 @@
 				w.parts[x.index].Shard, w.parts[x.index].Try = a.Shard, x.try
 				t.writtenBytes += int64(len(x.data.B))
 			case host.Failed: // the write may have been executed: the next try uses another item
-				w.lost = append(w.lost, store.Lost{Index: x.index, Try: x.try})
+				w.lost = append(w.lost, store.OrphanItem{Index: x.index, Try: x.try})
 				x.try++
 			}
 			return pacingKind(a), a.Cause
@@ -326,7 +326,7 @@
 		w.dropExtent(x)
 	}
 	w.unannounced = nil
-	g := store.Garbage{Volume: w.transfer.module.Name, Base: w.base, Lost: w.lost}
+	g := store.Garbage{Volume: w.transfer.module.Name, Base: w.base, Orphans: w.lost}
 	for p := range w.transfer.inFlight {
 		if p.writer == w {
 			p.abandon()
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -109,12 +109,12 @@
 var ErrNotRunning = errors.New("no gateway is running on this folder")
 
 // Command sends a GET request to the gateway that runs on a folder and decodes its answer.
-func Command(ctx context.Context, dir, path string, query url.Values, into any) error {
+func Get(ctx context.Context, dir, path string, query url.Values, into any) error {
 	return command(ctx, http.MethodGet, dir, path, query, into)
 }
 
 // Order sends a POST request, for a command that changes something, and decodes its answer.
-func Order(ctx context.Context, dir, path string, query url.Values, into any) error {
+func Post(ctx context.Context, dir, path string, query url.Values, into any) error {
 	return command(ctx, http.MethodPost, dir, path, query, into)
 }
 
@@ -173,7 +173,7 @@
 	if g.placer == nil {
 		return nil, errors.New("placement.choice = 0: no fill is known, and nothing is planned")
 	}
-	settings.HighMark = g.cfg.Place.Low // so that a target of moves still takes new data afterwards
+	settings.HighMark = g.cfg.Placement.Low // so that a target of moves still takes new data afterwards
 	g.mu.Lock()
 	var modules []string
 	for _, m := range g.modules {
@@ -191,19 +191,19 @@
 }
 
 // Started is the answer to a rebalance command: the plan and the number of its moves that were started.
-type Started struct {
+type RebalanceResult struct {
 	Moves int             `json:"moves"` // started; the data of the others is being moved already or no longer exists
 	Plan  *rebalance.Plan `json:"plan"`
 }
 
 // Rebalance makes a plan and starts its moves.
-func (g *Gateway) Rebalance(settings rebalance.Settings) (*Started, error) {
+func (g *Gateway) Rebalance(settings rebalance.Settings) (*RebalanceResult, error) {
 	p, err := g.Plan(settings)
 	if err != nil {
 		return nil, err
 	}
 	n, err := g.migrator.Start(p)
-	return &Started{n, p}, err
+	return &RebalanceResult{n, p}, err
 }
 
 // rebalanceInput returns the shards for a plan, and a function that reports whether a volume may be on a shard.
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -33,7 +33,7 @@
 }
 
 func newDemandRecorder(cfg *config.Config, log *slog.Logger) (*demandRecorder, error) {
-	d := &demandRecorder{file: filepath.Join(cfg.Gateway.Dir, DemandFile), writeInterval: cfg.Forecast.Write.D(), log: log, wake: make(chan struct{}, 1)}
+	d := &demandRecorder{file: filepath.Join(cfg.Gateway.Dir, DemandFile), writeInterval: cfg.Forecast.WriteInterval.D(), log: log, wake: make(chan struct{}, 1)}
 	var previous *forecast.Record
 	b, err := os.ReadFile(d.file)
 	if err == nil {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	modules, err := Modules(cfg)
+	modules, err := LoadModules(cfg)
 	if err != nil {
 		return err
 	}
@@ -91,9 +91,9 @@
 		return err
 	}
 	n := &cfg.Nodes
-	backendSettings := backend.Settings{Name: cfg.Gateway.Name, MaxConns: n.Conns, AttemptsPerConn: n.Streams, MaxWaiting: n.Waiting,
-		DialTimeout: n.Dial.D(), IdleClose: n.IdleClose.D(), SendCancel: n.Cancel, Loops: n.Loops}
-	if cfg.Place.Choice > 0 { // g.placer is set before the feed runs; nodes are dialled only after its first list
+	backendSettings := backend.Settings{Name: cfg.Gateway.Name, MaxConns: n.MaxConnections, AttemptsPerConn: n.Streams, MaxWaiting: n.Waiting,
+		DialTimeout: n.DialTimeout.D(), IdleClose: n.IdleTimeout.D(), SendCancel: n.Cancel, Loops: n.Loops}
+	if cfg.Placement.Choice > 0 { // g.placer is set before the feed runs; nodes are dialled only after its first list
 		backendSettings.OnFill = func(shard int, used, capacity uint64, noRoom bool) {
 			g.placer.reportFill(shard, used, capacity, noRoom)
 		}
@@ -105,15 +105,15 @@
 	if seed == 0 {
 		seed = rand.Int63()
 	}
-	hostOptions := host.Options{NodeAnswered: func(shard int, answered bool) { g.outages.recordAnswer(shard, answered) }, Settings: settings, Seed: seed, Backend: g.backend, Log: log, MaxOpen: cfg.Gateway.Open}
+	hostOptions := host.Options{NodeAnswered: func(shard int, answered bool) { g.outages.recordAnswer(shard, answered) }, Settings: settings, Seed: seed, Backend: g.backend, Log: log, MaxOpen: cfg.Gateway.MaxOpenRequests}
 	if rc := &cfg.Recorder; rc.On {
 		if g.recorder, err = record.NewWriter(record.Options{Dir: filepath.Join(cfg.Gateway.Dir, "record"),
-			FileBytes: rc.FileSize, Files: rc.Files}, settings, seed); err != nil {
+			FileBytes: rc.FileBytes, Files: rc.MaxFiles}, settings, seed); err != nil {
 			return err
 		}
 		hostOptions.Recorder = g.recorder
 	}
-	if cfg.Forecast.Write > 0 {
+	if cfg.Forecast.WriteInterval > 0 {
 		if g.demand, err = newDemandRecorder(cfg, log); err != nil {
 			return err
 		}
@@ -127,7 +127,7 @@
 	}
 	g.wg.Add(1)
 	go func() { defer g.wg.Done(); g.outages.run(ctx.Done()) }()
-	if cfg.Place.Choice > 0 {
+	if cfg.Placement.Choice > 0 {
 		if g.placer, err = newPlacer(cfg, g.nodes, log, g.host.Now, g.backend.Probe); err != nil {
 			return err
 		}
@@ -136,13 +136,13 @@
 	}
 	sh := &cfg.Shares
 	if g.keeper, err = solution.New(solution.Settings{Dir: filepath.Join(cfg.Gateway.Dir, "shares"), Keep: sh.Keep, Inputs: sh.Inputs,
-		File: sh.File, Poll: sh.Poll.D()}, g, log, time.Now); err != nil {
+		File: sh.File, Poll: sh.PollInterval.D()}, g, log, time.Now); err != nil {
 		return err
 	}
 	g.backend.SetOwner(g.host)
 	g.feed = register.New(register.Settings{URL: cfg.Register.URL, Gateway: cfg.Gateway.Name,
-		Cache: filepath.Join(cfg.Gateway.Dir, "nodes.json"), Silence: cfg.Register.Silence.D(),
-		Settle: cfg.Register.Settle.D(), Seed: seed}, g, log)
+		Cache: filepath.Join(cfg.Gateway.Dir, "nodes.json"), SilenceTimeout: cfg.Register.SilenceTimeout.D(),
+		SettleTime: cfg.Register.SettleTime.D(), Seed: seed}, g, log)
 	g.host.SetRegister(g.feed)
 	g.hostStarted = true
 	go func() {
@@ -166,7 +166,7 @@
 	plan := func(volume string) string { return plans[volume] }
 	deadline := time.Second
 	for _, c := range settings.Classes {
-		if c.Name == cfg.Worth.Collect {
+		if c.Name == cfg.Worth.CollectClass {
 			deadline = c.Deadline
 		}
 	}
@@ -180,8 +180,8 @@
 	r := &cfg.Rsync
 	frontOptions := front.Options{Listen: r.Listen, Loops: r.Loops, Host: g.host, Catalogue: g.catalogue,
 		Classes: settings.Classes, Work: cfg.Work(), Pacing: cfg.PacingSettings(), Modules: modules, MOTD: r.MOTD, Seed: seed,
-		ExtentBytes: r.Extent, Lost: g.outages.lost, MaxConns: r.Conns, MaxFiles: r.Files, Budget: r.Budget, Handshake: r.Handshake.D(),
-		Stall: r.Stall.D(), Log: log}
+		ExtentBytes: r.ExtentBytes, ShardLost: g.outages.lost, MaxConns: r.MaxConnections, MaxListEntries: r.MaxFileEntries, BufferBytes: r.BufferBytes, HandshakeTimeout: r.Handshake.D(),
+		StallTimeout: r.Stall.D(), Log: log}
 	if g.placer != nil {
 		frontOptions.Place = g.placer.place
 	}
@@ -196,19 +196,19 @@
 }
 
 // Modules returns the configured modules in the front's form, with their users' secrets read from file.
-func Modules(cfg *config.Config) ([]front.Module, error) {
+func LoadModules(cfg *config.Config) ([]front.Module, error) {
 	var list []front.Module
 	for _, m := range cfg.Modules {
 		f := front.Module{Module: proto.Module{Name: m.Name, Comment: m.Comment, Hidden: m.Hidden, ReadOnly: m.ReadOnly,
-			WriteOnly: m.WriteOnly, Users: m.Users}, Plan: m.Plan, Quota: m.Quota, Share: m.Share, Hosts: cfg.Gateway.Hosts, MaxConn: m.Conns}
-		if m.Secrets != "" {
-			secrets, err := config.ReadSecrets(m.Secrets)
+			WriteOnly: m.WriteOnly, Users: m.Users}, Plan: m.Plan, Quota: m.QuotaBytes, Share: m.Share, Gateways: cfg.Gateway.Hosts, MaxConns: m.MaxConnections}
+		if m.SecretsFile != "" {
+			secrets, err := config.ReadSecrets(m.SecretsFile)
 			if err != nil {
 				return nil, fmt.Errorf("module %s: %w", m.Name, err)
 			}
 			for _, u := range m.Users {
 				if secrets[u] == "" {
-					return nil, fmt.Errorf("module %s: user %s has no line in %s", m.Name, u, m.Secrets)
+					return nil, fmt.Errorf("module %s: user %s has no line in %s", m.Name, u, m.SecretsFile)
 				}
 			}
 			f.Secrets = secrets
@@ -284,7 +284,7 @@
 // Reload applies the settings that can change while the gateway runs: the modules and the
 // message of the day. After an error nothing has changed.
 func (g *Gateway) Reload(cfg *config.Config) error {
-	modules, err := Modules(cfg)
+	modules, err := LoadModules(cfg)
 	if err != nil {
 		return err
 	}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -88,9 +88,9 @@
 		select {
 		case e := <-ended:
 			over = true
-			if e.err != nil || !e.rep.Goodbye || e.rep.Exit(nil) != 23 || len(e.rep.LeftOut) != 1 ||
-				!strings.Contains(strings.Join(e.rep.Said, " "), "node-2") {
-				t.Errorf("transfer ended with %v, exit %d, left out %q, said %q", e.err, e.rep.Exit(e.err), e.rep.LeftOut, e.rep.Said)
+			if e.err != nil || !e.rep.Complete || e.rep.Exit(nil) != 23 || len(e.rep.LeftOut) != 1 ||
+				!strings.Contains(strings.Join(e.rep.Messages, " "), "node-2") {
+				t.Errorf("transfer ended with %v, exit %d, left out %q, said %q", e.err, e.rep.Exit(e.err), e.rep.LeftOut, e.rep.Messages)
 			}
 			if e.rep.Took >= 10*time.Second {
 				t.Errorf("transfer took %v", e.rep.Took)
--- a/internal/gateway/hard_test.go
+++ b/internal/gateway/hard_test.go
@@ -46,7 +46,7 @@
 	go func() {
 		rep, err := r.client().Pull(context.Background(), "records", "long", nil)
 		if err == nil && (len(rep.Files) != 1 || string(rep.Files[0].Data) != string(f.Data)) {
-			err = fmt.Errorf("%d files or other content, said %q", len(rep.Files), rep.Said)
+			err = fmt.Errorf("%d files or other content, said %q", len(rep.Files), rep.Messages)
 		}
 		ended <- err
 	}()
@@ -147,11 +147,11 @@
 	stuck := make(chan bool)
 	go func() {
 		c := r.client()
-		c.StopRead = 5 * time.Second
+		c.ReadPause = 5 * time.Second
 		c.Before = func(string) { close(stuck) }
 		rep, err := c.Pull(context.Background(), "records", "big", nil)
 		if err == nil && (len(rep.Files) != 1 || blake3.Sum256(rep.Files[0].Data) != blake3.Sum256(big.Data)) {
-			err = fmt.Errorf("%d files, said %q", len(rep.Files), rep.Said)
+			err = fmt.Errorf("%d files, said %q", len(rep.Files), rep.Messages)
 		}
 		ended <- err
 	}()
@@ -171,7 +171,7 @@
 					return
 				}
 				if !reportsCause(rep) {
-					errs <- fmt.Errorf("%v, said %q", err, rep.Said)
+					errs <- fmt.Errorf("%v, said %q", err, rep.Messages)
 					return
 				}
 			}
@@ -202,7 +202,7 @@
 // TestThousandConnections opens and closes 1,000 connections at once, some in the middle of a
 // greeting. One above the limit gets rsync's error for too many connections.
 func TestThousandConnections(t *testing.T) {
-	r := newFixture(t, 1, standin.NodeOptions{}, func(c *config.Config) { c.Rsync.Conns = 1000 })
+	r := newFixture(t, 1, standin.NodeOptions{}, func(c *config.Config) { c.Rsync.MaxConnections = 1000 })
 	conns := make([]net.Conn, 1000)
 	var wg sync.WaitGroup
 	for i := range conns {
@@ -244,7 +244,7 @@
 
 // reportsCause reports whether an incomplete transfer told its client the reason.
 func reportsCause(rep *standin.Report) bool {
-	text := strings.Join(rep.Said, " ")
+	text := strings.Join(rep.Messages, " ")
 	return strings.Contains(text, "refused") || strings.Contains(text, "failed") || strings.Contains(text, "no time left")
 }
 
@@ -265,11 +265,11 @@
 		f := testFile(fmt.Sprintf("new-%d", i), content(int64(1000+i), 400_000))
 		for range 100 {
 			rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f})
-			if err == nil && len(rep.Said) == 0 {
+			if err == nil && len(rep.Messages) == 0 {
 				return nil
 			}
 			if !reportsCause(rep) {
-				return fmt.Errorf("push %d: %v, said %q", i, err, rep.Said)
+				return fmt.Errorf("push %d: %v, said %q", i, err, rep.Messages)
 			}
 		}
 		return fmt.Errorf("push %d: not served", i)
@@ -288,7 +288,7 @@
 				return nil
 			}
 			if !reportsCause(rep) {
-				return fmt.Errorf("pull %d: %d files, %v, said %q", i, len(rep.Files), err, rep.Said)
+				return fmt.Errorf("pull %d: %d files, %v, said %q", i, len(rep.Files), err, rep.Messages)
 			}
 		}
 		return fmt.Errorf("pull %d: not served", i)
@@ -404,12 +404,12 @@
 	r.push("", f, g)
 	d, _ := r.site.Disk(0)
 	e, ok, err := r.gw.Catalogue().Stat("records", "f")
-	if err != nil || !ok || !d.Flip(e.Extents()[1].Item, 12345) {
+	if err != nil || !ok || !d.FlipBit(e.Extents()[1].Item, 12345) {
 		t.Fatalf("no extent to flip: %v", err)
 	}
 	rep, err := r.client().Pull(context.Background(), "records", "", nil)
-	if err != nil || len(rep.LeftOut) != 1 || rep.LeftOut[0] != "f" || !strings.Contains(strings.Join(rep.Said, ""), "other bytes") {
-		t.Fatalf("%v, left out %q, said %q", err, rep.LeftOut, rep.Said)
+	if err != nil || len(rep.LeftOut) != 1 || rep.LeftOut[0] != "f" || !strings.Contains(strings.Join(rep.Messages, ""), "other bytes") {
+		t.Fatalf("%v, left out %q, said %q", err, rep.LeftOut, rep.Messages)
 	}
 	checkPulled(t, rep, g)
 	if r.gw.Front().Stats().Corrupt == 0 {
@@ -424,15 +424,15 @@
 		t.Fatal(err)
 	}
 	r := newFixture(t, 1, standin.NodeOptions{}, func(c *config.Config) {
-		c.Modules = append(c.Modules, config.Module{Name: "staff", Plan: "standard", Users: []string{"anna"}, Secrets: secrets},
-			config.Module{Name: "one", Plan: "standard", Conns: 1}, config.Module{Name: "in", Plan: "standard", WriteOnly: true})
+		c.Modules = append(c.Modules, config.Module{Name: "staff", Plan: "standard", Users: []string{"anna"}, SecretsFile: secrets},
+			config.Module{Name: "one", Plan: "standard", MaxConnections: 1}, config.Module{Name: "in", Plan: "standard", WriteOnly: true})
 	})
 	ctx := context.Background()
 	f := testFile("f", []byte("x"))
 	c := r.client()
 	c.User, c.Password = "anna", "sesame"
-	if rep, err := c.Push(ctx, "staff", "", []standin.ClientFile{f}); err != nil || len(rep.Said) > 0 {
-		t.Errorf("good login: %v, %q", err, rep.Said)
+	if rep, err := c.Push(ctx, "staff", "", []standin.ClientFile{f}); err != nil || len(rep.Messages) > 0 {
+		t.Errorf("good login: %v, %q", err, rep.Messages)
 	}
 	c = r.client()
 	c.User, c.Password = "anna", "wrong"
@@ -460,8 +460,8 @@
 		_, err := r.client().Pull(ctx, "one", "", nil)
 		return err == nil
 	})
-	if rep, err := r.client().Pull(ctx, "in", "", nil); err == nil || len(rep.Said) != 1 || !strings.Contains(rep.Said[0], "write only") {
-		t.Errorf("pull from a write only module: %v %q", err, rep.Said)
+	if rep, err := r.client().Pull(ctx, "in", "", nil); err == nil || len(rep.Messages) != 1 || !strings.Contains(rep.Messages[0], "write only") {
+		t.Errorf("pull from a write only module: %v %q", err, rep.Messages)
 	}
 }
 
@@ -513,11 +513,11 @@
 	began, ended := make(chan bool), make(chan error, 1)
 	go func() {
 		c := r.client()
-		c.StopRead = 5 * time.Second // longer than the collector waits
+		c.ReadPause = 5 * time.Second // longer than the collector waits
 		c.Before = func(string) { close(began) }
 		rep, err := c.Pull(context.Background(), "records", "f", nil)
 		if err == nil && (len(rep.Files) != 1 || blake3.Sum256(rep.Files[0].Data) != blake3.Sum256(old.Data)) {
-			err = fmt.Errorf("%d files, said %q", len(rep.Files), rep.Said)
+			err = fmt.Errorf("%d files, said %q", len(rep.Files), rep.Messages)
 		}
 		ended <- err
 	}()
@@ -538,7 +538,7 @@
 // client must be served or told the reason within its timeout, and the budget must be free in the end.
 func TestMemoryBudget(t *testing.T) {
 	r := newFixture(t, 2, standin.NodeOptions{}, func(c *config.Config) {
-		c.Rsync.Budget = 4 * int64(c.Rsync.Extent)
+		c.Rsync.BufferBytes = 4 * int64(c.Rsync.ExtentBytes)
 	})
 	big, small := testFile("big", content(1, 32<<20)), testFile("small", content(2, 200_000))
 	r.push("", big, small)
@@ -548,26 +548,26 @@
 		go func() {
 			defer wg.Done()
 			c := r.client()
-			c.StopRead = 6 * time.Second
+			c.ReadPause = 6 * time.Second
 			rep, err := c.Pull(context.Background(), "records", "big", nil)
 			if err == nil && len(rep.LeftOut) == 0 && (len(rep.Files) != 1 || blake3.Sum256(rep.Files[0].Data) != blake3.Sum256(big.Data)) {
-				t.Errorf("client that stopped reading: %d files or other content, said %q", len(rep.Files), rep.Said)
+				t.Errorf("client that stopped reading: %d files or other content, said %q", len(rep.Files), rep.Messages)
 			}
 			if err != nil || len(rep.LeftOut) > 0 && !reportsCause(rep) {
-				t.Errorf("client that stopped reading: %v, left out %q, said %q", err, rep.LeftOut, rep.Said)
+				t.Errorf("client that stopped reading: %v, left out %q, said %q", err, rep.LeftOut, rep.Messages)
 			}
 		}()
 	}
-	r.waitFor("the budget to be used up", func() bool { return r.gw.Front().Stats().Budget >= 3*int64(r.cfg.Rsync.Extent) })
+	r.waitFor("the budget to be used up", func() bool { return r.gw.Front().Stats().Budget >= 3*int64(r.cfg.Rsync.ExtentBytes) })
 	for range 5 {
 		c := r.client()
 		c.Timeout = 3 * time.Second
 		rep, err := c.Pull(context.Background(), "records", "small", nil)
 		if err != nil || len(rep.Files) == 0 && !reportsCause(rep) {
-			t.Errorf("another client: %v, said %q after %v", err, rep.Said, rep.Took)
+			t.Errorf("another client: %v, said %q after %v", err, rep.Messages, rep.Took)
 		}
-		if b := r.gw.Front().Stats().Budget; b > r.cfg.Rsync.Budget {
-			t.Errorf("%d bytes in use, budget is %d", b, r.cfg.Rsync.Budget)
+		if b := r.gw.Front().Stats().Budget; b > r.cfg.Rsync.BufferBytes {
+			t.Errorf("%d bytes in use, budget is %d", b, r.cfg.Rsync.BufferBytes)
 		}
 	}
 	wg.Wait()
--- a/internal/gateway/harness_test.go
+++ b/internal/gateway/harness_test.go
@@ -130,8 +130,8 @@
 func (r *fixture) push(path string, files ...standin.ClientFile) *standin.Report {
 	r.t.Helper()
 	rep, err := r.client().Push(context.Background(), "records", path, files)
-	if err != nil || !rep.Goodbye || len(rep.Said) > 0 {
-		r.t.Fatalf("push to %q: %v, %q", path, err, rep.Said)
+	if err != nil || !rep.Complete || len(rep.Messages) > 0 {
+		r.t.Fatalf("push to %q: %v, %q", path, err, rep.Messages)
 	}
 	return rep
 }
@@ -139,8 +139,8 @@
 func (r *fixture) pull(path string) *standin.Report {
 	r.t.Helper()
 	rep, err := r.client().Pull(context.Background(), "records", path, nil)
-	if err != nil || !rep.Goodbye || len(rep.Said) > 0 {
-		r.t.Fatalf("pull of %q: %v, %q", path, err, rep.Said)
+	if err != nil || !rep.Complete || len(rep.Messages) > 0 {
+		r.t.Fatalf("pull of %q: %v, %q", path, err, rep.Messages)
 	}
 	return rep
 }
--- a/internal/gateway/land_test.go
+++ b/internal/gateway/land_test.go
@@ -60,8 +60,8 @@
 				defer wg.Done()
 				for i := c; i < n; i += clients {
 					rep, err := r.client().Push(context.Background(), "records", "", files[g][i:i+1])
-					if err != nil || len(rep.Said) > 0 {
-						t.Errorf("push %s%d through %s: %v %q", prefix, i, r.cfg.Gateway.Name, err, rep.Said)
+					if err != nil || len(rep.Messages) > 0 {
+						t.Errorf("push %s%d through %s: %v %q", prefix, i, r.cfg.Gateway.Name, err, rep.Messages)
 						return
 					}
 				}
@@ -126,14 +126,14 @@
 		for _, f := range files {
 			there := gone[r.shardOf(f.Path)]
 			rep, err := r.client().Pull(context.Background(), "records", f.Path, nil)
-			for try := 0; try < 5 && err == nil && !there && len(rep.Said) > 0; try++ { // on an overloaded machine requests may be refused for a moment
+			for try := 0; try < 5 && err == nil && !there && len(rep.Messages) > 0; try++ { // on an overloaded machine requests may be refused for a moment
 				rep, err = r.client().Pull(context.Background(), "records", f.Path, nil)
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if there != (len(rep.Said) > 0) {
-				t.Errorf("%s is on a lost shard: %v, but the client is told %q", f.Path, there, rep.Said)
+			if there != (len(rep.Messages) > 0) {
+				t.Errorf("%s is on a lost shard: %v, but the client is told %q", f.Path, there, rep.Messages)
 			} else if there {
 				refused++
 			}
@@ -147,7 +147,7 @@
 			}
 		}
 		for _, id := range lost {
-			if err := r.site.Return(id); err != nil {
+			if err := r.site.Restart(id); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -155,7 +155,7 @@
 			if gone[r.shardOf(f.Path)] {
 				r.waitFor(f.Path+" again", func() bool {
 					rep, err := r.client().Pull(context.Background(), "records", f.Path, nil)
-					return err == nil && len(rep.Said) == 0
+					return err == nil && len(rep.Messages) == 0
 				})
 			}
 		}
--- a/internal/gateway/moves_test.go
+++ b/internal/gateway/moves_test.go
@@ -21,9 +21,9 @@
 func newFullFixture(t *testing.T, files int, change func(*config.Config)) (r *fixture, tree []standin.ClientFile) {
 	const size, room = 40_000, 1_000_000
 	r = newFixture(t, 3, standin.NodeOptions{}, func(c *config.Config) {
-		c.Rsync.Extent, c.Moves.AtOnce, c.Moves.Rate = 16384, 8, 1<<30
+		c.Rsync.ExtentBytes, c.Moves.PerShard, c.Moves.Rate = 16384, 8, 1<<30
 		for i := range c.Classes { // an undone move waits for late copies for the class's deadline
-			if x := &c.Classes[i]; x.Name == c.Worth.Collect {
+			if x := &c.Classes[i]; x.Name == c.Worth.CollectClass {
 				x.Aim, x.Deadline = config.Duration(400*time.Millisecond), config.Duration(800*time.Millisecond)
 			}
 		}
@@ -56,8 +56,8 @@
 // rebalance tells the gateway to rebalance, and returns the number of moves started and the plan.
 func (r *fixture) rebalance() (int, *rebalance.Plan) {
 	r.t.Helper()
-	s := &Started{}
-	if err := Order(context.Background(), r.dir, "/rebalance", PlanQuery(rebalance.Default), s); err != nil {
+	s := &RebalanceResult{}
+	if err := Post(context.Background(), r.dir, "/rebalance", PlanQuery(rebalance.Default), s); err != nil {
 		r.t.Fatal(err)
 	}
 	return s.Moves, s.Plan
@@ -75,7 +75,7 @@
 func (r *fixture) countMoves() (countMoves, undone, all int) {
 	list := r.moves()
 	for _, p := range list {
-		if p.Over() {
+		if p.Finished() {
 			countMoves++
 		}
 		if p.Step == mover.Undone.String() {
@@ -120,11 +120,11 @@
 	stop := runClients(1, func(_, n int) bool {
 		f := tree[6+n%(files-6)] // the first 6 are replaced meanwhile
 		rep, err := r.client().Pull(context.Background(), "records", f.Path, nil)
-		for try := 0; try < 5 && err == nil && len(rep.Said) > 0; try++ { // on an overloaded machine requests may be refused for a moment
+		for try := 0; try < 5 && err == nil && len(rep.Messages) > 0; try++ { // on an overloaded machine requests may be refused for a moment
 			rep, err = r.client().Pull(context.Background(), "records", f.Path, nil)
 		}
-		if err != nil || len(rep.Said) > 0 || len(rep.Files) == 0 || string(rep.Files[len(rep.Files)-1].Data) != string(f.Data) {
-			t.Errorf("%s while data moves: %v %q", f.Path, err, rep.Said)
+		if err != nil || len(rep.Messages) > 0 || len(rep.Files) == 0 || string(rep.Files[len(rep.Files)-1].Data) != string(f.Data) {
+			t.Errorf("%s while data moves: %v %q", f.Path, err, rep.Messages)
 			return false
 		}
 		return true
@@ -195,10 +195,10 @@
 	}
 	r.waitFor("a copy", func() bool { _, sum := r.countItems(); return sum > before })
 	last := r.moves()[len(r.moves())-1].ID
-	if err := Order(context.Background(), r.dir, "/moves/undo", url.Values{"id": {fmt.Sprint(last)}}, &struct{}{}); err != nil {
+	if err := Post(context.Background(), r.dir, "/moves/undo", url.Values{"id": {fmt.Sprint(last)}}, &struct{}{}); err != nil {
 		t.Error(err)
 	}
-	if err := Order(context.Background(), r.dir, "/moves/undo", url.Values{"id": {"999"}}, &struct{}{}); err == nil || !strings.Contains(err.Error(), "no move 999") {
+	if err := Post(context.Background(), r.dir, "/moves/undo", url.Values{"id": {"999"}}, &struct{}{}); err == nil || !strings.Contains(err.Error(), "no move 999") {
 		t.Errorf("undo of a missing move: %v", err)
 	}
 	d, err := r.site.Disk(3)
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -218,18 +218,18 @@
 
 // place returns the candidate shards for an extent, or an empty Spot, which allows any shard, before
 // the first node list. It returns an error if no shard has room.
-func (p *placer) place(volume, file string, index int, size int64) (front.Spot, error) {
+func (p *placer) place(volume, file string, index int, size int64) (front.Placement, error) {
 	m := p.current.Load()
 	if m == nil {
-		return front.Spot{}, nil
+		return front.Placement{}, nil
 	}
 	if m.noRoomErr != nil {
-		return front.Spot{}, m.noRoomErr
+		return front.Placement{}, m.noRoomErr
 	}
 	key := p.settings.Key(volume, file, index, size)
 	slot := &m.tierCache[key%tierCacheSlots]
 	if c := slot.Load(); c != nil && c.key == key && c.volume == volume {
-		return front.Spot{Tiers: c.tiers, Avoid: m.avoid}, nil
+		return front.Placement{Tiers: c.tiers, Avoid: m.avoid}, nil
 	}
 	var c placement.CandidateBuffer
 	tiers := m.Candidates(volume, key, &c)
@@ -238,5 +238,5 @@
 		out[i] = slices.Clone(tiers[i])
 	}
 	slot.Store(&cachedTiers{volume, key, out})
-	return front.Spot{Tiers: out, Avoid: m.avoid}, nil
+	return front.Placement{Tiers: out, Avoid: m.avoid}, nil
 }
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -38,8 +38,8 @@
 			defer wg.Done()
 			for i := range pushes / clients {
 				f := testFile(fmt.Sprint(c, "-", i), []byte{byte(i)})
-				if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f}); err != nil || len(rep.Said) > 0 {
-					t.Errorf("push: %v %q", err, rep.Said)
+				if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f}); err != nil || len(rep.Messages) > 0 {
+					t.Errorf("push: %v %q", err, rep.Messages)
 					return
 				}
 			}
@@ -62,7 +62,7 @@
 func TestFilesStayTogether(t *testing.T) {
 	const nodes = 16
 	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) {
-		c.Rsync.Extent, c.Place.Whole, c.Place.Width, c.Place.Choice = 4096, 64<<10, 3, 1
+		c.Rsync.ExtentBytes, c.Placement.WholeUpTo, c.Placement.Width, c.Placement.Choice = 4096, 64<<10, 3, 1
 	})
 	touched := func(path string, size int) (n int) {
 		before, _, _ := r.writesPerNode(nodes)
@@ -117,13 +117,13 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(rep.Said) == 0 {
+			if len(rep.Messages) == 0 {
 				checkPulled(t, rep, f)
 				reached++
 				continue
 			}
 			left++
-			said := strings.Join(rep.Said, "\n")
+			said := strings.Join(rep.Messages, "\n")
 			if known && (!strings.Contains(said, fmt.Sprintf("after 0 tries: shard %d (%s) has given no answer for", gone, id)) || !strings.Contains(said, "retry-after=")) {
 				t.Errorf("%s: %q", f.Path, said)
 			}
@@ -136,13 +136,13 @@
 		if left == 0 || left > len(files)/2 {
 			t.Errorf("%s stopped: %d files were served, %d were not; about a sixth were on the node", id, reached, left)
 		}
-		if err := r.site.Return(id); err != nil {
+		if err := r.site.Restart(id); err != nil {
 			t.Fatal(err)
 		}
 		for _, f := range files {
 			r.waitFor(f.Path+" again", func() bool {
 				rep, err := r.client().Pull(context.Background(), "records", f.Path, nil)
-				return err == nil && len(rep.Said) == 0
+				return err == nil && len(rep.Messages) == 0
 			})
 		}
 	}
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -48,7 +48,7 @@
 // must be refused, and the record of the run must replay.
 func TestSolutionSwapUnderLoad(t *testing.T) {
 	r := newFixture(t, 3, standin.NodeOptions{}, func(c *config.Config) {
-		c.Recorder = config.Recorder{On: true, FileSize: 64 << 20, Files: 100}
+		c.Recorder = config.Recorder{On: true, FileBytes: 64 << 20, MaxFiles: 100}
 		c.Worth.ShareWorth, c.Worth.SpareWorth = 1, 0.05
 	})
 	data := content(1, 60_000)
@@ -57,12 +57,12 @@
 	errs := make(chan error, 100)
 	stop := runClients(8, func(c, i int) bool {
 		if c%2 == 0 {
-			if rep, err := r.client().Pull(context.Background(), "records", "a", nil); err != nil || len(rep.Said) > 0 {
-				errs <- fmt.Errorf("pull: %v %q", err, rep.Said)
+			if rep, err := r.client().Pull(context.Background(), "records", "a", nil); err != nil || len(rep.Messages) > 0 {
+				errs <- fmt.Errorf("pull: %v %q", err, rep.Messages)
 				return false
 			}
-		} else if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{testFile(fmt.Sprint("p", c, "-", i), data)}); err != nil || len(rep.Said) > 0 {
-			errs <- fmt.Errorf("push: %v %q", err, rep.Said)
+		} else if rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{testFile(fmt.Sprint("p", c, "-", i), data)}); err != nil || len(rep.Messages) > 0 {
+			errs <- fmt.Errorf("push: %v %q", err, rep.Messages)
 			return false
 		}
 		return true
@@ -146,7 +146,7 @@
 		r.push("", testFile(fmt.Sprint("f", i), content(int64(i), 100_000)))
 	}
 	r.stopGateway()
-	r.site.Register.Down(true)
+	r.site.Register.SetDown(true)
 	raw, err := os.ReadFile(filepath.Join(r.dir, DemandFile))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/space.go
+++ b/internal/gateway/space.go
@@ -57,7 +57,7 @@
 
 // Space returns the current fill of the shards and usage of the modules.
 func (g *Gateway) Space() (*Space, error) {
-	s := &Space{Gateway: g.cfg.Gateway.Name, At: time.Now(), High: g.cfg.Place.High, Low: g.cfg.Place.Low}
+	s := &Space{Gateway: g.cfg.Gateway.Name, At: time.Now(), High: g.cfg.Placement.High, Low: g.cfg.Placement.Low}
 	if g.placer != nil {
 		s.Shards = g.placer.shardSpaces()
 	}
@@ -69,7 +69,7 @@
 		if err != nil {
 			return nil, err
 		}
-		s.Modules = append(s.Modules, ModuleSpace{m.Name, u.Files, u.Bytes, m.Quota})
+		s.Modules = append(s.Modules, ModuleSpace{m.Name, u.Files, u.Bytes, m.QuotaBytes})
 	}
 	return s, nil
 }
--- a/internal/gateway/space_test.go
+++ b/internal/gateway/space_test.go
@@ -25,7 +25,7 @@
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	said := strings.Join(rep.Said, "\n")
+	said := strings.Join(rep.Messages, "\n")
 	for _, w := range words {
 		if !strings.Contains(said, w) {
 			r.t.Errorf("push of %s: no %q in %q", f.Path, w, said)
@@ -38,7 +38,7 @@
 // A shard that has room again must take new data after its next load report.
 func TestNodesFill(t *testing.T) {
 	const nodes, size = 4, 100_000
-	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Place.Hold = config.Duration(time.Second) })
+	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Placement.Hold = config.Duration(time.Second) })
 	for i := range nodes {
 		d, err := r.site.Disk(i)
 		if err != nil {
@@ -85,7 +85,7 @@
 // a solution places the volume only there, and that it takes extents again below its low mark.
 func TestHighMark(t *testing.T) {
 	const nodes = 3
-	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Place.High, c.Place.Low = 0.5, 0.4 })
+	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Placement.High, c.Placement.Low = 0.5, 0.4 })
 	_, b := encodedSolution(t, 1, 1000, "node-1")
 	r.site.Register.SetShares(b)
 	r.waitFor("the solution", func() bool { return r.gw.Keeper().State().Version == 1 })
@@ -119,7 +119,7 @@
 // the quota, and that a smaller version of a file fits into a full module, also after a restart.
 func TestModuleQuota(t *testing.T) {
 	const size, fit = 50_000, 5
-	r := newFixture(t, 3, standin.NodeOptions{}, func(c *config.Config) { c.Modules[0].Quota = fit*size + size/2 })
+	r := newFixture(t, 3, standin.NodeOptions{}, func(c *config.Config) { c.Modules[0].QuotaBytes = fit*size + size/2 })
 	var wg sync.WaitGroup
 	var done atomic.Int32
 	for c := range 12 {
@@ -130,9 +130,9 @@
 			rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f})
 			if err != nil {
 				t.Error(err)
-			} else if len(rep.Said) == 0 {
+			} else if len(rep.Messages) == 0 {
 				done.Add(1)
-			} else if said := strings.Join(rep.Said, "\n"); !strings.Contains(said, "quota of module records") {
+			} else if said := strings.Join(rep.Messages, "\n"); !strings.Contains(said, "quota of module records") {
 				t.Errorf("%q", said)
 			}
 		}()
@@ -221,7 +221,7 @@
 	if err := gatewayCommand(r, "/plan", url.Values{"least": {"much"}}, p); err == nil || !strings.Contains(err.Error(), "least") {
 		t.Errorf("%v", err)
 	}
-	if err := Command(context.Background(), t.TempDir(), "/space", nil, p); !errors.Is(err, ErrNotRunning) {
+	if err := Get(context.Background(), t.TempDir(), "/space", nil, p); !errors.Is(err, ErrNotRunning) {
 		t.Errorf("%v", err)
 	}
 }
@@ -242,5 +242,5 @@
 }
 
 func gatewayCommand(r *fixture, path string, q url.Values, into any) error {
-	return Command(context.Background(), r.dir, path, q, into)
+	return Get(context.Background(), r.dir, path, q, into)
 }
--- a/internal/gateway/width_test.go
+++ b/internal/gateway/width_test.go
@@ -20,7 +20,7 @@
 	for _, width := range []int{1, 2, 4, 8, 16} {
 		b.Run(fmt.Sprint("width=", width), func(b *testing.B) {
 			r := newFixture(b, 0, standin.NodeOptions{}, func(c *config.Config) {
-				c.Rsync.Extent, c.Place.Whole, c.Place.Width, c.Place.Choice = 64<<10, 1<<20, width, 1
+				c.Rsync.ExtentBytes, c.Placement.WholeUpTo, c.Placement.Width, c.Placement.Choice = 64<<10, 1<<20, width, 1
 			})
 			for i := range nodes {
 				if _, err := r.site.Add(standin.NodeOptions{ID: fmt.Sprintf("node-%d", i), Shard: i, Cores: 1, Queue: 256,
@@ -32,15 +32,15 @@
 			f := testFile("large", content(1, extents*64<<10))
 			for {
 				rep, err := r.client().Push(context.Background(), "records", "", []standin.ClientFile{f})
-				if err == nil && len(rep.Said) == 0 {
+				if err == nil && len(rep.Messages) == 0 {
 					break
 				}
 			}
 			b.SetBytes(int64(len(f.Data)))
 			for b.Loop() {
 				rep, err := r.client().Pull(context.Background(), "records", "large", nil)
-				if err != nil || len(rep.Said) > 0 {
-					b.Fatal(err, rep.Said)
+				if err != nil || len(rep.Messages) > 0 {
+					b.Fatal(err, rep.Messages)
 				}
 			}
 		})
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -110,7 +110,7 @@
 func (r *testServer) waitReceived(n *standin.HTTPNode, atLeast int, answers ...chan string) {
 	r.t.Helper()
 	seen, early := make(chan bool), make(chan string, len(answers))
-	go func() { n.Seen(atLeast); close(seen) }()
+	go func() { n.WaitSeen(atLeast); close(seen) }()
 	for _, a := range answers {
 		go func() {
 			got := <-a
@@ -121,11 +121,11 @@
 	select {
 	case <-seen:
 	case got := <-early:
-		if k := len(n.Seen(0)); k < atLeast {
+		if k := len(n.WaitSeen(0)); k < atLeast {
 			r.t.Fatalf("answered %q when the node had received %d of %d requests", got, k, atLeast)
 		}
 	case <-time.After(testTimeout):
-		r.t.Fatalf("the node received %d of %d requests within %v, and there was no answer", len(n.Seen(0)), atLeast, testTimeout)
+		r.t.Fatalf("the node received %d of %d requests within %v, and there was no answer", len(n.WaitSeen(0)), atLeast, testTimeout)
 	}
 }
 
@@ -218,9 +218,9 @@
 	r.expect(r.startRead(n+1, 0), served(n+1))
 	r.watch.Line(standin.List(3, false, standin.Target("s-3", b.Addr(), 1, "leaving", 0)))
 	n = r.readUntil(n+2, 1, "503")
-	before := len(b.Seen(1))
+	before := len(b.WaitSeen(1))
 	r.expect(r.startRead(n+1, 1), "503")
-	if after := len(b.Seen(1)); after != before {
+	if after := len(b.WaitSeen(1)); after != before {
 		t.Fatalf("a draining node received %d more requests", after-before)
 	}
 }
@@ -246,7 +246,7 @@
 	close(speak)
 	r.waitReady()
 	r.expect(r.startRead(1, 0), served(1))
-	if n := len(gone.Seen(0)); n != 0 || len(there.Seen(1)) != 1 {
+	if n := len(gone.WaitSeen(0)); n != 0 || len(there.WaitSeen(1)) != 1 {
 		t.Fatalf("%d requests to the removed node", n)
 	}
 }
@@ -285,7 +285,7 @@
 			t.Fatalf("%q", got)
 		}
 	}
-	if after := len(n.Seen(0)); after != before || ok != after {
+	if after := len(n.WaitSeen(0)); after != before || ok != after {
 		t.Fatalf("%d requests in flight at the start of the drain, %d received in the end, %d served", before, after, ok)
 	}
 }
@@ -347,7 +347,7 @@
 		r.expect(reads, "503")
 	}
 	r.expect(write, "504")
-	if seen := n.Seen(1); seen[0].ID != id(99) || len(seen) > cap(reads) {
+	if seen := n.WaitSeen(1); seen[0].ID != id(99) || len(seen) > cap(reads) {
 		t.Fatalf("the node received %d requests, the first %s", len(seen), seen[0].ID)
 	}
 }
@@ -362,7 +362,7 @@
 	r.waitReceived(n, 1, open)
 	r.reloadText = `{"name":"n3","listen":"nowhere"}`
 	r.signals <- syscall.SIGHUP
-	r.log.Has("the new configuration cannot be used")
+	r.log.WaitFor("the new configuration cannot be used")
 	b := newAgent(t)
 	r.mu.Lock()
 	r.reloadText = config(b.Addr(), "null")
@@ -389,7 +389,7 @@
 	r.signals <- syscall.SIGTERM
 	r.signals <- syscall.SIGHUP
 	r.signals <- syscall.SIGTERM
-	r.log.Has("ending")
+	r.log.WaitFor("ending")
 	late := r.startRead(2, 0) // the host still serves connections
 	r.waitReceived(n, 2, late)
 	close(release)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -47,7 +47,7 @@
 func Start(log *slog.Logger) (*Loop, error) {
 	l := &Loop{log: log, closing: map[gnet.Conn]*closing{}}
 	client, err := gnet.NewClient(&handler{loop: l}, gnet.WithNumEventLoop(1), gnet.WithTCPNoDelay(gnet.TCPNoDelay),
-		gnet.WithLogger(telemetry.Gnet{Log: log}), gnet.WithReadBufferCap(bufferBytes), gnet.WithWriteBufferCap(bufferBytes))
+		gnet.WithLogger(telemetry.GnetLogger{Log: log}), gnet.WithReadBufferCap(bufferBytes), gnet.WithWriteBufferCap(bufferBytes))
 	if err == nil {
 		err = client.Start()
 	}
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -77,7 +77,7 @@
 	refresher    *extentmap.Refresher
 	waiting      map[extentmap.Range][]func()
 	waitingCount int
-	stream       *register.Opened // nil while disconnected
+	stream       *register.EventStream // nil while disconnected
 	state        State
 	lookupOnly   atomic.Bool // the refresher has no groups, so a lookup in the map suffices
 	wg           sync.WaitGroup
@@ -143,8 +143,8 @@
 	v := f.extents.View()
 	if f.lookupOnly.Load() { // no part of the map is stale
 		if vol, ok := v.Volume(volume); ok {
-			if home, version, ok := v.Lookup(vol, extent); ok && home.Shard != extentmap.Nowhere {
-				return extentmap.Decision{Action: extentmap.Use, Home: home, Version: version}
+			if home, version, ok := v.Lookup(vol, extent); ok && home.Shard != extentmap.NoShard {
+				return extentmap.Decision{Action: extentmap.Use, Location: home, Version: version}
 			}
 		}
 	}
@@ -228,7 +228,7 @@
 func (f *Feed) readStream(ctx context.Context) (received bool, err error) {
 	id := ""
 	if v := f.View(); v.Synced {
-		id = ID(v.Term, v.Mark)
+		id = ID(v.Term, v.Watermark)
 	}
 	s, err := register.Open(ctx, f.client, f.settings.URL, f.settings.Gateway, id, f.settings.SilenceTimeout)
 	if err != nil {
@@ -253,7 +253,7 @@
 	for {
 		m, err := s.Next()
 		if err != nil {
-			return received, s.Ended(err)
+			return received, s.EndCause(err)
 		}
 		if m.Event != EventChange && m.Event != EventSnapshot {
 			continue
@@ -280,7 +280,7 @@
 			gap.Stop()
 			gap = nil
 		case from != 0 && gap == nil:
-			gap = time.AfterFunc(f.settings.GapTimeout, func() { s.End(errGap) })
+			gap = time.AfterFunc(f.settings.GapTimeout, func() { s.Cancel(errGap) })
 		}
 	}
 }
@@ -428,7 +428,7 @@
 	f.waitingCount -= len(all)
 	f.updateLookupOnly()
 	if errors.Is(err, extentmap.ErrTerm) && f.stream != nil {
-		f.stream.End(errTerm)
+		f.stream.Cancel(errTerm)
 	}
 	f.mu.Unlock()
 	if err != nil && ctx.Err() == nil {
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -66,7 +66,7 @@
 }
 
 func newRun(volume string, from, to uint64, shard int32) extentmap.Run {
-	return extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Home: extentmap.Home{Shard: shard}}
+	return extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Location: extentmap.Location{Shard: shard}}
 }
 
 // checkEqual fails if a feed's map differs from the authority's in the first extents of a volume.
@@ -77,7 +77,7 @@
 	for e := range extents {
 		want, there := s.authority.Home(volume, e)
 		got, _, ok := v.Lookup(vol, e)
-		if ok && got.Shard == extentmap.Nowhere {
+		if ok && got.Shard == extentmap.NoShard {
 			ok = false
 		}
 		if ok != there || got != want && ok {
@@ -100,7 +100,7 @@
 	put(50)
 	f, _ := s.startFeed(nil)
 	var seen sync.Map
-	s.authority.Script(func(_ string, version uint64) standin.Delivery {
+	s.authority.SetScript(func(_ string, version uint64) standin.Delivery {
 		if _, again := seen.LoadOrStore(version, true); again {
 			return standin.Delivery{} // delivered when the stream is resumed
 		}
@@ -114,7 +114,7 @@
 		}
 		return standin.Delivery{}
 	})
-	current := func() bool { v := f.View(); return v.Synced && int(v.Mark) == s.authority.Versions() }
+	current := func() bool { v := f.View(); return v.Synced && int(v.Watermark) == s.authority.Version() }
 	for range 10 {
 		put(30)
 		s.waitUntil("all changes", current)
@@ -124,12 +124,12 @@
 		t.Errorf("%+v: expected skipped changes to be recovered by resuming the stream, without a further snapshot", st)
 	}
 
-	s.authority.Script(nil)
-	s.authority.Keep(5)
-	s.authority.Down(true)
+	s.authority.SetScript(nil)
+	s.authority.SetResumable(5)
+	s.authority.SetDown(true)
 	s.waitUntil("the stream's end", func() bool { return !f.State().Connected })
 	put(50)
-	s.authority.Down(false)
+	s.authority.SetDown(false)
 	s.waitUntil("all changes", current)
 	s.checkEqual(f, "v", 450)
 	if st := f.State(); st.Snapshots != 2 {
@@ -137,7 +137,7 @@
 	}
 
 	old := f.View()
-	s.authority.Restore(old.Mark - 60)
+	s.authority.Restore(old.Watermark - 60)
 	s.waitUntil("the other term", func() bool { return f.View().Term == 2 })
 	put(3)
 	s.waitUntil("all changes", current)
@@ -153,9 +153,9 @@
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1))
 	f, _ := s.startFeed(func(set *mapfeed.Settings) { set.GapTimeout = time.Hour })
-	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
-	s.authority.Script(func(string, uint64) standin.Delivery { return standin.Delivery{Skip: true} })
-	s.authority.Slow(20 * time.Millisecond)
+	s.waitUntil("the map", func() bool { return f.View().Watermark == 1 })
+	s.authority.SetScript(func(string, uint64) standin.Delivery { return standin.Delivery{Skip: true} })
+	s.authority.SetRangeDelay(20 * time.Millisecond)
 	moved := s.authority.Put(newRun("v", 0, 64, 2))
 	if !f.Moved("v", 5, extentmap.MovedAnswer{Version: moved}) {
 		t.Fatal("the node's answer is not newer than the map")
@@ -175,8 +175,8 @@
 		go ask(uint64(i % 64))
 	}
 	s.waitUntil("all answers", func() bool { return used.Load()+wrong.Load() == 1000 })
-	if wrong.Load() > 0 || s.authority.Asked("range") != 1 {
-		t.Errorf("%d requests got another location; %d refreshes", wrong.Load(), s.authority.Asked("range"))
+	if wrong.Load() > 0 || s.authority.Requests("range") != 1 {
+		t.Errorf("%d requests got another location; %d refreshes", wrong.Load(), s.authority.Requests("range"))
 	}
 	if st := f.State(); st.Waiting != 0 {
 		t.Errorf("%+v", st)
@@ -189,11 +189,11 @@
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1), newRun("v", 64, 128, 3))
 	f, _ := s.startFeed(nil)
-	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
-	s.authority.Down(true)
+	s.waitUntil("the map", func() bool { return f.View().Watermark == 1 })
+	s.authority.SetDown(true)
 	s.waitUntil("the stream's end", func() bool { return !f.State().Connected })
 	moved := s.authority.Put(newRun("v", 0, 64, 2))
-	f.Moved("v", 5, extentmap.MovedAnswer{Version: moved, Home: extentmap.Home{Shard: 2}, Known: true})
+	f.Moved("v", 5, extentmap.MovedAnswer{Version: moved, Location: extentmap.Location{Shard: 2}, Known: true})
 	ask := func(extent uint64, patience time.Duration) extentmap.Decision {
 		return f.Decide("v", extent, patience, func() {})
 	}
@@ -207,7 +207,7 @@
 	if v := ask(6, time.Millisecond); v.Action != extentmap.Refuse || v.RetryAfter < time.Millisecond {
 		t.Errorf("stale extent without a hint: %+v", v)
 	}
-	s.authority.Down(false)
+	s.authority.SetDown(false)
 	s.waitUntil("the refreshed range", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
 }
 
@@ -223,7 +223,7 @@
 	s.authority.Put(runs...)
 	cached := func(set *mapfeed.Settings) { set.CacheFile = s.cacheFile }
 	f, stop := s.startFeed(cached)
-	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
+	s.waitUntil("the map", func() bool { return f.View().Watermark == 1 })
 	stop()
 	b, err := os.ReadFile(s.cacheFile)
 	if err != nil {
@@ -231,9 +231,9 @@
 	}
 	s.authority.Put(newRun("v", 7, 9, 50)) // while the feed was stopped
 	f, stop = s.startFeed(cached)
-	s.waitUntil("the change since", func() bool { return f.View().Mark == 2 })
-	if s.authority.Asked("snapshot") != 1 || f.View().Extents != extents {
-		t.Errorf("%d snapshots; %d extents", s.authority.Asked("snapshot"), f.View().Extents)
+	s.waitUntil("the change since", func() bool { return f.View().Watermark == 2 })
+	if s.authority.Requests("snapshot") != 1 || f.View().Extents != extents {
+		t.Errorf("%d snapshots; %d extents", s.authority.Requests("snapshot"), f.View().Extents)
 	}
 	stop()
 	blocks := (len(b) - mapfile.HeaderBytes) / mapfile.BlockBytes
@@ -245,12 +245,12 @@
 		t.Fatal(err)
 	}
 	f, stop = s.startFeed(cached)
-	s.waitUntil("the change since", func() bool { return f.View().Mark == 2 })
+	s.waitUntil("the change since", func() bool { return f.View().Watermark == 2 })
 	lost := uint64(extents) - f.View().Extents
-	if st := f.State(); st.Damaged != 1 || lost == 0 || lost > extents/2 || s.authority.Asked("snapshot") != 1 {
-		t.Errorf("%+v: %d extents lost, %d snapshots", st, lost, s.authority.Asked("snapshot"))
+	if st := f.State(); st.Damaged != 1 || lost == 0 || lost > extents/2 || s.authority.Requests("snapshot") != 1 {
+		t.Errorf("%+v: %d extents lost, %d snapshots", st, lost, s.authority.Requests("snapshot"))
 	}
-	before := s.authority.Asked("range")
+	before := s.authority.Requests("range")
 	for e := uint64(0); e < extents; e += 500 {
 		again := make(chan struct{}, 1)
 		v := f.Decide("v", e, 10*time.Second, func() { again <- struct{}{} })
@@ -258,11 +258,11 @@
 			<-again
 			v = f.Decide("v", e, 10*time.Second, func() {})
 		}
-		if want, _ := s.authority.Home("v", e); v.Action != extentmap.Use || v.Home != want {
+		if want, _ := s.authority.Home("v", e); v.Action != extentmap.Use || v.Location != want {
 			t.Fatalf("%d: %+v, want %v", e, v, want)
 		}
 	}
-	if n := s.authority.Asked("range") - before; n == 0 || n > int(lost/500)+2 {
+	if n := s.authority.Requests("range") - before; n == 0 || n > int(lost/500)+2 {
 		t.Errorf("%d refreshes for %d lost extents", n, lost)
 	}
 	stop()
@@ -270,9 +270,9 @@
 		t.Fatal(err)
 	}
 	f, _ = s.startFeed(cached)
-	s.waitUntil("the map", func() bool { return f.View().Mark == 2 })
-	if s.authority.Asked("snapshot") != 2 {
-		t.Errorf("%d snapshots", s.authority.Asked("snapshot"))
+	s.waitUntil("the map", func() bool { return f.View().Watermark == 2 })
+	if s.authority.Requests("snapshot") != 2 {
+		t.Errorf("%d snapshots", s.authority.Requests("snapshot"))
 	}
 }
 
@@ -280,11 +280,11 @@
 func TestSnapshotStalls(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1))
-	s.authority.Stall(1)
+	s.authority.StallSnapshots(1)
 	f, _ := s.startFeed(func(set *mapfeed.Settings) { set.SilenceTimeout = 1500 * time.Millisecond })
-	s.waitUntil("the map", func() bool { return f.View().Mark == 1 })
-	if st := f.State(); s.authority.Asked("snapshot") < 2 || st.Snapshots != 1 || st.Damaged != 0 {
-		t.Errorf("%d snapshots requested: %+v", s.authority.Asked("snapshot"), st)
+	s.waitUntil("the map", func() bool { return f.View().Watermark == 1 })
+	if st := f.State(); s.authority.Requests("snapshot") < 2 || st.Snapshots != 1 || st.Damaged != 0 {
+		t.Errorf("%d snapshots requested: %+v", s.authority.Requests("snapshot"), st)
 	}
 	s.checkEqual(f, "v", 70)
 }
@@ -335,7 +335,7 @@
 			}
 			use := func(version uint64) {
 				for _, f := range feeds {
-					for v := f.View(); !v.Synced || v.Mark < version; v = f.View() {
+					for v := f.View(); !v.Synced || v.Watermark < version; v = f.View() {
 						time.Sleep(50 * time.Microsecond)
 					}
 				}
--- a/internal/mapfile/columns.go
+++ b/internal/mapfile/columns.go
@@ -41,7 +41,7 @@
 	}
 	defer func() { _ = f.Cleanup() }()
 	w := parquet.NewGenericWriter[row](f, parquet.Compression(&parquet.Zstd),
-		parquet.KeyValueMetadata(keyTerm, strconv.FormatUint(v.Term, 10)), parquet.KeyValueMetadata(keyVersion, strconv.FormatUint(v.Mark, 10)))
+		parquet.KeyValueMetadata(keyTerm, strconv.FormatUint(v.Term, 10)), parquet.KeyValueMetadata(keyVersion, strconv.FormatUint(v.Watermark, 10)))
 	batch := make([]row, 0, rowBatchSize)
 	flush := func() bool {
 		_, err = w.Write(batch)
@@ -127,7 +127,7 @@
 		left = left[1:]
 		at++
 		return extentmap.Run{Range: extentmap.Range{Volume: w.Volume, From: w.From, To: w.To},
-			Home: extentmap.Home{Shard: w.Shard, Epoch: w.Epoch}, Version: min(w.Version, version)}, true, nil
+			Location: extentmap.Location{Shard: w.Shard, Epoch: w.Epoch}, Version: min(w.Version, version)}, true, nil
 	})
 	if err != nil {
 		return fmt.Errorf("mapfile: %s: %w", path, err)
--- a/internal/mapfile/mapfile.go
+++ b/internal/mapfile/mapfile.go
@@ -82,11 +82,11 @@
 // Write writes a view without the runs of versions above its watermark: earlier changes may be missing around
 // them, and the reader of the file requests them anyway. The header is written last, at the start of w.
 func Write(w io.WriteSeeker, v *extentmap.View) (Header, error) {
-	h := Header{Term: v.Term, Version: v.Mark}
+	h := Header{Term: v.Term, Version: v.Watermark}
 	if _, err := w.Write(make([]byte, HeaderBytes)); err != nil {
 		return h, fmt.Errorf("mapfile: %w", err)
 	}
-	b := newBlock(v.Mark)
+	b := newBlock(v.Watermark)
 	var err error
 	flush := func() bool {
 		if h.Blocks == MaxBlocks {
@@ -97,7 +97,7 @@
 		if _, err = w.Write(b.finish(h.Blocks - 1)); err != nil {
 			err = fmt.Errorf("mapfile: block %d: %w", h.Blocks-1, err)
 		}
-		b = newBlock(v.Mark)
+		b = newBlock(v.Watermark)
 		return err == nil
 	}
 	v.All(func(r extentmap.Run) bool {
@@ -105,10 +105,10 @@
 			err = fmt.Errorf("mapfile: volume %.40q...: name of %d bytes, expected at most %d", r.Volume, len(r.Volume), MaxNameBytes)
 			return false
 		}
-		if r.Version > v.Mark {
+		if r.Version > v.Watermark {
 			return true
 		}
-		if h.Runs++; r.Shard != extentmap.Nowhere {
+		if h.Runs++; r.Shard != extentmap.NoShard {
 			h.Extents += r.To - r.From
 		}
 		return b.add(&r) || flush() && b.add(&r)
@@ -136,7 +136,7 @@
 	runs       uint32
 	lastVolume string
 	lastEnd    uint64
-	lastHome   extentmap.Home
+	lastHome   extentmap.Location
 	hasHome    bool // the block contains a location
 }
 
@@ -155,7 +155,7 @@
 	}
 	s = binary.AppendUvarint(s, r.From-at+1)
 	s = binary.AppendUvarint(s, r.To-r.From)
-	if hasHome && r.Home == home {
+	if hasHome && r.Location == home {
 		s = binary.AppendUvarint(s, 0)
 	} else {
 		s = binary.AppendUvarint(s, uint64(int64(r.Shard)+2))
@@ -168,7 +168,7 @@
 	}
 	b.bytes = append(b.bytes, s...)
 	b.runs++
-	b.lastVolume, b.lastEnd, b.lastHome, b.hasHome = r.Volume, r.To, r.Home, true
+	b.lastVolume, b.lastEnd, b.lastHome, b.hasHome = r.Volume, r.To, r.Location, true
 	return true
 }
 
@@ -207,7 +207,7 @@
 	runs := make([]extentmap.Run, 0, count)
 	var volume string
 	var at uint64
-	var home extentmap.Home
+	var home extentmap.Location
 	for len(runs) < int(count) {
 		gap := d.readUvarint()
 		if gap == 0 {
@@ -222,7 +222,7 @@
 			if shard > 1<<31 || epoch > 1<<32-1 {
 				return nil, wrong("run %d: shard %d, epoch %d", len(runs), int64(shard)-2, epoch)
 			}
-			home = extentmap.Home{Shard: int32(int64(shard) - 2), Epoch: uint32(epoch)}
+			home = extentmap.Location{Shard: int32(int64(shard) - 2), Epoch: uint32(epoch)}
 		} else if len(runs) == 0 {
 			return nil, wrong("run 0: refers to the location of the run before")
 		}
@@ -236,7 +236,7 @@
 		if from < at || to <= from || n > extentmap.MaxRunExtents || before > version {
 			return nil, wrong("run %d: invalid: %d extents from %d on, %d changes before version %d", len(runs), n, from, before, version)
 		}
-		runs = append(runs, extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Home: home, Version: since})
+		runs = append(runs, extentmap.Run{Range: extentmap.Range{Volume: volume, From: from, To: to}, Location: home, Version: since})
 		at = to
 	}
 	if len(d.rest) > 0 {
--- a/internal/mapfile/mapfile_test.go
+++ b/internal/mapfile/mapfile_test.go
@@ -36,7 +36,7 @@
 		}
 		n := length(i)
 		r = extentmap.Run{Range: extentmap.Range{Volume: fmt.Sprint("volume-", i/runs), From: at, To: at + n},
-			Home: extentmap.Home{Shard: int32(i%5) - 1, Epoch: uint32(i % 3)}, Version: uint64(i % 1001)}
+			Location: extentmap.Location{Shard: int32(i%5) - 1, Epoch: uint32(i % 3)}, Version: uint64(i % 1001)}
 		at += n + uint64(i%2)
 		i++
 		return r, true, nil
@@ -79,8 +79,8 @@
 			t.Fatal(err)
 		}
 		got, damaged := loadView(t, path)
-		if len(damaged) > 0 || got.Term != 3 || got.Mark != 1000 || h.Runs != uint64(v.Len()) || h.Extents != v.Extents {
-			t.Fatalf("%+v, damaged %v, term %d, version %d", h, damaged, got.Term, got.Mark)
+		if len(damaged) > 0 || got.Term != 3 || got.Watermark != 1000 || h.Runs != uint64(v.Len()) || h.Extents != v.Extents {
+			t.Fatalf("%+v, damaged %v, term %d, version %d", h, damaged, got.Term, got.Watermark)
 		}
 		if a, b := allRuns(v), allRuns(got); !slices.Equal(a, b) {
 			t.Fatalf("%d runs saved, %d loaded", len(a), len(b))
@@ -170,7 +170,7 @@
 func FuzzBlock(f *testing.F) {
 	var blocks [][]byte
 	v := newView(f, 2, 30, func(i int) uint64 { return uint64(1 + i%7) })
-	b := newBlock(v.Mark)
+	b := newBlock(v.Watermark)
 	v.All(func(r extentmap.Run) bool { b.add(&r); return true })
 	blocks = append(blocks, b.finish(0)[8:8+len(b.bytes)], []byte{0, 0, 0, 0, 6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0, 1, 'v', 1, 255, 2, 1, 0})
 	for _, b := range blocks {
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -35,7 +35,7 @@
 	Settings mover.Settings
 	Store    *store.Catalogue
 	Host     *host.Host
-	Work     extent.Work
+	Work     extent.CostModel
 	Plan     func(volume string) string
 	Deadline time.Duration // deadline of a request
 	Log      *slog.Logger
@@ -168,11 +168,11 @@
 		for i, x := range mv.Items {
 			parts[i], _ = partOf(x.Extent)
 		}
-		r.opt.Store.Rehome(mv.Volume, path, base, parts, mv.Source, mv.Target, func(err error) {
+		r.opt.Store.MoveParts(mv.Volume, path, base, parts, mv.Source, mv.Target, func(err error) {
 			switch {
 			case err == nil:
 				done(mover.OK, 0)
-			case errors.Is(err, store.ErrElsewhere):
+			case errors.Is(err, store.ErrPartsMoved):
 				done(mover.Refused, 0)
 			default:
 				r.opt.Log.Warn("migrate: a move could not be switched; the switch is retried", "id", a.ID, "err", err)
@@ -286,7 +286,7 @@
 		}
 	}
 	var moves []mover.Move
-	if err := r.opt.Store.Versions(volumes, func(volume, path string, e *store.Entry) {
+	if err := r.opt.Store.ForEachEntry(volumes, func(volume, path string, e *store.Entry) {
 		for _, i := range wanted[volume+"\x00"+e.Base] {
 			m := &p.Moves[i]
 			mv := mover.Move{Volume: volume, Name: e.Base + "\x00" + path, Source: m.Shard, Target: m.To, Wave: wave[i]}
@@ -309,7 +309,7 @@
 			bases[base] = true
 		}
 		var left map[string]map[int]bool
-		if left, err = r.opt.Store.GarbageAt(bases); err != nil {
+		if left, err = r.opt.Store.GarbageShards(bases); err != nil {
 			return
 		}
 		rest := moves[:0]
--- a/internal/nodewire/frame.go
+++ b/internal/nodewire/frame.go
@@ -95,17 +95,17 @@
 
 // Answer is the answer to a request, with the node's load report.
 type Answer struct {
-	ID          uint64
-	Result      Result
-	VolumeUse   uint16 // 1 + percent of the volume's nominal rate that is in use; 0: unknown
-	OthersMilli uint32 // milli-units served for the volume through other gateways since the last answer
-	Queue       uint32 // load report: requests waiting
-	LatencyUs   uint32 // load report: recent service time
-	Used        uint64 // load report: bytes that the shard holds
-	Capacity    uint64 // load report: capacity of the shard in bytes; 0: unknown
-	Shard       int32  // shard of the answering node
-	Text        string // cause of an error
-	Payload     []byte // content of a Read; a slice of the decoded buffer
+	ID               uint64
+	Result           Result
+	VolumeUse        uint16 // 1 + percent of the volume's nominal rate that is in use; 0: unknown
+	OthersMilliUnits uint32 // milli-units served for the volume through other gateways since the last answer
+	Queue            uint32 // load report: requests waiting
+	LatencyUs        uint32 // load report: recent service time
+	Used             uint64 // load report: bytes that the shard holds
+	Capacity         uint64 // load report: capacity of the shard in bytes; 0: unknown
+	Shard            int32  // shard of the answering node
+	Text             string // cause of an error
+	Payload          []byte // content of a Read; a slice of the decoded buffer
 }
 
 // Cancel says that the answer to a request is no longer needed.
@@ -178,7 +178,7 @@
 		b = le.AppendUint64(b, f.ID)
 		b = append(b, byte(f.Result))
 		b = le.AppendUint16(b, f.VolumeUse)
-		b = le.AppendUint32(b, f.OthersMilli)
+		b = le.AppendUint32(b, f.OthersMilliUnits)
 		b = le.AppendUint32(b, f.Queue)
 		b = le.AppendUint32(b, f.LatencyUs)
 		b = le.AppendUint64(b, f.Used)
@@ -206,7 +206,7 @@
 
 // Need returns the number of bytes of the frame at the start of b, at most that of the longest valid frame, or 4 if
 // b does not contain the whole length field.
-func Need(b []byte) int {
+func FrameLen(b []byte) int {
 	if len(b) < lengthBytes {
 		return lengthBytes
 	}
@@ -307,7 +307,7 @@
 		}
 		return r
 	case KindAnswer:
-		a := &Answer{ID: d.u64(), Result: Result(d.u8()), VolumeUse: d.u16(), OthersMilli: d.u32(),
+		a := &Answer{ID: d.u64(), Result: Result(d.u8()), VolumeUse: d.u16(), OthersMilliUnits: d.u32(),
 			Queue: d.u32(), LatencyUs: d.u32(), Used: d.u64(), Capacity: d.u64(), Shard: int32(d.u32()), Text: d.text("text"), Payload: d.payload()}
 		if d.err == nil && a.Result > lastResult {
 			d.err = fmt.Errorf("result %d is unknown", a.Result)
--- a/internal/nodewire/frame_test.go
+++ b/internal/nodewire/frame_test.go
@@ -11,7 +11,7 @@
 	&Hello{Version: Version, Name: "gateway-1", Shard: -1},
 	&Request{ID: 7, Ref: 9, Attempt: 2, Op: Write, Class: "record-write", Volume: "records", Item: "a.0", Key: "a.0",
 		MilliUnits: 1500, Offset: 1 << 40, Length: 5, LeftMicros: 99, Payload: []byte("bytes")},
-	&Answer{ID: 7, Result: Busy, VolumeUse: 87, OthersMilli: 1, Queue: 3, LatencyUs: 1500, Used: 1 << 40, Capacity: 1<<40 + 1, Shard: 2, Text: "full"},
+	&Answer{ID: 7, Result: Busy, VolumeUse: 87, OthersMilliUnits: 1, Queue: 3, LatencyUs: 1500, Used: 1 << 40, Capacity: 1<<40 + 1, Shard: 2, Text: "full"},
 	&Answer{ID: 9, Result: NoRoom, Used: 5, Capacity: 5},
 	&Answer{ID: 8, Shard: -1, Payload: []byte{0, 1}},
 	&Cancel{ID: 5}, &Probe{ID: 6}, &Probed{ID: 6, Queue: 1, LatencyUs: 2, Used: 3, Capacity: 4},
@@ -30,8 +30,8 @@
 		if err != nil || n != len(b) || !reflect.DeepEqual(got, f) {
 			t.Fatalf("%T: got %+v, %d of %d bytes, %v", f, got, n, len(b), err)
 		}
-		if Need(b) != len(b) {
-			t.Fatalf("%T: need %d of %d", f, Need(b), len(b))
+		if FrameLen(b) != len(b) {
+			t.Fatalf("%T: need %d of %d", f, FrameLen(b), len(b))
 		}
 	}
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -214,7 +214,7 @@
 // Reader reads one file of a record.
 type Reader struct {
 	Header    Header
-	Torn      bool // the file ends within a frame
+	Truncated bool // the file ends within a frame
 	r         *bufio.Reader
 	name      string
 	nextBatch uint64
@@ -250,7 +250,7 @@
 func (r *Reader) readFrame() ([]byte, error) {
 	var head [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r.r, head[:]); err != nil {
-		r.Torn = errors.Is(err, io.ErrUnexpectedEOF)
+		r.Truncated = errors.Is(err, io.ErrUnexpectedEOF)
 		return nil, io.EOF
 	}
 	n := binary.LittleEndian.Uint32(head[:])
@@ -259,7 +259,7 @@
 	}
 	var body bytes.Buffer // grows with the data read, so a wrong length allocates no memory
 	if got, err := io.CopyN(&body, r.r, int64(n)); err != nil || got < int64(n) {
-		r.Torn = true
+		r.Truncated = true
 		return nil, io.EOF
 	}
 	if xxhash.Sum64(body.Bytes()) != binary.LittleEndian.Uint64(head[4:]) {
@@ -357,7 +357,7 @@
 // Result counts what a replay has compared. Torn means that the record ends within a frame.
 type Result struct {
 	Batches, Events, Actions uint64
-	Torn                     bool
+	Truncated                bool
 }
 
 // Replay passes the batches of a record's files, in order, to a new controller. It returns a
@@ -375,7 +375,7 @@
 			defer f.Close()
 			r, err := NewReader(f, name)
 			if errors.Is(err, errNoHeader) && i > 0 && i == len(files)-1 {
-				res.Torn = true
+				res.Truncated = true
 				return nil
 			}
 			if err != nil {
@@ -393,8 +393,8 @@
 			for {
 				b, err := r.Next()
 				if errors.Is(err, io.EOF) {
-					res.Torn = res.Torn || r.Torn && i == len(files)-1
-					if r.Torn && i < len(files)-1 {
+					res.Truncated = res.Truncated || r.Truncated && i == len(files)-1
+					if r.Truncated && i < len(files)-1 {
 						return fmt.Errorf("record: %s: file ends within a frame, but is not the last file", name)
 					}
 					nextBatch = r.nextBatch
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -55,7 +55,7 @@
 		t.Fatalf("%d files, want 3 or more", len(files))
 	}
 	res, err := Replay(files, nil)
-	if err != nil || res.Torn || res.Actions < 200 {
+	if err != nil || res.Truncated || res.Actions < 200 {
 		t.Fatalf("%+v, %v", res, err)
 	}
 	if _, err := Replay(files[1:], nil); err == nil || !strings.Contains(err.Error(), "earlier file is missing") {
@@ -105,7 +105,7 @@
 		bad := append([]byte(nil), whole...)
 		bad[at] ^= 0x10
 		os.WriteFile(cut, bad, 0o644)
-		if res, err := Replay([]string{cut}, nil); err == nil && !res.Torn {
+		if res, err := Replay([]string{cut}, nil); err == nil && !res.Truncated {
 			t.Fatalf("flipped bit in byte %d was not detected", at)
 		}
 	}
--- a/internal/register/feed.go
+++ b/internal/register/feed.go
@@ -65,10 +65,10 @@
 	URL               string        // of the event stream
 	Gateway           string        // this gateway's name, sent to the register
 	Cache             string        // file that holds the last list; empty: no cache
-	Silence           time.Duration // a stream without any data for this long is closed
+	SilenceTimeout    time.Duration // a stream without any data for this long is closed
 	InitialRetryDelay time.Duration // delay after a failure; doubled up to MaxRetryDelay, with jitter
 	MaxRetryDelay     time.Duration
-	Settle            time.Duration // how long a list that lost half its nodes must last before it is cached
+	SettleTime        time.Duration // how long a list that lost half its nodes must last before it is cached
 	Seed              int64         // of the jitter
 }
 
@@ -113,8 +113,8 @@
 
 // New returns a feed that does not connect before Run.
 func New(settings Settings, h Host, log *slog.Logger) *Feed {
-	if settings.Silence == 0 {
-		settings.Silence = 10 * time.Second
+	if settings.SilenceTimeout == 0 {
+		settings.SilenceTimeout = 10 * time.Second
 	}
 	if settings.InitialRetryDelay == 0 {
 		settings.InitialRetryDelay = 100 * time.Millisecond
@@ -122,12 +122,12 @@
 	if settings.MaxRetryDelay == 0 {
 		settings.MaxRetryDelay = 5 * time.Second
 	}
-	if settings.Settle == 0 {
-		settings.Settle = 30 * time.Second
+	if settings.SettleTime == 0 {
+		settings.SettleTime = 30 * time.Second
 	}
 	f := &Feed{settings: settings, host: h, log: log, nodes: map[string]Entry{}, wake: make(chan struct{}, 1),
 		rng: rand.New(rand.NewSource(settings.Seed)), client: &http.Client{Transport: &http.Transport{
-			Proxy: nil, ResponseHeaderTimeout: settings.Silence, DisableCompression: true}}}
+			Proxy: nil, ResponseHeaderTimeout: settings.SilenceTimeout, DisableCompression: true}}}
 	f.state.Store(&State{})
 	return f
 }
@@ -184,7 +184,7 @@
 
 // follow reads one stream until it ends. It reports whether the stream brought a list or a change.
 func (f *Feed) follow(ctx context.Context) (received bool, err error) {
-	s, err := Open(ctx, f.client, f.settings.URL, f.settings.Gateway, f.lastID, f.settings.Silence)
+	s, err := Open(ctx, f.client, f.settings.URL, f.settings.Gateway, f.lastID, f.settings.SilenceTimeout)
 	if err != nil {
 		return false, err
 	}
@@ -192,7 +192,7 @@
 	for {
 		m, err := s.Next()
 		if err != nil {
-			return received, s.Ended(err)
+			return received, s.EndCause(err)
 		}
 		if s.Retry > 0 {
 			f.settings.InitialRetryDelay = min(max(s.Retry, 10*time.Millisecond), f.settings.MaxRetryDelay)
@@ -255,13 +255,13 @@
 	}
 	if before > 1 && len(f.nodes)*2 <= before {
 		f.log.Warn("register: the list lost half of its nodes or more; it binds, but is not cached before it has stood",
-			"before", before, "now", len(f.nodes), "settle", f.settings.Settle)
+			"before", before, "now", len(f.nodes), "settle", f.settings.SettleTime)
 	}
 	if len(f.nodes)*2 <= f.cachedNodes {
 		if f.shrunkSince.IsZero() {
 			f.shrunkSince = time.Now()
 		}
-		if time.Since(f.shrunkSince) < f.settings.Settle {
+		if time.Since(f.shrunkSince) < f.settings.SettleTime {
 			return
 		}
 	}
--- a/internal/register/open.go
+++ b/internal/register/open.go
@@ -11,7 +11,7 @@
 )
 
 // Opened is an open event stream of a server.
-type Opened struct {
+type EventStream struct {
 	*Stream
 	ctx          context.Context
 	cancel       context.CancelCauseFunc
@@ -21,7 +21,7 @@
 
 // Open requests the stream at streamURL for the named gateway, resuming after the event lastID (empty: from
 // the start). The stream ends if no data comes within silenceTimeout, after End, and when ctx is done.
-func Open(ctx context.Context, client *http.Client, streamURL, gateway, lastID string, silenceTimeout time.Duration) (*Opened, error) {
+func Open(ctx context.Context, client *http.Client, streamURL, gateway, lastID string, silenceTimeout time.Duration) (*EventStream, error) {
 	u, err := url.Parse(streamURL)
 	if err != nil {
 		return nil, fmt.Errorf("register: %w", err)
@@ -50,16 +50,16 @@
 		_ = resp.Body.Close()
 		return nil, fmt.Errorf("register: %s responded %s: expected 200 OK", u.Host, resp.Status)
 	}
-	o := &Opened{ctx: ctx, cancel: cancel, body: resp.Body, silenceTimer: time.AfterFunc(silenceTimeout, func() { cancel(errSilence) })}
+	o := &EventStream{ctx: ctx, cancel: cancel, body: resp.Body, silenceTimer: time.AfterFunc(silenceTimeout, func() { cancel(errSilence) })}
 	o.Stream = NewStream(&activityReader{resp.Body, func() { o.silenceTimer.Reset(silenceTimeout) }}, lastID)
 	return o, nil
 }
 
 // End ends the stream with the given cause. It is safe to call from any goroutine.
-func (o *Opened) End(cause error) { o.cancel(cause) }
+func (o *EventStream) Cancel(cause error) { o.cancel(cause) }
 
 // Ended returns the cause of a stream's end, given the error that Next returned.
-func (o *Opened) Ended(err error) error {
+func (o *EventStream) EndCause(err error) error {
 	if cause := context.Cause(o.ctx); cause != nil {
 		err = cause
 	}
@@ -70,7 +70,7 @@
 }
 
 // Close stops the silence timer and closes the connection.
-func (o *Opened) Close() {
+func (o *EventStream) Close() {
 	o.silenceTimer.Stop()
 	o.cancel(nil)
 	_ = o.body.Close()
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -175,21 +175,21 @@
 	h.waitForNodes(t, "a b:draining c")
 	full := h.count(control.ListFull)
 
-	reg.Down(true)
+	reg.SetDown(true)
 	for h.count(control.ListFailed) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	h.waitForNodes(t, "a b:draining c") // the list held applies
 	reg.Set(entry("b", "gone"))
-	reg.Down(false)
+	reg.SetDown(false)
 	h.waitForNodes(t, "a c")
 	if h.count(control.ListFull) != full {
 		t.Error("the full list was sent although the feed resumed")
 	}
-	reg.Down(true)
+	reg.SetDown(true)
 	reg.Set(entry("d", "ready"))
-	reg.Forget()
-	reg.Down(false)
+	reg.DropHistory()
+	reg.SetDown(false)
 	h.waitForNodes(t, "a c d")
 	if h.count(control.ListFull) != full+1 {
 		t.Error("a register that lost its history did not send the full list")
@@ -235,14 +235,14 @@
 		reg.Set(entry(id, "ready"))
 	}
 	cache := filepath.Join(t.TempDir(), "nodes.json")
-	h, _, stop := startFeed(t, register.Settings{URL: reg.URL(), Cache: cache, Settle: time.Hour})
+	h, _, stop := startFeed(t, register.Settings{URL: reg.URL(), Cache: cache, SettleTime: time.Hour})
 	h.waitForNodes(t, "a b c d")
-	reg.Down(true)
+	reg.SetDown(true)
 	for _, id := range []string{"a", "b", "c"} {
 		reg.Set(entry(id, "gone"))
 	}
-	reg.Forget() // so that a single full list drops all three
-	reg.Down(false)
+	reg.DropHistory() // so that a single full list drops all three
+	reg.SetDown(false)
 	h.waitForNodes(t, "d")
 	stop()
 	b, _ := os.ReadFile(cache)
@@ -275,7 +275,7 @@
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 		}))
-		h, f, stop := startFeed(t, register.Settings{URL: server.URL, Silence: 50 * time.Millisecond})
+		h, f, stop := startFeed(t, register.Settings{URL: server.URL, SilenceTimeout: 50 * time.Millisecond})
 		h.waitForNodes(t, "a")
 		for limit := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 			mu.Lock()
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -70,8 +70,8 @@
 	}
 	for i, want := range []int{0, 3} {
 		c, err := days[i].Day.config("g", "http://127.0.0.1:1/nodes", "d")
-		if err != nil || c.Place.Choice != want || c.Rsync.Extent != 65536 {
-			t.Errorf("choice %d, extent %d, %v", c.Place.Choice, c.Rsync.Extent, err)
+		if err != nil || c.Placement.Choice != want || c.Rsync.ExtentBytes != 65536 {
+			t.Errorf("choice %d, extent %d, %v", c.Placement.Choice, c.Rsync.ExtentBytes, err)
 		}
 		days[i].Day.Gateways.Settings = plain.Gateways.Settings
 		if !reflect.DeepEqual(days[i].Day, plain) {
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -286,7 +286,7 @@
 	if err != nil {
 		return err
 	}
-	r.trace.Put(audit.Record{What: audit.Start, Gateway: p.name})
+	r.trace.Put(audit.Record{Kind: audit.Start, Gateway: p.name})
 	if err := cmd.Start(); err != nil {
 		return fmt.Errorf("rehearsal: %s: %w", p.name, err)
 	}
@@ -352,11 +352,11 @@
 			for try := 0; ; try++ {
 				c := &standin.Client{Addr: p.addr, Timeout: 30 * time.Second}
 				rep, err := c.Push(r.ctx, l.Module, "", files)
-				if err == nil && len(rep.Said) == 0 {
+				if err == nil && len(rep.Messages) == 0 {
 					break
 				}
 				if try == 20 || r.ctx.Err() != nil {
-					return fmt.Errorf("rehearsal: preparing files at %s: %v %q", p.name, err, rep.Said)
+					return fmt.Errorf("rehearsal: preparing files at %s: %v %q", p.name, err, rep.Messages)
 				}
 				time.Sleep(200 * time.Millisecond) // the gateway may not know its nodes yet
 			}
@@ -459,7 +459,7 @@
 	if l.Kind == "pull" {
 		class = work.Read(int64(l.Bytes))
 	}
-	extents := (l.Bytes + cfg.Rsync.Extent - 1) / cfg.Rsync.Extent
+	extents := (l.Bytes + cfg.Rsync.ExtentBytes - 1) / cfg.Rsync.ExtentBytes
 	aim := time.Duration(0)
 	for _, c := range cfg.Classes {
 		if c.Name == class {
@@ -472,14 +472,14 @@
 			plan = m.Plan
 		}
 	}
-	units := float64(extents) * work.Units(min(l.Bytes, cfg.Rsync.Extent))
+	units := float64(extents) * work.Units(min(l.Bytes, cfg.Rsync.ExtentBytes))
 	c := &standin.Client{Addr: addr, Timeout: l.Timeout.D()}
 	ctx, cancel := context.WithCancel(r.ctx)
 	defer cancel()
 	if early {
 		time.AfterFunc(aim/2, cancel)
 	}
-	r.trace.Put(audit.Record{What: audit.Ask, ID: id, Gateway: p.name, Class: class, Plan: plan, Volume: l.Module, Units: units,
+	r.trace.Put(audit.Record{Kind: audit.TransferStart, ID: id, Gateway: p.name, Class: class, Plan: plan, Volume: l.Module, Units: units,
 		Limit: int64(l.Timeout.D()), Aim: int64(aim)})
 	began := time.Now()
 	var rep *standin.Report
@@ -489,7 +489,7 @@
 	} else {
 		rep, err = c.Push(ctx, l.Module, id, []standin.ClientFile{{Path: id, MTime: 1, Data: randomBytes(r.opt.Seed, l.Bytes)}})
 	}
-	end := audit.Record{What: audit.Final, ID: id, Gateway: p.name, Took: int64(time.Since(began)), Text: strings.Join(rep.Said, "; ")}
+	end := audit.Record{Kind: audit.TransferEnd, ID: id, Gateway: p.name, Took: int64(time.Since(began)), Text: strings.Join(rep.Messages, "; ")}
 	switch {
 	case early && ctx.Err() != nil:
 		end.Result = "left"
@@ -501,7 +501,7 @@
 		end.Result, end.Text = "failed", err.Error()
 	case strings.Contains(end.Text, "refused"):
 		end.Result = "refused"
-	case len(rep.Said) > 0:
+	case len(rep.Messages) > 0:
 		end.Result = "failed"
 	default:
 		end.Result = "served"
@@ -516,7 +516,7 @@
 			continue
 		}
 		if _, up := p.address(); up {
-			r.trace.Put(audit.Record{What: audit.Kill, Gateway: p.name})
+			r.trace.Put(audit.Record{Kind: audit.Kill, Gateway: p.name})
 			p.signal(syscall.SIGCONT)
 			p.signal(syscall.SIGTERM)
 		}
--- a/internal/rehearsal/trouble.go
+++ b/internal/rehearsal/trouble.go
@@ -73,20 +73,20 @@
 			return
 		}
 		for _, id := range ids {
-			if err := r.site.Return(id); err != nil {
+			if err := r.site.Restart(id); err != nil {
 				r.log.Error("a node that vanished could not be started again", "node", id, "err", err)
 			}
 		}
 	case "reconnect":
 		for _, id := range r.targetNodes(t.Target) {
 			if n := r.site.Node(id); n != nil {
-				n.Cut()
+				n.CloseConns()
 			}
 		}
 	case "discovery_down":
-		r.site.Register.Down(true)
+		r.site.Register.SetDown(true)
 		r.sleep(ctx, duration)
-		r.site.Register.Down(false)
+		r.site.Register.SetDown(false)
 	case "discovery_stale":
 		r.site.Register.SetDelay(time.Duration(t.Amount * float64(time.Second)))
 		r.sleep(ctx, duration)
@@ -97,7 +97,7 @@
 		p.signal(syscall.SIGSTOP)
 		r.sleep(ctx, duration)
 		p.signal(syscall.SIGCONT)
-		r.trace.Put(audit.Record{What: audit.Stalled, Gateway: p.name, Took: int64(time.Since(began))})
+		r.trace.Put(audit.Record{Kind: audit.Stalled, Gateway: p.name, Took: int64(time.Since(began))})
 	case "kill":
 		r.killGateway(ctx, r.gatewayByName(t.Target), duration)
 	}
@@ -194,7 +194,7 @@
 	p.down = true
 	ended := p.exited
 	p.mu.Unlock()
-	r.trace.Put(audit.Record{What: audit.Kill, Gateway: p.name})
+	r.trace.Put(audit.Record{Kind: audit.Kill, Gateway: p.name})
 	p.signal(syscall.SIGKILL)
 	<-ended
 	r.sleep(ctx, downFor)
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -85,42 +85,42 @@
 }
 
 // Versions returns the version of the last change.
-func (a *Authority) Versions() int {
+func (a *Authority) Version() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.changes)
 }
 
 // Script sets the function that decides how each change is sent to a gateway; nil: once, in order.
-func (a *Authority) Script(f func(gateway string, version uint64) Delivery) {
+func (a *Authority) SetScript(f func(gateway string, version uint64) Delivery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.script = f
 }
 
 // Keep sets the number of last changes from which a stream may resume.
-func (a *Authority) Keep(n int) {
+func (a *Authority) SetResumable(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.resumable = n
 }
 
 // Slow sets the delay of answers about ranges.
-func (a *Authority) Slow(d time.Duration) {
+func (a *Authority) SetRangeDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rangeDelay = d
 }
 
 // Stall sets the number of next snapshots that stop in the middle until the client closes the connection.
-func (a *Authority) Stall(snapshots int) {
+func (a *Authority) StallSnapshots(snapshots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stalledSnapshots = snapshots
 }
 
 // Down makes the authority drop its streams and answer 503, or serve again.
-func (a *Authority) Down(down bool) {
+func (a *Authority) SetDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down = down; down {
@@ -149,7 +149,7 @@
 }
 
 // Asked returns the number of requests of one kind: "stream", "snapshot" or "range".
-func (a *Authority) Asked(what string) int {
+func (a *Authority) Requests(what string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requests[what]
@@ -310,10 +310,10 @@
 	for e := in.From; e < in.To; e++ {
 		for i := len(a.changes) - 1; i >= 0; i-- {
 			if r := lastRun(a.changes[i], in.Volume, e); r != nil {
-				if n := len(answer.Runs); n > 0 && answer.Runs[n-1].To == e && answer.Runs[n-1].Home == r.Home {
+				if n := len(answer.Runs); n > 0 && answer.Runs[n-1].To == e && answer.Runs[n-1].Location == r.Location {
 					answer.Runs[n-1].To++
 				} else {
-					answer.Runs = append(answer.Runs, extentmap.Run{Range: extentmap.Range{Volume: in.Volume, From: e, To: e + 1}, Home: r.Home, Version: answer.Version})
+					answer.Runs = append(answer.Runs, extentmap.Run{Range: extentmap.Range{Volume: in.Volume, From: e, To: e + 1}, Location: r.Location, Version: answer.Version})
 				}
 				break
 			}
@@ -339,15 +339,15 @@
 }
 
 // Home returns the location of an extent in the authority's map, if it has one.
-func (a *Authority) Home(volume string, extent uint64) (extentmap.Home, bool) {
+func (a *Authority) Home(volume string, extent uint64) (extentmap.Location, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := len(a.changes) - 1; i >= 0; i-- {
 		if r := lastRun(a.changes[i], volume, extent); r != nil {
-			return r.Home, true
+			return r.Location, true
 		}
 	}
-	return extentmap.Home{}, false
+	return extentmap.Location{}, false
 }
 
 // seekBuffer is an in-memory io.WriteSeeker.
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -21,16 +21,16 @@
 // Client is a scripted rsync client of protocol 29. It has its own code for the wire format, so that a fault in
 // the gateway's code is not repeated in the client that tests it.
 type Client struct {
-	Addr     string
-	User     string
-	Password string
-	Greeting string            // "@RSYNCD: 29" if empty
-	Timeout  time.Duration     // sent as --timeout, and applied to each read and write; 0: not sent, and 1 minute
-	Args     []string          // further arguments
-	CutAfter int64             // number of bytes sent after which the client drops the connection; 0: never
-	Before   func(file string) // called before each file's content is requested or sent; may be nil
-	StopRead time.Duration     // pause in reading at the start of the first file's content
-	ListOnly bool
+	Addr      string
+	User      string
+	Password  string
+	Greeting  string            // "@RSYNCD: 29" if empty
+	Timeout   time.Duration     // sent as --timeout, and applied to each read and write; 0: not sent, and 1 minute
+	Args      []string          // further arguments
+	CutAfter  int64             // number of bytes sent after which the client drops the connection; 0: never
+	Before    func(file string) // called before each file's content is requested or sent; may be nil
+	ReadPause time.Duration     // pause in reading at the start of the first file's content
+	ListOnly  bool
 
 	conn         net.Conn
 	r            *bufio.Reader
@@ -55,9 +55,9 @@
 type Report struct {
 	Files    []ClientFile // files pulled, or the listing
 	LeftOut  []string     // paths in the file list that came without content
-	Said     []string     // error messages from the gateway
+	Messages []string     // error messages from the gateway
 	Literal  int64        // bytes of content sent or received literally
-	Goodbye  bool         // the session ended as the protocol has it
+	Complete bool         // the session ended as the protocol has it
 	Took     time.Duration
 	FileTook map[string]time.Duration // by path, of a pull
 }
@@ -69,7 +69,7 @@
 		return 5
 	case err != nil:
 		return 12
-	case len(r.Said) > 0:
+	case len(r.Messages) > 0:
 		return 23
 	}
 	return 0
@@ -238,7 +238,7 @@
 	began := time.Now()
 	rep = &Report{FileTook: map[string]time.Duration{}}
 	defer func() {
-		rep.Said, rep.Literal, rep.Took = c.messages, c.literalBytes, time.Since(began)
+		rep.Messages, rep.Literal, rep.Took = c.messages, c.literalBytes, time.Since(began)
 		if c.conn != nil {
 			c.conn.Close()
 		}
@@ -305,7 +305,7 @@
 	if _, err := c.r.ReadByte(); err != io.EOF {
 		return rep, fmt.Errorf("after the goodbye: %v, expected EOF", err)
 	}
-	rep.Goodbye = true
+	rep.Complete = true
 	return rep, nil
 }
 
@@ -462,9 +462,9 @@
 			return nil, false, err
 		}
 	}
-	if c.StopRead > 0 {
-		time.Sleep(c.StopRead)
-		c.StopRead = 0
+	if c.ReadPause > 0 {
+		time.Sleep(c.ReadPause)
+		c.ReadPause = 0
 	}
 	sum := md4.New()
 	sum.Write(le32(int32(c.seed)))
@@ -538,7 +538,7 @@
 	began := time.Now()
 	rep = &Report{}
 	defer func() {
-		rep.Said, rep.Literal, rep.Took = c.messages, c.literalBytes, time.Since(began)
+		rep.Messages, rep.Literal, rep.Took = c.messages, c.literalBytes, time.Since(began)
 		if c.conn != nil {
 			c.conn.Close()
 		}
@@ -572,7 +572,7 @@
 		}
 		if i == -1 {
 			if phase++; phase == 4 {
-				rep.Goodbye = true
+				rep.Complete = true
 				return rep, nil
 			}
 			if _, err := (clientConn{c}).Write(le32(-1)); err != nil {
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -129,7 +129,7 @@
 }
 
 // Flip inverts one bit of an item, as a faulty disk might, and reports whether it did.
-func (d *Disk) Flip(item string, bit int) bool {
+func (d *Disk) FlipBit(item string, bit int) bool {
 	p, ok := d.Read(item)
 	if !ok || len(p) == 0 {
 		return false
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -181,7 +181,7 @@
 }
 
 // Cut closes all open connections.
-func (n *Node) Cut() {
+func (n *Node) CloseConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
@@ -305,8 +305,8 @@
 	if n.collapses(j) {
 		n.counts.Fell++
 		n.mu.Unlock()
-		n.opt.Trace.Put(audit.Record{What: audit.Fell, Node: n.opt.ID, Gateway: p.gateway})
-		n.Cut()
+		n.opt.Trace.Put(audit.Record{Kind: audit.Collapse, Node: n.opt.ID, Gateway: p.gateway})
+		n.CloseConns()
 		return
 	}
 	if n.draining || n.waiting >= n.opt.Queue {
@@ -508,7 +508,7 @@
 		n.counts.Done++
 		units := float64(j.MilliUnits) / 1000
 		if a.VolumeUse = n.opt.Meter.record(j.Volume, units); a.VolumeUse > 0 {
-			a.OthersMilli = n.servedByOthers(j.Volume, j.conn.gateway, units)
+			a.OthersMilliUnits = n.servedByOthers(j.Volume, j.conn.gateway, units)
 		}
 	}
 	a.ID, a.Shard = j.ID, int32(n.opt.Shard)
@@ -520,8 +520,8 @@
 }
 
 // writeRecord writes an audit record about a request.
-func (n *Node) writeRecord(j *job, what audit.What, result string) {
-	n.opt.Trace.Put(audit.Record{What: what, Node: n.opt.ID, Shard: n.opt.Shard, Zone: n.opt.Zone,
+func (n *Node) writeRecord(j *job, what audit.Kind, result string) {
+	n.opt.Trace.Put(audit.Record{Kind: what, Node: n.opt.ID, Shard: n.opt.Shard, Zone: n.opt.Zone,
 		Gateway: j.conn.gateway, Conn: j.conn.id, Ref: j.Ref, Attempt: int(j.Attempt), Class: j.Class,
 		Volume: j.Volume, Item: j.Item, Key: j.Key, Units: float64(j.MilliUnits) / 1000,
 		Left: int64(j.LeftMicros) * 1000, Result: result, Took: int64(time.Since(j.at))})
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -51,7 +51,7 @@
 }
 
 // Hang closes a connection with a reset, as the death of the node's process does.
-func Hang(c net.Conn) {
+func Reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
@@ -120,7 +120,7 @@
 func (n *HTTPNode) Addr() string { return n.ln.Addr().String() }
 
 // Seen waits until at least this many requests were read completely, and returns all of them.
-func (n *HTTPNode) Seen(atLeast int) []Seen {
+func (n *HTTPNode) WaitSeen(atLeast int) []Seen {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for len(n.seen) < atLeast {
@@ -130,7 +130,7 @@
 }
 
 // Alone waits until at most this many connections are open.
-func (n *HTTPNode) Alone(atMost int) {
+func (n *HTTPNode) WaitConns(atMost int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for len(n.conns) > atMost {
@@ -176,7 +176,7 @@
 
 // Greet is the default start of an answer. It sends the header and, on a watch, a first object without changes.
 // The whole list is sent by the test.
-func Greet(w Watch) {
+func DefaultGreeting(w Watch) {
 	w.Head()
 	if !w.Whole {
 		w.Line(List(w.From, false))
@@ -184,7 +184,7 @@
 }
 
 // NewAgent starts an agent at an address; empty: any loopback port.
-func NewAgent(addr string) (*Agent, error) { return NewAgentWith(addr, Greet) }
+func NewAgent(addr string) (*Agent, error) { return NewAgentWith(addr, DefaultGreeting) }
 
 // NewAgentWith starts an agent like NewAgent whose answers are begun by greet.
 func NewAgentWith(addr string, greet func(Watch)) (*Agent, error) {
@@ -262,7 +262,7 @@
 }
 
 // Has waits until the log contains a text.
-func (l *Log) Has(text string) {
+func (l *Log) WaitFor(text string) {
 	for {
 		l.mu.Lock()
 		has := bytes.Contains(l.b.Bytes(), []byte(text))
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -121,7 +121,7 @@
 }
 
 // Down makes the register drop its streams and answer 503, or serve again.
-func (r *Register) Down(down bool) {
+func (r *Register) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.down = down
@@ -142,7 +142,7 @@
 }
 
 // Forget drops the history, so that a gateway that resumes gets the whole list.
-func (r *Register) Forget() {
+func (r *Register) DropHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history = nil
@@ -196,7 +196,7 @@
 				if e.State == "gone" {
 					delete(listed, e.ID)
 				}
-				r.trace.Put(audit.Record{What: audit.Told, Gateway: s.gateway, Node: e.ID, Shard: e.Shard,
+				r.trace.Put(audit.Record{Kind: audit.NodeSent, Gateway: s.gateway, Node: e.ID, Shard: e.Shard,
 					Zone: e.Zone, State: e.State, Started: e.StartedMS * 1e6, Text: event})
 			}
 			b, _ := json.Marshal(doc)
