--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -99,15 +99,15 @@
 type Garbage struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
-	Volume string
-	Base   string
-	Parts  []Part
-	Lost   []Lost
+	Volume  string
+	Base    string
+	Parts   []Part
+	Orphans []OrphanItem
 }
 
 // Lost is an item that may have been written before its bytes were written again under
 // another name. Its shard is unknown.
-type Lost struct {
+type OrphanItem struct {
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index, Try int
@@ -128,7 +128,7 @@
 			each(Item(g.Base, i, try), -1)
 		}
 	}
-	for _, l := range g.Lost {
+	for _, l := range g.Orphans {
 		each(Item(g.Base, l.Index, l.Try), -1)
 	}
 }
@@ -263,7 +263,7 @@
 }
 
 func (c *Catalogue) addGarbage(tx *bolt.Tx, g Garbage) error {
-	if len(g.Parts)+len(g.Lost) == 0 {
+	if len(g.Parts)+len(g.Orphans) == 0 {
 		return nil
 	}
 	b := tx.Bucket(bucketGarbage)
@@ -378,7 +378,7 @@
 var errClosed = errors.New("catalogue: closed")
 
 // NewBase returns an item name prefix that no other file version has used or will use.
-func (c *Catalogue) NewBase() string {
+func (c *Catalogue) NewItemPrefix() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.basesIssued++
@@ -409,9 +409,9 @@
 
 // Commit stores an entry at a path, where readers then find it. The items of the entry
 // that it replaces and the lost ones become garbage.
-func (c *Catalogue) Commit(module, path string, e Entry, lost []Lost, done func(error)) {
+func (c *Catalogue) Commit(module, path string, e Entry, lost []OrphanItem, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
-		if err := c.addGarbage(tx, Garbage{Volume: module, Base: e.Base, Lost: lost}); err != nil {
+		if err := c.addGarbage(tx, Garbage{Volume: module, Base: e.Base, Orphans: lost}); err != nil {
 			return err
 		}
 		return c.put(tx, module, path, e)
@@ -506,7 +506,7 @@
 }
 
 // Versions calls each with every entry of the given modules, module by module in order of path.
-func (c *Catalogue) Versions(modules []string, each func(module, path string, e *Entry)) error {
+func (c *Catalogue) ForEachEntry(modules []string, each func(module, path string, e *Entry)) error {
 	err := c.db.View(func(tx *bolt.Tx) error {
 		for _, m := range modules {
 			b := tx.Bucket(moduleBucket(m))
@@ -534,7 +534,7 @@
 
 // Runs calls each with every run of the given modules, module by module in order of path.
 func (c *Catalogue) Runs(modules []string, each func(Run)) error {
-	return c.Versions(modules, func(module, path string, e *Entry) { forEachRun(module, path, e, each) })
+	return c.ForEachEntry(modules, func(module, path string, e *Entry) { forEachRun(module, path, e, each) })
 }
 
 func forEachRun(module, path string, e *Entry, each func(Run)) {
@@ -567,7 +567,7 @@
 
 // Amend changes attributes of the entry at a path if its base is still the given one;
 // otherwise it changes nothing.
-func (c *Catalogue) Amend(module, path, base string, update func(*Entry), done func(error)) {
+func (c *Catalogue) UpdateAttributes(module, path, base string, update func(*Entry), done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
 		b := tx.Bucket(moduleBucket(module))
 		e, ok, err := get(b, path)
@@ -584,16 +584,16 @@
 }
 
 // ErrElsewhere means that the parts are not on the expected shards and that nothing was changed.
-var ErrElsewhere = errors.New("catalogue: the version is gone, or its parts lie elsewhere")
+var ErrPartsMoved = errors.New("catalogue: the version is gone, or its parts lie elsewhere")
 
 // Rehome records that parts of a file version, given by index, have moved from the shard source to the shard
 // target: all of them, or none with ErrElsewhere. The copies on the source become garbage, which is collected
 // once no reader needs it. Parts that are on the target already stay as they are, so a call may be repeated.
-func (c *Catalogue) Rehome(module, path, base string, parts []int, source, target int, done func(error)) {
+func (c *Catalogue) MoveParts(module, path, base string, parts []int, source, target int, done func(error)) {
 	elsewhere := false
 	c.enqueue(func(err error) {
 		if err == nil && elsewhere {
-			err = ErrElsewhere
+			err = ErrPartsMoved
 		}
 		done(err)
 	}, func(tx *bolt.Tx) (err error) {
@@ -780,7 +780,7 @@
 
 // GarbageAt returns, for the given bases, the shards on which items wait to be collected. No part of a base may
 // move to such a shard before that, or it would be collected too.
-func (c *Catalogue) GarbageAt(bases map[string]bool) (shards map[string]map[int]bool, err error) {
+func (c *Catalogue) GarbageShards(bases map[string]bool) (shards map[string]map[int]bool, err error) {
 	shards = map[string]map[int]bool{}
 	err = c.db.View(func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketGarbage).ForEach(func(_, v []byte) error {
@@ -807,7 +807,7 @@
 }
 
 // Collected removes a record of garbage whose items have been deleted.
-func (c *Catalogue) Collected(seq uint64, done func(error)) {
+func (c *Catalogue) RemoveGarbage(seq uint64, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketGarbage).Delete(binary.BigEndian.AppendUint64(nil, seq))
 	})
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -48,7 +48,7 @@
 func TestCommitAndRead(t *testing.T) {
 	dir := t.TempDir()
 	c := open(t, dir)
-	want := Entry{Mode: 0o100644, Size: 306, MTime: 5, UID: 1, GID: 2, Base: c.NewBase(), Parts: testParts(3)}
+	want := Entry{Mode: 0o100644, Size: 306, MTime: 5, UID: 1, GID: 2, Base: c.NewItemPrefix(), Parts: testParts(3)}
 	want.Parts[1].Try = 2
 	c.mustCommit(t, "a/b", want)
 	got, ok, err := c.Stat("m", "a/b")
@@ -72,13 +72,13 @@
 	if _, err := Open(dir, "g", nil); !errors.Is(err, ErrLocked) {
 		t.Errorf("second Open: %v, want %v", err, ErrLocked)
 	}
-	base := c.NewBase()
+	base := c.NewItemPrefix()
 	c.Close()
 	again := open(t, dir)
 	if got, ok, _ = again.Stat("m", "a/b"); !ok || got.Base != want.Base {
 		t.Errorf("after a restart: %+v %v", got, ok)
 	}
-	if again.NewBase() == base {
+	if again.NewItemPrefix() == base {
 		t.Errorf("base %q was returned twice", base)
 	}
 	if err := wait(func(d func(error)) { c.Begin("m", "x", 1, d) }); err == nil {
@@ -168,7 +168,7 @@
 		t.Fatal(err)
 	}
 	if err := wait(func(d func(error)) {
-		c.Commit("m", "f", Entry{Base: "two", Parts: testParts(3)}, []Lost{{Index: 1, Try: 0}}, d)
+		c.Commit("m", "f", Entry{Base: "two", Parts: testParts(3)}, []OrphanItem{{Index: 1, Try: 0}}, d)
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 		t.Errorf("after a replacement: %v, want %v", items, want)
 	}
 	for _, s := range seqs {
-		if err := wait(func(d func(error)) { c.Collected(s, d) }); err != nil {
+		if err := wait(func(d func(error)) { c.RemoveGarbage(s, d) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -198,7 +198,7 @@
 		t.Errorf("after an aborted push: %v, want %v", items, want)
 	}
 	for _, s := range seqs {
-		wait(func(d func(error)) { c.Collected(s, d) })
+		wait(func(d func(error)) { c.RemoveGarbage(s, d) })
 	}
 	if err := wait(func(d func(error)) { c.Begin("m", "four", 2, d) }); err != nil {
 		t.Fatal(err)
@@ -218,7 +218,7 @@
 	c := open(t, t.TempDir())
 	c.mustCommit(t, "f", Entry{Base: "new", MTime: 1, Parts: testParts(1)})
 	for _, base := range []string{"old", "new"} {
-		if err := wait(func(d func(error)) { c.Amend("m", "f", base, func(e *Entry) { e.MTime++ }, d) }); err != nil {
+		if err := wait(func(d func(error)) { c.UpdateAttributes("m", "f", base, func(e *Entry) { e.MTime++ }, d) }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -13,7 +13,7 @@
 
 // Logger returns a logger that writes to w, as coloured text if w is a terminal, else as JSON lines. The returned
 // variable changes the level at run time.
-func Logger(w io.Writer, level string) (*slog.Logger, *slog.LevelVar, error) {
+func NewLogger(w io.Writer, level string) (*slog.Logger, *slog.LevelVar, error) {
 	levelVar := &slog.LevelVar{}
 	if err := levelVar.UnmarshalText([]byte(level)); err != nil {
 		return nil, nil, fmt.Errorf("log level %q: expected debug, info, warn or error", level)
--- a/mover/mover.go
+++ b/mover/mover.go
@@ -61,28 +61,28 @@
 
 // Settings of a mover.
 type Settings struct {
-	PerShard         int           // maximum number of concurrent moves that a shard takes part in
-	Copies           int           // maximum number of concurrent actions of a move on its items
-	Rate             int64         // bytes per second copied from or to a shard
-	Grace            time.Duration // delay from a switch to the first removal, so that requests to the source finish
-	Late             time.Duration // maximum time until a copy in flight at an undo or a restart arrives
+	MaxMovesPerShard int           // maximum number of concurrent moves that a shard takes part in
+	MaxActions       int           // maximum number of concurrent actions of a move on its items
+	BytesPerSecond   int64         // bytes per second copied from or to a shard
+	RemovalDelay     time.Duration // delay from a switch to the first removal, so that requests to the source finish
+	MaxCopyDuration  time.Duration // maximum time until a copy in flight at an undo or a restart arrives
 	MinRetryInterval time.Duration // retry interval after the first failure; doubled after each further failure
 	MaxRetryInterval time.Duration // upper bound of the retry interval
-	Tries            int           // number of failed copies of an item after which its move is undone
+	MaxTries         int           // number of failed copies of an item after which its move is undone
 }
 
 // Default holds settings for a low load: a shard reads or writes 16 MiB per second, in two moves.
-var Default = Settings{PerShard: 2, Copies: 4, Rate: 16 << 20, Grace: 10 * time.Second, Late: 5 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 10 * time.Second, Tries: 20}
+var Default = Settings{MaxMovesPerShard: 2, MaxActions: 4, BytesPerSecond: 16 << 20, RemovalDelay: 10 * time.Second, MaxCopyDuration: 5 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 10 * time.Second, MaxTries: 20}
 
 // Check returns an error that describes the first invalid setting.
 func (s *Settings) Check() error {
 	switch {
-	case s.PerShard < 1 || s.Copies < 1 || s.Tries < 1:
-		return fmt.Errorf("mover: moves per shard, copies, tries = %d, %d, %d: expected at least 1", s.PerShard, s.Copies, s.Tries)
-	case s.Rate <= 0:
-		return fmt.Errorf("mover: rate = %d bytes per second: expected more than 0", s.Rate)
-	case s.Grace < 0 || s.Late < 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval:
-		return fmt.Errorf("mover: grace = %v, late = %v: expected no negative value; retry interval = %v up to %v: expected more than 0s, and a maximum that is not below the minimum", s.Grace, s.Late, s.MinRetryInterval, s.MaxRetryInterval)
+	case s.MaxMovesPerShard < 1 || s.MaxActions < 1 || s.MaxTries < 1:
+		return fmt.Errorf("mover: moves per shard, copies, tries = %d, %d, %d: expected at least 1", s.MaxMovesPerShard, s.MaxActions, s.MaxTries)
+	case s.BytesPerSecond <= 0:
+		return fmt.Errorf("mover: rate = %d bytes per second: expected more than 0", s.BytesPerSecond)
+	case s.RemovalDelay < 0 || s.MaxCopyDuration < 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval:
+		return fmt.Errorf("mover: grace = %v, late = %v: expected no negative value; retry interval = %v up to %v: expected more than 0s, and a maximum that is not below the minimum", s.RemovalDelay, s.MaxCopyDuration, s.MinRetryInterval, s.MaxRetryInterval)
 	}
 	return nil
 }
@@ -106,7 +106,7 @@
 func (s Step) String() string { return stepNames[s] }
 
 // Over reports whether the move is finished: done or undone.
-func (s Step) Over() bool { return s == Done || s == Undone }
+func (s Step) Finished() bool { return s == Done || s == Undone }
 
 // Record is one record of the log: a move enters a step. The first record of a move contains the move.
 type Record struct {
@@ -217,7 +217,7 @@
 		v.step, v.version, v.why = r.Step, max(v.version, r.Version), cmp.Or(r.Why, v.why)
 	}
 	for _, v := range m.moves {
-		if v.step.Over() {
+		if v.step.Finished() {
 			continue
 		}
 		if v.step == Waiting {
@@ -312,7 +312,7 @@
 func (m *Mover) Ended(a Action, how Outcome, version uint64, now time.Duration) Ready {
 	m.now = max(m.now, now)
 	v := m.moves[a.ID]
-	if v == nil || v.step.Over() {
+	if v == nil || v.step.Finished() {
 		return m.advance()
 	}
 	switch {
@@ -355,7 +355,7 @@
 	}
 	s.failures++
 	s.notBefore = m.now + m.backoff(s.failures)
-	if v.step == Copying && s.failures >= m.settings.Tries {
+	if v.step == Copying && s.failures >= m.settings.MaxTries {
 		m.undo(v, fmt.Sprintf("extent %d could not be copied in %d tries", v.Items[i].Extent, s.failures))
 	}
 }
@@ -390,10 +390,10 @@
 		v.items, v.remaining = nil, 0
 	}
 	if step == Retiring {
-		v.notBefore = m.now + m.settings.Grace
+		v.notBefore = m.now + m.settings.RemovalDelay
 	}
 	if step == Undoing {
-		v.notBefore = m.now + m.settings.Late
+		v.notBefore = m.now + m.settings.MaxCopyDuration
 	}
 }
 
@@ -453,7 +453,7 @@
 	}
 	rest := m.waiting[:0]
 	for i, v := range m.waiting {
-		if v.Wave != wave || i >= lookAhead || m.activeMoves[v.Source] >= m.settings.PerShard || m.activeMoves[v.Target] >= m.settings.PerShard {
+		if v.Wave != wave || i >= lookAhead || m.activeMoves[v.Source] >= m.settings.MaxMovesPerShard || m.activeMoves[v.Target] >= m.settings.MaxMovesPerShard {
 			rest = append(rest, v)
 			continue
 		}
@@ -488,7 +488,7 @@
 		for v.firstOpen < len(v.items) && v.items[v.firstOpen].done {
 			v.firstOpen++
 		}
-		for i := v.firstOpen; i < len(v.items) && v.inFlight < m.settings.Copies; i++ {
+		for i := v.firstOpen; i < len(v.items) && v.inFlight < m.settings.MaxActions; i++ {
 			s := &v.items[i]
 			if s.done || s.inFlight || s.notBefore > m.now {
 				continue
@@ -501,7 +501,7 @@
 				if max(m.nextCopy[v.Source], m.nextCopy[v.Target]) > m.now {
 					return
 				}
-				took := time.Duration(float64(v.Items[i].Bytes) / float64(m.settings.Rate) * float64(time.Second))
+				took := time.Duration(float64(v.Items[i].Bytes) / float64(m.settings.BytesPerSecond) * float64(time.Second))
 				m.nextCopy[v.Source], m.nextCopy[v.Target] = m.now+took, m.now+took
 				a.Kind, a.Shard = Copy, 0
 			}
@@ -545,7 +545,7 @@
 }
 
 // Over reports whether the move is finished: done or undone.
-func (p *Progress) Over() bool { return p.Step == Done.String() || p.Step == Undone.String() }
+func (p *Progress) Finished() bool { return p.Step == Done.String() || p.Step == Undone.String() }
 
 // Progress returns the progress of all moves, by ID.
 func (m *Mover) Progress() (list []Progress) {
@@ -572,7 +572,7 @@
 
 // Compact drops finished moves and returns the log of the others.
 func (m *Mover) Compact() []Record {
-	maps.DeleteFunc(m.moves, func(_ uint64, v *move) bool { return v.step.Over() })
+	maps.DeleteFunc(m.moves, func(_ uint64, v *move) bool { return v.step.Finished() })
 	return m.Log()
 }
 
@@ -581,7 +581,7 @@
 func (m *Mover) Log() (log []Record) {
 	for _, id := range slices.Sorted(maps.Keys(m.moves)) {
 		v := m.moves[id]
-		if v.step.Over() {
+		if v.step.Finished() {
 			continue
 		}
 		log = append(log, Record{ID: id, Step: Waiting, Move: v.Move})
--- a/mover/mover_test.go
+++ b/mover/mover_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	for shard, n := range running {
-		if n > w.settings.PerShard {
+		if n > w.settings.MaxMovesPerShard {
 			w.t.Fatalf("shard %d is in %d moves", shard, n)
 		}
 	}
@@ -150,8 +150,8 @@
 func TestMovesWithFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const shards = 4
-		w := &simulation{t: t, settings: Settings{PerShard: rapid.IntRange(1, 2).Draw(t, "per shard"), Copies: rapid.IntRange(1, 3).Draw(t, "copies"), Rate: 1 << 20,
-			Grace: time.Second, Late: 100 * time.Millisecond, MinRetryInterval: 10 * time.Millisecond, MaxRetryInterval: 100 * time.Millisecond, Tries: rapid.IntRange(2, 6).Draw(t, "tries")},
+		w := &simulation{t: t, settings: Settings{MaxMovesPerShard: rapid.IntRange(1, 2).Draw(t, "per shard"), MaxActions: rapid.IntRange(1, 3).Draw(t, "copies"), BytesPerSecond: 1 << 20,
+			RemovalDelay: time.Second, MaxCopyDuration: 100 * time.Millisecond, MinRetryInterval: 10 * time.Millisecond, MaxRetryInterval: 100 * time.Millisecond, MaxTries: rapid.IntRange(2, 6).Draw(t, "tries")},
 			stored: map[int]map[uint64]bool{}, location: map[uint64]int{}, switched: map[uint64]uint64{}, plan: map[uint64]Move{}, collected: map[uint64]bool{}}
 		for s := range shards {
 			w.stored[s] = map[uint64]bool{}
@@ -233,7 +233,7 @@
 // finished.
 func TestRateAndWaves(t *testing.T) {
 	set := Default
-	set.Rate, set.Grace = 1<<20, time.Second
+	set.BytesPerSecond, set.RemovalDelay = 1<<20, time.Second
 	m, err := New(set, nil, 0)
 	if err != nil {
 		t.Fatal(err)
