--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -208,7 +208,6 @@
 	inFlight     map[uint64]*attempt
 	nodes        map[string]Node
 	nodeStarts   map[string]nodeStart
-	probes       map[uint64]probe
 	stats        Stats
 	statsMu      sync.Mutex
 	published    Stats
@@ -245,11 +244,6 @@
 	timer  *wheel.Timer[timerEvent]
 }
 
-type probe struct {
-	node   string
-	sentAt time.Duration
-}
-
 // timerEvent is the payload of a wheel timer. Exactly one case applies: an attempt that times out, a request that
 // expires, or else a timer of the controller.
 type timerEvent struct {
