--- a/control/control.go
+++ b/control/control.go
@@ -831,7 +831,8 @@
 		max(c.settings.ColdCapacityFraction, 0.01)
 	own := max(0, c.servedByShard[n.Shard].sum-c.settings.MeanUnits/2) // read just after a request arrived
 	previous := (own + c.servedTotal.sum/float64(len(c.nodesByID))) / 2 / rateSpan.Seconds()
-	return coldBudgetFraction * c.warmFraction(n) * max(base, c.settings.OverloadMultiple*previous/maxMeanLoad)
+	return coldBudgetFraction * c.warmFraction(n) *
+		max(base, c.settings.OverloadMultiple*previous/maxMeanLoad)
 }
 
 // coldWait returns how long nothing may be sent to a cold node: until its credit, which fills at this host's
@@ -849,7 +850,8 @@
 	if n.credit >= 0 {
 		return 0
 	}
-	return time.Duration(min(-n.credit/max(rate, 1e-9), c.settings.WarmupDuration.Seconds()) * float64(time.Second))
+	return time.Duration(min(-n.credit/max(rate, 1e-9), c.settings.WarmupDuration.Seconds()) *
+		float64(time.Second))
 }
 
 // serviceRate returns the node's service rate in units a nanosecond: the measured rate, but no less than
