--- a/extentmap/book.go
+++ b/extentmap/book.go
@@ -47,7 +47,7 @@
 
 // Actions for a request.
 const (
-	Use    Action = iota // send the request to the location in Home
+	Use    Action = iota // send the request to Decision.Location
 	Wait                 // wait until the refresh of its group is answered
 	Refuse               // refuse it with the reason Why and the retry time RetryAfter
 	Absent               // the extent does not exist
--- a/extentmap/book_test.go
+++ b/extentmap/book_test.go
@@ -28,8 +28,8 @@
 	return b, m
 }
 
-// TestOneRefreshForAllRequests: a thousand requests for a range that has moved cause one refresh, and all use its
-// answer.
+// TestOneRefreshForAllRequests checks that a thousand requests for a range that has moved cause one refresh,
+// and that all use its answer.
 func TestOneRefreshForAllRequests(t *testing.T) {
 	b, m := newTestRefresher(t, nil)
 	if v := b.Decide(m.View(), "v", 7, time.Second, 0); v.Action != Use || v.Shard != 1 || v.Version != 5 {
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestHintsWithoutAuthority: while the authority does not answer, locations reported by nodes are used for
-// HintDuration. Extents that nodes reported as moved without a location are refused, with a retry time that covers
-// the interval between refreshes.
+// TestHintsWithoutAuthority checks that, while the authority does not answer, locations reported by nodes are
+// used for HintDuration. Extents that nodes reported as moved without a location must be refused, with a retry
+// time that covers the interval between refreshes.
 func TestHintsWithoutAuthority(t *testing.T) {
 	b, m := newTestRefresher(t, func(s *RefreshSettings) { s.HintDuration = 30 * time.Second })
 	for _, w := range []struct {
@@ -101,8 +101,9 @@
 	}
 }
 
-// TestMovedAnswers: an answer older than the map changes nothing. The map replaces a hint once it is as recent.
-// Repeated answers that contradict a completed refresh lengthen the interval between refreshes.
+// TestMovedAnswers checks that an answer older than the map changes nothing, that the map replaces a hint once
+// it is as recent, and that repeated answers that contradict a completed refresh lengthen the interval between
+// refreshes.
 func TestMovedAnswers(t *testing.T) {
 	b, m := newTestRefresher(t, nil)
 	if newer, _ := b.Moved(m.View(), "v", 3, MovedAnswer{Version: 4, Location: Location{Shard: 9}, Known: true}, 0); newer || b.Counts().Outdated != 1 {
@@ -139,8 +140,8 @@
 	}
 }
 
-// TestNoSuchExtent: an extent that the authority does not have counts as absent for AbsenceDuration; then it is
-// refreshed again.
+// TestNoSuchExtent checks that an extent that the authority does not have counts as absent for AbsenceDuration,
+// and is refreshed again afterwards.
 func TestNoSuchExtent(t *testing.T) {
 	b, m := newTestRefresher(t, nil)
 	if v := b.Decide(m.View(), "w", 1, time.Second, 0); v.Action != Wait {
@@ -160,8 +161,8 @@
 	}
 }
 
-// TestRefresherLimits: with MaxGroups groups further ones are refused with a reason, known extents are still
-// served, and at most MaxInFlight refreshes run.
+// TestRefresherLimits checks that with MaxGroups groups further ones are refused with a reason, that known
+// extents are still served, and that at most MaxInFlight refreshes run.
 func TestRefresherLimits(t *testing.T) {
 	b, m := newTestRefresher(t, func(s *RefreshSettings) { s.Group, s.MaxGroups, s.MaxInFlight = 1, 20, 4 })
 	for i := range 20 {
@@ -183,9 +184,9 @@
 	}
 }
 
-// TestRefresherProperties: under random events at most MaxInFlight refreshes run, at most one per group. Each
-// waiting request has a refresh in flight or scheduled. A refused request gets a retry time of at least its
-// patience, unless the maximum of groups is reached.
+// TestRefresherProperties checks that under random events at most MaxInFlight refreshes run, at most one per
+// group, and that each waiting request has a refresh in flight or scheduled. A refused request must get a retry
+// time of at least its patience, unless the maximum of groups is reached.
 func TestRefresherProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := DefaultRefresh
--- a/extentmap/diff.go
+++ b/extentmap/diff.go
@@ -9,7 +9,7 @@
 // Difference is a range for which two views differ.
 type Difference struct {
 	Range
-	Was      Location `json:"was"` // valid if Knew; Is is valid if Knows
+	Was      Location `json:"was"` // valid if WasKnown; Is is valid if IsKnown
 	Is       Location `json:"is"`
 	WasKnown bool     `json:"knew"`
 	IsKnown  bool     `json:"knows"`
@@ -92,7 +92,7 @@
 // Volumes returns the names of the volumes, sorted.
 func (v *View) Volumes() []string { return slices.Sorted(slices.Values(v.volumeNames)) }
 
-// Shards returns the number of runs and extents by location.
+// SumByLocation returns the number of runs and extents by location.
 func (v *View) SumByLocation() map[Location]Sum {
 	sums := map[Location]Sum{}
 	v.All(func(r Run) bool {
--- a/extentmap/diff_test.go
+++ b/extentmap/diff_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDiff: the differences reported are exactly those of comparing two maps extent by extent, and adjacent ranges
-// with the same difference are merged.
+// TestDiff checks that the differences reported are exactly those of comparing two maps extent by extent, and
+// that adjacent ranges with the same difference are merged.
 func TestDiff(t *testing.T) {
 	const space = 60
 	rapid.Check(t, func(t *rapid.T) {
--- a/extentmap/extentmap.go
+++ b/extentmap/extentmap.go
@@ -28,12 +28,12 @@
 	MaxPending    = 4096           // maximum number of changes kept while an earlier one is missing
 )
 
-// Nowhere is the shard number of extents that do not exist according to the authority.
+// NoShard is the shard number of extents that do not exist according to the authority.
 const NoShard = -1
 
-// Home is the location of extents.
+// Location is the location of extents.
 type Location struct {
-	Shard int32  `json:"shard"` // Nowhere: the extents do not exist
+	Shard int32  `json:"shard"` // NoShard: the extents do not exist
 	Epoch uint32 `json:"epoch"` // of the shard's node; it increases when the node comes back with other data
 }
 
--- a/extentmap/map.go
+++ b/extentmap/map.go
@@ -12,7 +12,7 @@
 // running transfer, keeps that version alive; nodes that no other version shares are freed with it.
 type View struct {
 	Term      uint64 // of the authority
-	Watermark uint64 // the watermark: all changes up to this version are applied
+	Watermark uint64 // all changes up to this version are applied
 	Synced    bool   // a snapshot has been applied
 	Extents   uint64 // number of extents that exist
 
@@ -32,7 +32,7 @@
 }
 
 // Lookup returns the location of an extent and the version that assigned it. It returns false if the map does not
-// know the extent. Home.Shard is Nowhere if the extent does not exist according to the authority.
+// know the extent. Location.Shard is NoShard if the extent does not exist according to the authority.
 func (v *View) Lookup(vol VolumeID, extent uint64) (h Location, version uint64, ok bool) {
 	r := v.root.lookup(key{extent, vol})
 	if r == nil || r.volume != vol || r.end() <= extent {
--- a/extentmap/map_test.go
+++ b/extentmap/map_test.go
@@ -216,8 +216,8 @@
 	})
 }
 
-// TestManyRuns: in a tree of several levels, each extent is where the last of many changes of short and long
-// ranges put it, and a view taken before the changes does not change.
+// TestManyRuns checks that in a tree of several levels each extent has the location from the last of many
+// changes of short and long ranges, and that a view taken before the changes does not change.
 func TestManyRuns(t *testing.T) {
 	const space = 40_000
 	rng := rand.New(rand.NewSource(2))
@@ -266,8 +266,8 @@
 	same(held, then)
 }
 
-// TestNeighboursMerge: extents put on one shard one by one, in any order, form one run, also after one of them was
-// on another shard for a while.
+// TestNeighboursMerge checks that extents put on one shard one by one, in any order, form one run, also after
+// one of them was on another shard for a while.
 func TestNeighboursMerge(t *testing.T) {
 	m := mustNew(t, 10_000)
 	if _, err := m.Snapshot(1, 0, runSource(nil)); err != nil {
@@ -296,8 +296,8 @@
 	}
 }
 
-// TestTermChange: a restored authority numbers its changes from the start in a new term. Changes and ranges of the
-// new term are rejected until a snapshot of it replaces the map.
+// TestTermChange checks that changes and ranges of a new term, in which a restored authority numbers its
+// changes from the start, are rejected until a snapshot of that term replaces the map.
 func TestTermChange(t *testing.T) {
 	m := mustNew(t, 1000)
 	run := func(shard int32, version uint64) Run { return Run{Range{"v", 0, 10}, Location{Shard: shard}, version} }
@@ -325,8 +325,8 @@
 	}
 }
 
-// TestEviction: a map at its maximum evicts runs that were not read recently. Evicted extents are unknown, and
-// never have a wrong location.
+// TestEviction checks that a map at its maximum evicts runs that were not read recently. Evicted extents must
+// be unknown and never have a wrong location.
 func TestEviction(t *testing.T) {
 	const maxRuns, runs = 1024, 20_000
 	m := mustNew(t, maxRuns)
@@ -364,8 +364,8 @@
 	}
 }
 
-// TestPendingLimit: the number of changes kept behind a missing one is limited, and a snapshot that contains the
-// missing change applies them.
+// TestPendingLimit checks that the number of changes kept behind a missing one is limited, and that a snapshot
+// that contains the missing change applies them.
 func TestPendingLimit(t *testing.T) {
 	m := mustNew(t, 1000)
 	if _, err := m.Snapshot(1, 0, runSource(nil)); err != nil {
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// What is the kind of a record.
+// Kind is the kind of a record.
 type Kind string
 
 // The kinds of record. Each comment begins with the process that writes it.
--- a/internal/audit/rules.go
+++ b/internal/audit/rules.go
@@ -32,7 +32,7 @@
 	LimitRate, LimitBurst, LimitSlack float64
 }
 
-// Rules holds the parameters of the seven rules, as the gateways' settings have them.
+// Rules holds the parameters of the seven rules, taken from the gateways' settings.
 type Rules struct {
 	Classes     []Class
 	Plans       []Plan
@@ -45,8 +45,8 @@
 	ExtraSpan   time.Duration
 	OrderRest   time.Duration
 	Shares      map[string]float64 `json:",omitempty"` // volume -> units a second that count in full; no entry: all do
-	SpareWorth  float64            // part of the worth that a unit beyond the share has
-	AnswerSlack time.Duration      // by which an answer may come after the client's deadline
+	SpareWorth  float64            // fraction of its worth that a unit beyond the share counts
+	AnswerSlack time.Duration      // time after the client's deadline within which an answer is still in time
 	// Travel is the time that a frame, an event or an answer may take from one process to another.
 	// The records have times of arrival only.
 	Travel time.Duration
@@ -324,8 +324,8 @@
 	return false
 }
 
-// checkEffects checks rule 2: no request takes effect twice, and one that may take effect twice is not
-// repeated. An attempt that is sent after the request was served counts as a breach of rule 1.
+// checkEffects checks rule 2: no request takes effect twice, and none is sent again if it could then take effect
+// twice. An attempt that is sent after the request was served counts as a breach of rule 1.
 func (a *auditor) checkEffects() {
 	effectByKey := map[string]*Record{}
 	for i, r := range a.recs {
@@ -649,7 +649,8 @@
 		earnedUnits[secondOf(ask)] += ask.Units * part
 		results = append(results, x)
 	}
-	// countedPart is the mean part of its worth that a unit counts, if the volume has this many units in a second.
+	// countedPart returns the mean fraction of its worth that a unit counts if the volume has this many units in a
+	// second.
 	countedPart := func(volume string, units float64) float64 {
 		share, ok := a.rules.Shares[volume]
 		if !ok || units <= share {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -160,7 +160,7 @@
 	MaxFiles  int   `toml:"files" comment:"Files kept; the oldest is deleted."`
 }
 
-// Place holds placement.Settings and placement.Marks.
+// Placement holds placement.Settings and placement.Marks.
 type Placement struct {
 	Choice    int      `toml:"choice" comment:"Number of candidate shards for a new extent, 1 to 8; 0: all shards, by what this host knows of them."`
 	Width     int      `toml:"width" comment:"Number of shards over which a large file is spread."`
@@ -178,7 +178,7 @@
 	Tries    int   `toml:"tries" comment:"A move is undone after this many consecutive failures of one extent."`
 }
 
-// MoveSettings returns the settings of package mover. The grace period is 0 because the items that a move leaves
+// MoveSettings returns the settings of package mover. RemovalDelay is 0 because the items that a move leaves
 // at its source are deleted only when no transfer reads them any more.
 func (c *Config) MoveSettings() mover.Settings {
 	s := mover.Default
--- a/internal/extent/extent.go
+++ b/internal/extent/extent.go
@@ -44,12 +44,12 @@
 	return sort.Search(len(all), func(i int) bool { return all[i].Offset+int64(all[i].Length) > offset })
 }
 
-// Work determines the cost and the class of an operation. It is the only place that converts bytes to units or
+// CostModel determines the cost and the class of an operation. It is the only place that converts bytes to units or
 // chooses the class of an operation.
 type CostModel struct {
 	UnitBytes          int     // bytes per unit
 	MaxUnits           float64 // maximum number of units of a request; 0: no maximum
-	ReadClass          string  // class of reads of files up to Bulk bytes
+	ReadClass          string  // class of reads of files up to BulkThresholdBytes
 	BulkClass          string  // class of reads of larger files
 	BulkThresholdBytes int64
 	WriteClass         string
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -108,12 +108,12 @@
 // ErrNotRunning means that no gateway answers on the socket of a folder.
 var ErrNotRunning = errors.New("no gateway is running on this folder")
 
-// Command sends a GET request to the gateway that runs on a folder and decodes its answer.
+// Get sends a GET request to the gateway that runs on a folder and decodes its answer.
 func Get(ctx context.Context, dir, path string, query url.Values, into any) error {
 	return command(ctx, http.MethodGet, dir, path, query, into)
 }
 
-// Order sends a POST request, for a command that changes something, and decodes its answer.
+// Post sends a POST request, for a command that changes something, and decodes its answer.
 func Post(ctx context.Context, dir, path string, query url.Values, into any) error {
 	return command(ctx, http.MethodPost, dir, path, query, into)
 }
@@ -190,7 +190,7 @@
 	return rebalance.Make(settings, shards, units, allowed)
 }
 
-// Started is the answer to a rebalance command: the plan and the number of its moves that were started.
+// RebalanceResult is the answer to a rebalance command: the plan and the number of its moves that were started.
 type RebalanceResult struct {
 	Moves int             `json:"moves"` // started; the data of the others is being moved already or no longer exists
 	Plan  *rebalance.Plan `json:"plan"`
@@ -207,7 +207,7 @@
 }
 
 // rebalanceInput returns the shards for a plan, and a function that reports whether a volume may be on a shard.
-// Shards that are cold or lost neither give nor take, since the load of moves could overload them.
+// Cold or lost shards are neither sources nor targets of moves, since the load of moves could overload them.
 func (p *placer) rebalanceInput(lost func(shard int) bool) ([]rebalance.Shard, func(volume string, shard int) bool) {
 	levels := p.levels()
 	var list []rebalance.Shard
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -19,7 +19,8 @@
 const DemandFile = "forecast.dat"
 
 // demandRecorder records the demand of each volume for the forecast. The host loop passes it
-// counts once a second; it adds them to the book and saves the book on its own goroutine.
+// counts once a second; it adds them to a forecast.Recorder and saves its record on its own
+// goroutine.
 type demandRecorder struct {
 	file          string
 	writeInterval time.Duration
@@ -27,7 +28,7 @@
 	wake          chan struct{}
 
 	mu      sync.Mutex
-	pending map[string]float64 // units by volume that are not in the book yet; guarded by mu
+	pending map[string]float64 // units by volume that were not added to book yet; guarded by mu
 
 	book *forecast.Recorder // used only by run
 }
@@ -69,7 +70,7 @@
 	}
 }
 
-// run adds counts to the book as they arrive, and saves the record periodically and when stop is closed.
+// run adds counts to the recorder as they arrive, and saves the record periodically and when stop is closed.
 func (d *demandRecorder) run(stop <-chan struct{}) {
 	tick := time.NewTicker(d.writeInterval)
 	defer tick.Stop()
--- a/internal/gateway/land_test.go
+++ b/internal/gateway/land_test.go
@@ -185,7 +185,7 @@
 }
 
 // TestNodesJoinUnderLoad adds a cold node and one with a hundredth of the others' size while four
-// clients push. The audit must find no breach; the cold node must not fall over and must get its part
+// clients push. The audit must find no breach; the cold node must not collapse and must get its part
 // of the writes once it is warm; the small node must get about a hundredth of that.
 func TestNodesJoinUnderLoad(t *testing.T) {
 	const nodes, cold = 6, 3 * time.Second
@@ -222,7 +222,7 @@
 	_, _, sum := r.writesPerNode(nodes)
 	mean := float64(sum-before) / nodes
 	if got := float64(joined.Counts().Done - own); got < mean/2 || got > 1.5*mean || joined.Counts().Fell > 0 {
-		t.Errorf("the cold node took %.0f writes, the others' mean is %.0f; it fell over %d times", got, mean, joined.Counts().Fell)
+		t.Errorf("the cold node took %.0f writes, the others' mean is %.0f; it collapsed %d times", got, mean, joined.Counts().Fell)
 	}
 	if got := float64(small.Counts().Done - tiny); got > 0.05*mean {
 		t.Errorf("the node of size 0.01 took %.0f writes, the others' mean is %.0f", got, mean)
--- a/internal/gateway/moves_test.go
+++ b/internal/gateway/moves_test.go
@@ -71,7 +71,7 @@
 	return list
 }
 
-// countMoves counts the moves that are over, those of them that were undone, and all moves.
+// countMoves counts the moves that are finished, those of them that were undone, and all moves.
 func (r *fixture) countMoves() (countMoves, undone, all int) {
 	list := r.moves()
 	for _, p := range list {
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -151,7 +151,7 @@
 	return false
 }
 
-// warmth returns the part of its capacity that a node had the given time ago: it grows linearly from
+// warmth returns the fraction of its capacity that a node had the given time ago: it grows linearly from
 // ColdCapacity to 1 within ColdFor after the node's start.
 func (p *placer) warmth(n host.Node, ago time.Duration) float64 {
 	cold := p.safety.ColdFor.D()
@@ -216,7 +216,7 @@
 	}
 }
 
-// place returns the candidate shards for an extent, or an empty Spot, which allows any shard, before
+// place returns the candidate shards for an extent, or an empty Placement, which allows any shard, before
 // the first node list. It returns an error if no shard has room.
 func (p *placer) place(volume, file string, index int, size int64) (front.Placement, error) {
 	m := p.current.Load()
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -86,8 +86,9 @@
 	}
 }
 
-// TestFeedWithFaults: changes arrive out of order, twice, or not at all; a gateway is too far behind to resume; an
-// authority goes down; and an authority is restored to an earlier version.
+// TestFeedWithFaults checks that a feed's map equals the authority's after changes that arrive out of order,
+// twice or not at all, after a gateway was too far behind to resume, after the authority was down, and after it
+// was restored to an earlier version.
 func TestFeedWithFaults(t *testing.T) {
 	s := newTestSite(t)
 	rng := rand.New(rand.NewSource(1))
@@ -147,8 +148,8 @@
 	}
 }
 
-// TestOneRefreshForAllRequests: a range has moved and the feed has not received the change. A thousand requests
-// for it cause one refresh, and all get the new location.
+// TestOneRefreshForAllRequests checks that a thousand requests for a range that has moved, before the feed has
+// received the change, cause one refresh, and that all get the new location.
 func TestOneRefreshForAllRequests(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1))
@@ -183,8 +184,9 @@
 	}
 }
 
-// TestAuthorityUnreachable: while the authority is down, known extents and locations reported by nodes are used,
-// and requests for unknown ones are refused with a retry time. When it is back, the ranges are refreshed.
+// TestAuthorityUnreachable checks that, while the authority is down, known extents and locations reported by
+// nodes are used, and requests for unknown extents are refused with a retry time. When the authority is back,
+// the ranges must be refreshed.
 func TestAuthorityUnreachable(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1), newRun("v", 64, 128, 3))
@@ -211,8 +213,8 @@
 	s.waitUntil("the refreshed range", func() bool { v := ask(6, time.Millisecond); return v.Action == extentmap.Use && v.Shard == 2 })
 }
 
-// TestStartFromCache: a start from the cache needs no snapshot; if a block of the cache is damaged, only its
-// extents are fetched; without a usable cache a snapshot is fetched.
+// TestStartFromCache checks that a start from the cache needs no snapshot, that if a block of the cache is
+// damaged only its extents are fetched, and that without a usable cache a snapshot is fetched.
 func TestStartFromCache(t *testing.T) {
 	s := newTestSite(t)
 	const extents = 60_000
@@ -276,7 +278,8 @@
 	}
 }
 
-// TestSnapshotStalls: a snapshot that stalls is aborted and requested again, and no part of it is applied.
+// TestSnapshotStalls checks that a snapshot that stalls is aborted and requested again, and that no part of it
+// is applied.
 func TestSnapshotStalls(t *testing.T) {
 	s := newTestSite(t)
 	s.authority.Put(newRun("v", 0, 64, 1))
@@ -289,7 +292,7 @@
 	s.checkEqual(f, "v", 70)
 }
 
-// TestInvalidSettings: invalid settings are refused.
+// TestInvalidSettings checks that invalid settings are refused.
 func TestInvalidSettings(t *testing.T) {
 	for i, change := range []func(*mapfeed.Settings){
 		func(s *mapfeed.Settings) { s.URL = "nowhere" },
@@ -348,7 +351,8 @@
 	}
 }
 
-// FuzzChange: no data makes the parser panic, and a map either refuses a parsed change or stays valid.
+// FuzzChange checks that no data makes the parser panic, and that a map either refuses a parsed change or stays
+// valid.
 func FuzzChange(f *testing.F) {
 	f.Add([]byte(`{"term":1,"version":1,"runs":[{"volume":"v","from":0,"to":9,"shard":3,"epoch":1}]}`))
 	f.Add([]byte(`{"term":1,"version":1,"runs":[{"volume":"","from":9,"to":0,"shard":-3}]}`))
--- a/internal/mapfile/mapfile.go
+++ b/internal/mapfile/mapfile.go
@@ -3,7 +3,7 @@
 // layout is documented in docs/format/mapfile.md. Package mapfeed and the command eiderhold map use it.
 //
 // A file is a header followed by blocks of a fixed size. Each block has a checksum and can be read by itself, so a
-// torn or outdated block affects only its own extents: they are unknown and fetched when they are requested.
+// damaged or outdated block affects only its own extents: they are unknown and fetched when they are requested.
 package mapfile
 
 import (
--- a/internal/mapfile/mapfile_test.go
+++ b/internal/mapfile/mapfile_test.go
@@ -68,7 +68,7 @@
 	return m.View(), damaged
 }
 
-// TestRoundTrip: loading a saved view returns the same runs.
+// TestRoundTrip checks that loading a saved view returns the same runs.
 func TestRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "map")
 	rapid.Check(t, func(t *rapid.T) {
@@ -88,8 +88,8 @@
 	})
 }
 
-// TestDamagedBlocks: a damaged block, whichever it is, loses only its own runs; a truncated file loses only the
-// runs after its end.
+// TestDamagedBlocks checks that a damaged block, whichever it is, loses only its own runs, and that a truncated
+// file loses only the runs after its end.
 func TestDamagedBlocks(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "map")
 	v := newView(t, 4, 20_000, func(i int) uint64 { return uint64(1 + i%300) })
@@ -166,7 +166,8 @@
 	}
 }
 
-// FuzzBlock: no block content with a valid checksum makes the parser panic or return runs that a map refuses.
+// FuzzBlock checks that no block content with a valid checksum makes the parser panic or return runs that a map
+// refuses.
 func FuzzBlock(f *testing.F) {
 	var blocks [][]byte
 	v := newView(f, 2, 30, func(i int) uint64 { return uint64(1 + i%7) })
@@ -201,7 +202,8 @@
 	})
 }
 
-// FuzzHeader: no header makes the parser panic, and a parsed header is written back as the same bytes.
+// FuzzHeader checks that no header makes the parser panic, and that a parsed header is written back as the same
+// bytes.
 func FuzzHeader(f *testing.F) {
 	h := Header{Term: 1, Version: 2, Runs: 3, Extents: 4, Blocks: 5}
 	f.Add(h.marshal())
--- a/internal/migrate/log.go
+++ b/internal/migrate/log.go
@@ -29,7 +29,7 @@
 	f    *os.File
 }
 
-// openLog reads a log and rewrites it without an incomplete record at its end, whose size it returns in torn.
+// openLog reads a log and rewrites it without an incomplete record at its end, whose size in bytes it returns in torn.
 func openLog(path string) (l *logFile, records []mover.Record, torn int, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/migrate/log_test.go
+++ b/internal/migrate/log_test.go
@@ -14,8 +14,9 @@
 	return []mover.Record{{ID: 3, Step: mover.Waiting, Move: mv}, {ID: 3, Step: mover.Copying}, {ID: 3, Step: mover.Undoing, Why: "a test"}}
 }
 
-// TestTornLog: a log truncated at any byte is read up to its last complete record and can be appended to, a log
-// with a changed byte is read up to the damaged record, and a file of another format is refused.
+// TestTornLog checks that a log truncated at any byte is read up to its last complete record and can be
+// appended to, that a log with a changed byte is read up to the damaged record, and that a file of another
+// format is refused.
 func TestTornLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), LogFile)
 	l, got, torn, err := openLog(path)
@@ -51,7 +52,7 @@
 			t.Fatalf("cut at %d: %+v, %v", cut, got, err)
 		}
 		if whole := cut == len(logMagic) || cut == 0 || n > 0 && ends[n-1] == cut; whole != (torn == 0) {
-			t.Fatalf("cut at %d: %d bytes torn", cut, torn)
+			t.Fatalf("cut at %d: %d bytes dropped", cut, torn)
 		}
 		if err := l.append(testRecords()[2:]); err != nil {
 			t.Fatal(err)
@@ -62,12 +63,12 @@
 			t.Fatal(err)
 		}
 		if got, torn, err := parseLog(again); err != nil || torn != 0 || len(got) != n+1 {
-			t.Fatalf("cut at %d, then one record appended: %d records, %d bytes torn, %v", cut, len(got), torn, err)
+			t.Fatalf("cut at %d, then one record appended: %d records, %d bytes dropped, %v", cut, len(got), torn, err)
 		}
 	}
 	whole[ends[0]+recordHeaderBytes+1]++
 	if got, torn, err := parseLog(whole); err != nil || len(got) != 1 || torn != len(whole)-ends[0] {
-		t.Errorf("a changed byte: %d records, %d bytes torn, %v", len(got), torn, err)
+		t.Errorf("a changed byte: %d records, %d bytes dropped, %v", len(got), torn, err)
 	}
 	if err := os.WriteFile(path, []byte("something else"), 0o644); err != nil {
 		t.Fatal(err)
@@ -77,7 +78,7 @@
 	}
 }
 
-// FuzzLog: no content makes the parser panic, nor a mover that is given the parsed records.
+// FuzzLog checks that no content makes the parser panic, nor a mover that is given the parsed records.
 func FuzzLog(f *testing.F) {
 	b, err := appendRecords([]byte(logMagic), testRecords())
 	if err != nil {
@@ -88,7 +89,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		got, torn, err := parseLog(b)
 		if err == nil && (torn < 0 || torn > len(b)) {
-			t.Errorf("%d of %d bytes torn", torn, len(b))
+			t.Errorf("%d of %d bytes dropped", torn, len(b))
 		}
 		_, _ = mover.New(mover.Default, got, 0)
 	})
--- a/internal/nodewire/frame.go
+++ b/internal/nodewire/frame.go
@@ -204,7 +204,7 @@
 	panic(fmt.Sprintf("nodewire: %T is not a type of frame", f))
 }
 
-// Need returns the number of bytes of the frame at the start of b, at most that of the longest valid frame, or 4 if
+// FrameLen returns the number of bytes of the frame at the start of b, at most that of the longest valid frame, or 4 if
 // b does not contain the whole length field.
 func FrameLen(b []byte) int {
 	if len(b) < lengthBytes {
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -354,7 +354,7 @@
 	return fmt.Sprintf("batch %d at %v: action %d: recorded %s, replayed %s", d.Batch, d.Now, i, describe(d.Want), describe(d.Got))
 }
 
-// Result counts what a replay has compared. Torn means that the record ends within a frame.
+// Result counts what a replay has compared. Truncated means that the record ends within a frame.
 type Result struct {
 	Batches, Events, Actions uint64
 	Truncated                bool
--- a/internal/register/feed.go
+++ b/internal/register/feed.go
@@ -229,7 +229,7 @@
 // apply records a document and passes it to the host. A list that loses half of its nodes
 // takes effect all the same: an attempt at a node that is announced gone would break the drain rule.
 // It is logged as a warning, and does not replace the cached list until it has lasted for
-// Settings.Settle, so that a restart in the meantime does not begin with half a fleet.
+// Settings.SettleTime, so that a restart in the meantime does not begin with half a fleet.
 func (f *Feed) apply(kind control.ListKind, doc Document) {
 	before := len(f.nodes)
 	if kind != control.ListDelta {
--- a/internal/register/open.go
+++ b/internal/register/open.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Opened is an open event stream of a server.
+// EventStream is an open event stream of a server.
 type EventStream struct {
 	*Stream
 	ctx          context.Context
@@ -20,7 +20,7 @@
 }
 
 // Open requests the stream at streamURL for the named gateway, resuming after the event lastID (empty: from
-// the start). The stream ends if no data comes within silenceTimeout, after End, and when ctx is done.
+// the start). The stream ends if no data comes within silenceTimeout, after Cancel, and when ctx is done.
 func Open(ctx context.Context, client *http.Client, streamURL, gateway, lastID string, silenceTimeout time.Duration) (*EventStream, error) {
 	u, err := url.Parse(streamURL)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return o, nil
 }
 
-// End ends the stream with the given cause. It is safe to call from any goroutine.
+// Cancel ends the stream with the given cause. It is safe to call from any goroutine.
 func (o *EventStream) Cancel(cause error) { o.cancel(cause) }
 
-// Ended returns the cause of a stream's end, given the error that Next returned.
+// EndCause returns the cause of a stream's end, given the error that Next returned.
 func (o *EventStream) EndCause(err error) error {
 	if cause := context.Cause(o.ctx); cause != nil {
 		err = cause
--- a/internal/rsync/rsync.go
+++ b/internal/rsync/rsync.go
@@ -157,7 +157,7 @@
 	HasRoom() bool      // reports whether it accepts more data
 	Write(p []byte)     // accepts all of p and copies it
 	Finish(final File)  // ends the data
-	Abort(reason error) // gives the file up
+	Abort(reason error) // discards the file
 }
 
 // Session is the protocol state of one client connection.
--- a/internal/rsync/sender.go
+++ b/internal/rsync/sender.go
@@ -423,14 +423,14 @@
 	block := int(x.header.blockSize)
 	var buf []byte // bytes of the file from offset bufStart on
 	bufStart, pos := int64(0), 0
-	literalStart := 0 // buf[lit:pos] is unmatched and still to be sent as literal data
+	literalStart := 0 // buf[literalStart:pos] is unmatched and still to be sent as literal data
 	preferred := int32(0)
 	flush := func() {
 		s.writeLiteral(buf[literalStart:pos])
 		literalStart = pos
 	}
 	var w rollingSum
-	stale := true // w does not belong to the window at pos
+	stale := true // w is not the sum of the block at pos
 	for {
 		for len(buf)-pos < block+1 && bufStart+int64(len(buf)) < f.Size {
 			if pos > 1<<20 && pos > len(buf)/2 { // discard what was sent
--- a/internal/sealed/sealed.go
+++ b/internal/sealed/sealed.go
@@ -19,7 +19,7 @@
 	"github.com/zeebo/blake3"
 )
 
-// ErrNewer is returned for a file of a newer format than the program supports.
+// ErrNewerFormat is returned for a file of a newer format than the program supports.
 var ErrNewerFormat = errors.New("it is of a newer format than this program reads: update the program, or write the file with an older one")
 
 // Seal returns body in a frame of the given kind and format.
--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -193,7 +193,7 @@
 	}
 }
 
-// Listed sets the nodes that the register lists in any state but gone. The solution in use stays
+// SetNodes sets the nodes that the register lists in any state but gone. The solution in use stays
 // when some of its nodes are no longer listed, since nothing is sent to them.
 func (k *Keeper) SetNodes(ids []string) {
 	k.mu.Lock()
@@ -244,7 +244,7 @@
 	}
 }
 
-// readFile reads a file of at most shares.MostSolution bytes.
+// readFile reads a file of at most shares.MaxSolutionBytes bytes.
 func readFile(name string) ([]byte, error) {
 	info, err := os.Stat(name)
 	if err == nil && info.Size() > shares.MaxSolutionBytes {
@@ -256,7 +256,7 @@
 	return os.ReadFile(name)
 }
 
-// Told returns a solution as the shares of a controller at time now. A solution dated in the
+// ControlShares returns a solution as the shares of a controller at time now. A solution dated in the
 // future, by a clock that is ahead, has age 0.
 func ControlShares(s *shares.Solution, now time.Time) control.Shares {
 	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -84,42 +84,42 @@
 	}
 }
 
-// Versions returns the version of the last change.
+// Version returns the version of the last change.
 func (a *Authority) Version() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.changes)
 }
 
-// Script sets the function that decides how each change is sent to a gateway; nil: once, in order.
+// SetScript sets the function that decides how each change is sent to a gateway; nil: once, in order.
 func (a *Authority) SetScript(f func(gateway string, version uint64) Delivery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.script = f
 }
 
-// Keep sets the number of last changes from which a stream may resume.
+// SetResumable sets the number of last changes from which a stream may resume.
 func (a *Authority) SetResumable(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.resumable = n
 }
 
-// Slow sets the delay of answers about ranges.
+// SetRangeDelay sets the delay of answers about ranges.
 func (a *Authority) SetRangeDelay(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.rangeDelay = d
 }
 
-// Stall sets the number of next snapshots that stop in the middle until the client closes the connection.
+// StallSnapshots sets the number of next snapshots that stop in the middle until the client closes the connection.
 func (a *Authority) StallSnapshots(snapshots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.stalledSnapshots = snapshots
 }
 
-// Down makes the authority drop its streams and answer 503, or serve again.
+// SetDown makes the authority drop its streams and answer 503, or serve again.
 func (a *Authority) SetDown(down bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -148,7 +148,7 @@
 	a.dropStreams()
 }
 
-// Asked returns the number of requests of one kind: "stream", "snapshot" or "range".
+// Requests returns the number of requests of one kind: "stream", "snapshot" or "range".
 func (a *Authority) Requests(what string) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -166,7 +166,7 @@
 	return !a.down
 }
 
-// serveStream sends changes to one gateway as the script has them, after a snapshot event if the stream cannot
+// serveStream sends changes to one gateway as the script specifies, after a snapshot event if the stream cannot
 // resume from the version that the gateway has.
 func (a *Authority) serveStream(w http.ResponseWriter, req *http.Request) {
 	if !a.admit(w, "stream") {
@@ -291,7 +291,7 @@
 	_, _ = w.Write(b.bytes)
 }
 
-// serveRange answers with the runs of a range. Each extent is where the last change that has it puts it.
+// serveRange answers with the runs of a range. Each extent has the location from the last change that contains it.
 func (a *Authority) serveRange(w http.ResponseWriter, req *http.Request) {
 	if !a.admit(w, "range") {
 		return
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -57,7 +57,7 @@
 	LeftOut  []string     // paths in the file list that came without content
 	Messages []string     // error messages from the gateway
 	Literal  int64        // bytes of content sent or received literally
-	Complete bool         // the session ended as the protocol has it
+	Complete bool         // the session ended as the protocol requires
 	Took     time.Duration
 	FileTook map[string]time.Duration // by path, of a pull
 }
--- a/internal/standin/disk.go
+++ b/internal/standin/disk.go
@@ -128,7 +128,7 @@
 	delete(d.items, item)
 }
 
-// Flip inverts one bit of an item, as a faulty disk might, and reports whether it did.
+// FlipBit inverts one bit of an item, as a faulty disk might, and reports whether it did.
 func (d *Disk) FlipBit(item string, bit int) bool {
 	p, ok := d.Read(item)
 	if !ok || len(p) == 0 {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -29,11 +29,11 @@
 
 	Started      time.Time // zero: the node is warm
 	ColdFor      time.Duration
-	ColdCapacity float64       // part of the full speed at the start
-	FallMultiple float64       // a cold node goes down if it is sent more than this many times its present capacity ...
-	FallSpan     time.Duration // ... within this time
-	ColdBears    float64       // units within the span that do not bring it down in any case
-	DownFor      time.Duration // time for which it accepts no connection then
+	ColdCapacity float64       // fraction of the full speed at the start
+	FallMultiple float64       // a cold node goes down if it receives more than this multiple of its capacity ...
+	FallSpan     time.Duration // ... over this time
+	ColdBears    float64       // units over FallSpan that never bring it down
+	DownFor      time.Duration // time for which it then accepts no connection
 
 	RecentItems  int           // number of most recently read items that cost less to read
 	RecentPart   float64       // part of the work that reading one of them takes
@@ -180,7 +180,7 @@
 	n.wg.Wait()
 }
 
-// Cut closes all open connections.
+// CloseConns closes all open connections.
 func (n *Node) CloseConns() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -492,7 +492,7 @@
 	}
 }
 
-// resultNames are the results of answers as audit.Record.Result has them, by nodewire.Result.
+// resultNames are the texts of audit.Record.Result, by nodewire.Result.
 var resultNames = [...]string{"done", "error", "busy", "missing", "no room"}
 
 // diskSpace returns the bytes used and the capacity for a load report.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n%s\r\n%s", status, len(body), head, body)
 }
 
-// Hang closes a connection with a reset, as the death of the node's process does.
+// Reset closes a connection with a reset, as the death of the node's process does.
 func Reset(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
@@ -119,7 +119,7 @@
 // Addr returns the address at which the node listens.
 func (n *HTTPNode) Addr() string { return n.ln.Addr().String() }
 
-// Seen waits until at least this many requests were read completely, and returns all of them.
+// WaitSeen waits until at least this many requests were read completely, and returns all of them.
 func (n *HTTPNode) WaitSeen(atLeast int) []Seen {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,7 +129,7 @@
 	return append([]Seen(nil), n.seen...)
 }
 
-// Alone waits until at most this many connections are open.
+// WaitConns waits until at most this many connections are open.
 func (n *HTTPNode) WaitConns(atMost int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -174,8 +174,8 @@
 	_, _ = io.WriteString(w.Conn, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 }
 
-// Greet is the default start of an answer. It sends the header and, on a watch, a first object without changes.
-// The whole list is sent by the test.
+// DefaultGreeting is the default start of an answer. It sends the header and, on a watch, a first object
+// without changes. The whole list is sent by the test.
 func DefaultGreeting(w Watch) {
 	w.Head()
 	if !w.Whole {
@@ -261,7 +261,7 @@
 	return l.b.String()
 }
 
-// Has waits until the log contains a text.
+// WaitFor waits until the log contains a text.
 func (l *Log) WaitFor(text string) {
 	for {
 		l.mu.Lock()
--- a/internal/standin/register.go
+++ b/internal/standin/register.go
@@ -120,7 +120,7 @@
 	return r.shares
 }
 
-// Down makes the register drop its streams and answer 503, or serve again.
+// SetDown makes the register drop its streams and answer 503, or serve again.
 func (r *Register) SetDown(down bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,7 +141,7 @@
 	r.notifyAll()
 }
 
-// Forget drops the history, so that a gateway that resumes gets the whole list.
+// DropHistory drops the history, so that a gateway that resumes gets the whole list.
 func (r *Register) DropHistory() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -105,7 +105,7 @@
 	Orphans []OrphanItem
 }
 
-// Lost is an item that may have been written before its bytes were written again under
+// OrphanItem is an item that may have been written before its bytes were written again under
 // another name. Its shard is unknown.
 type OrphanItem struct {
 	_msgpack struct{} `msgpack:",as_array"`
@@ -377,7 +377,7 @@
 
 var errClosed = errors.New("catalogue: closed")
 
-// NewBase returns an item name prefix that no other file version has used or will use.
+// NewItemPrefix returns an item name prefix that no other file version has used or will use.
 func (c *Catalogue) NewItemPrefix() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -386,7 +386,7 @@
 }
 
 // Begin records that the items of a file are about to be written. No item may be written
-// before done is called without an error, or it could not be collected after a crash.
+// before done is called without an error; otherwise they could not be collected after a crash.
 func (c *Catalogue) Begin(volume, base string, parts int, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
 		v, err := msgpack.Marshal(&pendingPush{Volume: volume, Parts: parts})
@@ -451,7 +451,7 @@
 // Usage is the number and size of a module's entries, without versions that were replaced.
 type Usage struct {
 	Files int64 // entries of any kind
-	Bytes int64 // of content, as stored in extents, as stored in extents
+	Bytes int64 // of content, as stored in extents
 }
 
 func (e *Entry) contentBytes() (n int64) {
@@ -505,7 +505,7 @@
 	Bytes              int64
 }
 
-// Versions calls each with every entry of the given modules, module by module in order of path.
+// ForEachEntry calls each with every entry of the given modules, module by module in order of path.
 func (c *Catalogue) ForEachEntry(modules []string, each func(module, path string, e *Entry)) error {
 	err := c.db.View(func(tx *bolt.Tx) error {
 		for _, m := range modules {
@@ -565,7 +565,7 @@
 	return u, err
 }
 
-// Amend changes attributes of the entry at a path if its base is still the given one;
+// UpdateAttributes changes attributes of the entry at a path if its base is still the given one;
 // otherwise it changes nothing.
 func (c *Catalogue) UpdateAttributes(module, path, base string, update func(*Entry), done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
@@ -583,11 +583,11 @@
 	})
 }
 
-// ErrElsewhere means that the parts are not on the expected shards and that nothing was changed.
+// ErrPartsMoved means that the parts are not on the expected shards and that nothing was changed.
 var ErrPartsMoved = errors.New("catalogue: the version is gone, or its parts lie elsewhere")
 
-// Rehome records that parts of a file version, given by index, have moved from the shard source to the shard
-// target: all of them, or none with ErrElsewhere. The copies on the source become garbage, which is collected
+// MoveParts records that parts of a file version, given by index, have moved from the shard source to the shard
+// target: all of them, or none with ErrPartsMoved. The copies on the source become garbage, which is collected
 // once no reader needs it. Parts that are on the target already stay as they are, so a call may be repeated.
 func (c *Catalogue) MoveParts(module, path, base string, parts []int, source, target int, done func(error)) {
 	elsewhere := false
@@ -778,7 +778,7 @@
 	return seqs, list, err
 }
 
-// GarbageAt returns, for the given bases, the shards on which items wait to be collected. No part of a base may
+// GarbageShards returns, for the given bases, the shards on which items wait to be collected. No part of a base may
 // move to such a shard before that, or it would be collected too.
 func (c *Catalogue) GarbageShards(bases map[string]bool) (shards map[string]map[int]bool, err error) {
 	shards = map[string]map[int]bool{}
@@ -806,7 +806,7 @@
 	return shards, nil
 }
 
-// Collected removes a record of garbage whose items have been deleted.
+// RemoveGarbage removes a record of garbage whose items have been deleted.
 func (c *Catalogue) RemoveGarbage(seq uint64, done func(error)) {
 	c.enqueue(done, func(tx *bolt.Tx) error {
 		return tx.Bucket(bucketGarbage).Delete(binary.BigEndian.AppendUint64(nil, seq))
--- a/internal/telemetry/gnet.go
+++ b/internal/telemetry/gnet.go
@@ -5,8 +5,8 @@
 	"log/slog"
 )
 
-// Gnet implements gnet's logging.Logger. It passes the event loops' log lines to a structured logger, as gnet's own
-// logger would write them to standard output.
+// GnetLogger implements gnet's logging.Logger. It passes the event loops' log lines to a structured logger;
+// gnet's own logger would write them to standard output.
 type GnetLogger struct{ Log *slog.Logger }
 
 // Debugf logs at level debug.
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -11,7 +11,7 @@
 	"github.com/lmittmann/tint"
 )
 
-// Logger returns a logger that writes to w, as coloured text if w is a terminal, else as JSON lines. The returned
+// NewLogger returns a logger that writes to w, as coloured text if w is a terminal, else as JSON lines. The returned
 // variable changes the level at run time.
 func NewLogger(w io.Writer, level string) (*slog.Logger, *slog.LevelVar, error) {
 	levelVar := &slog.LevelVar{}
--- a/mover/mover.go
+++ b/mover/mover.go
@@ -78,11 +78,11 @@
 func (s *Settings) Check() error {
 	switch {
 	case s.MaxMovesPerShard < 1 || s.MaxActions < 1 || s.MaxTries < 1:
-		return fmt.Errorf("mover: moves per shard, copies, tries = %d, %d, %d: expected at least 1", s.MaxMovesPerShard, s.MaxActions, s.MaxTries)
+		return fmt.Errorf("mover: moves per shard, actions of a move, tries = %d, %d, %d: expected at least 1", s.MaxMovesPerShard, s.MaxActions, s.MaxTries)
 	case s.BytesPerSecond <= 0:
 		return fmt.Errorf("mover: rate = %d bytes per second: expected more than 0", s.BytesPerSecond)
 	case s.RemovalDelay < 0 || s.MaxCopyDuration < 0 || s.MinRetryInterval <= 0 || s.MaxRetryInterval < s.MinRetryInterval:
-		return fmt.Errorf("mover: grace = %v, late = %v: expected no negative value; retry interval = %v up to %v: expected more than 0s, and a maximum that is not below the minimum", s.RemovalDelay, s.MaxCopyDuration, s.MinRetryInterval, s.MaxRetryInterval)
+		return fmt.Errorf("mover: removal delay = %v, maximum copy duration = %v: expected no negative value; retry interval = %v up to %v: expected more than 0s, and a maximum that is not below the minimum", s.RemovalDelay, s.MaxCopyDuration, s.MinRetryInterval, s.MaxRetryInterval)
 	}
 	return nil
 }
@@ -105,7 +105,7 @@
 
 func (s Step) String() string { return stepNames[s] }
 
-// Over reports whether the move is finished: done or undone.
+// Finished reports whether the move is finished: done or undone.
 func (s Step) Finished() bool { return s == Done || s == Undone }
 
 // Record is one record of the log: a move enters a step. The first record of a move contains the move.
@@ -178,7 +178,7 @@
 	firstOpen   int           // items before this index are done
 	unstarted   int           // items from this index on were not started
 	staleCopies int           // copies still in flight from before the move was undone
-	notBefore   time.Duration // earliest next action: a switch after a failure, a removal after the grace
+	notBefore   time.Duration // earliest next action: a switch after a failure, a removal after RemovalDelay
 	failures    int
 }
 
@@ -190,7 +190,7 @@
 }
 
 // New returns a mover that continues where a log ends. Moves that were being copied copy all items again, which is
-// harmless; the grace of switched moves starts again.
+// harmless; the removal delay of switched moves starts again.
 func New(set Settings, log []Record, now time.Duration) (*Mover, error) {
 	if err := set.Check(); err != nil {
 		return nil, err
@@ -544,7 +544,7 @@
 	Why     string `json:"why,omitempty"`     // reason for the undoing
 }
 
-// Over reports whether the move is finished: done or undone.
+// Finished reports whether the move is finished: done or undone.
 func (p *Progress) Finished() bool { return p.Step == Done.String() || p.Step == Undone.String() }
 
 // Progress returns the progress of all moves, by ID.
--- a/mover/mover_test.go
+++ b/mover/mover_test.go
@@ -229,8 +229,8 @@
 	})
 }
 
-// TestRateAndWaves: copies from and to a shard stay within its rate, and a wave starts when the one before is
-// finished.
+// TestRateAndWaves checks that copies from and to a shard stay within its rate, and that a wave starts only
+// when the one before is finished.
 func TestRateAndWaves(t *testing.T) {
 	set := Default
 	set.BytesPerSecond, set.RemovalDelay = 1<<20, time.Second
@@ -288,7 +288,7 @@
 	}
 }
 
-// TestInvalidMovesAndLogs: invalid moves and logs are refused as a whole.
+// TestInvalidMovesAndLogs checks that invalid moves and logs are refused as a whole.
 func TestInvalidMovesAndLogs(t *testing.T) {
 	good := Move{ID: 1, Volume: "v", Source: 0, Target: 1, Items: []Item{{1, 1}}}
 	m, err := New(Default, nil, 0)
--- a/shares/evaluate.go
+++ b/shares/evaluate.go
@@ -24,7 +24,7 @@
 	Moves     int
 }
 
-// Infeasible is the error for a placement that violates a constraint. Text names the constraint.
+// InfeasibleError is the error for a placement that violates a constraint. Text names the constraint.
 type InfeasibleError struct{ Text string }
 
 // Error implements error.
@@ -181,7 +181,7 @@
 }
 
 // checkSet returns nil if volume v may be placed on a set of nodes, which must be in order, or
-// an *Infeasible error with the reason.
+// an *InfeasibleError with the reason.
 func (in *instance) checkSet(v int, set []int) error {
 	x := &in.volumes[v]
 	if len(set) != x.spread {
@@ -249,7 +249,7 @@
 }
 
 // Evaluate checks a problem and returns the value of a placement (volume -> nodes) of it. The
-// error is *Infeasible if the placement violates a constraint.
+// error is *InfeasibleError if the placement violates a constraint.
 func Evaluate(p *Problem, placement map[string][]string) (*Answer, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
--- a/shares/exact.go
+++ b/shares/exact.go
@@ -9,17 +9,17 @@
 // ErrStepLimit is returned when an exact search reached its step limit.
 var ErrStepLimit = errors.New("shares: the exact search did not end within its steps")
 
-// ErrNone is returned when no placement meets all constraints.
+// ErrInfeasible is returned when no placement meets all constraints.
 var ErrInfeasible = errors.New("shares: no placement meets all constraints")
 
 // Exact finds the placement of the highest value; among equal ones the lexicographically least,
 // volumes and nodes ordered by id. steps limits the placements of single volumes that it tries;
-// 0 means no limit. It returns ErrNone if there is no placement. If it reaches the limit it
+// 0 means no limit. It returns ErrInfeasible if there is no placement. If it reaches the limit it
 // returns ErrStepLimit, with the best placement found, if any.
 //
 // Exact is a branch and bound over volumes in order of their ids and over each volume's sets of
 // nodes in lexicographic order, so that the first of equal answers is the least. The bound
-// rests on two facts. The worth of a placed volume on a node only falls as other volumes are
+// relies on two facts. The worth of a placed volume on a node only falls as other volumes are
 // added, apart from one milli-unit of rounding for each volume and node: weighted max-min
 // fairness is monotone in its participants, and a volume regains lost share at most as spare,
 // which is worth less. An unplaced volume is worth no more than alone on its best nodes.
--- a/shares/generate.go
+++ b/shares/generate.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Draw holds the parameters of the problem that Generate makes.
+// GenerateOptions holds the parameters of the problem that Generate makes.
 type GenerateOptions struct {
 	Volumes, Nodes, Zones int
 	Seed                  uint64
--- a/shares/resolve.go
+++ b/shares/resolve.go
@@ -14,7 +14,7 @@
 		e.Needed, e.Max)
 }
 
-// Again holds the options of Resolve.
+// ResolveOptions holds the options of Resolve.
 type ResolveOptions struct {
 	Seed     uint64
 	Steps    int // changes tried once all volumes are placed again
@@ -24,7 +24,7 @@
 // Resolve solves a problem again from its present placement (Volume.On) with few moves, after
 // nodes were lost, added, resized or drained. Volumes stay where they can; displaced ones are
 // placed where the total value gains most. Then it tries changes and applies those that gain
-// more than their moves cost, within the limit of opt.MostMoves. If the displaced volumes alone
+// more than their moves cost, within the limit of opt.MaxMoves. If the displaced volumes alone
 // need more moves, the error is a *MoveLimitError.
 func Resolve(p *Problem, opt ResolveOptions) (*SearchResult, error) {
 	if err := p.Check(); err != nil {
@@ -340,7 +340,7 @@
 	return next
 }
 
-// Now returns a copy of p with placement as the present placement of its volumes. Nodes that are
+// WithPlacement returns a copy of p with placement as the present placement of its volumes. Nodes that are
 // gone or not listed are omitted if enough others hold the volume, since their parts were
 // rebuilt elsewhere.
 func WithPlacement(p *Problem, placement map[string][]string) *Problem {
--- a/shares/search.go
+++ b/shares/search.go
@@ -18,7 +18,7 @@
 	Steps int // changes tried after the first placement; 0: only the first placement
 }
 
-// Found is the result of a search: an answer and an upper bound on the value of any placement.
+// SearchResult is the result of a search: an answer and an upper bound on the value of any placement.
 type SearchResult struct {
 	*Answer
 	Bound Value
--- a/shares/solution.go
+++ b/shares/solution.go
@@ -160,7 +160,7 @@
 }
 
 // ReadSolution decodes and checks a solution. A file truncated at any byte is rejected. The error
-// is sealed.ErrNewer for a newer format.
+// is sealed.ErrNewerFormat for a newer format.
 func ReadSolution(b []byte) (*Solution, error) {
 	body, err := sealed.Open(solutionMagic, SolutionFormat, MaxSolutionBytes, b)
 	if err != nil {
