--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,6 +1,6 @@
 // Package gateway assembles a gateway: it starts the host loop, the backend, the register
 // feed, the catalogue, the collector, the migrator and the rsync front in the order of their
-// dependencies, and stops them again. It also keeps the list of nodes, chooses shards for new
+// dependencies, and stops them in the reverse order. It also keeps the list of nodes, chooses shards for new
 // data, tracks lost shards and answers administrative commands. cmd/eiderhold and the
 // rehearsal start it.
 package gateway
--- a/internal/rehearsal/day.go
+++ b/internal/rehearsal/day.go
@@ -37,14 +37,14 @@
 	UnitTime     config.Duration `toml:"unit_time" comment:"Time that one unit takes on one core."`
 	Queue        int             `toml:"queue" comment:"Requests that may wait at a node; it refuses further ones as busy."`
 	ColdFor      config.Duration `toml:"cold_for" comment:"Time after its start until a node is warm."`
-	ColdCapacity float64         `toml:"cold_capacity" comment:"Part of its full speed that a node has at its start."`
-	FallMultiple float64         `toml:"fall_multiple" comment:"A cold node goes down if it is sent more than this many times its present capacity ..."`
-	FallSpan     config.Duration `toml:"fall_span" comment:"... within this time ..."`
-	ColdBears    float64         `toml:"cold_bears" comment:"... and more than this many units ..."`
+	ColdCapacity float64         `toml:"cold_capacity" comment:"Fraction of its full speed that a node has at its start."`
+	FallMultiple float64         `toml:"fall_multiple" comment:"A cold node goes down if it receives more than this multiple of its present capacity ..."`
+	FallSpan     config.Duration `toml:"fall_span" comment:"... over this time ..."`
+	ColdBears    float64         `toml:"cold_bears" comment:"... and more than this many units over the same time ..."`
 	DownFor      config.Duration `toml:"down_for" comment:"... and accepts no connection for this time."`
 	RecentItems  int             `toml:"recent_items" comment:"Number of most recently read items that cost less to read."`
-	RecentPart   float64         `toml:"recent_part" comment:"Part of the work that reading one of them takes."`
-	DeferredPart float64         `toml:"put_off" comment:"Part of a write's work that is done after its answer."`
+	RecentPart   float64         `toml:"recent_part" comment:"Fraction of the usual work that reading one of them takes."`
+	DeferredPart float64         `toml:"put_off" comment:"Fraction of a write's work that is done after its answer."`
 }
 
 // Gateways describes the gateway processes.
@@ -122,31 +122,31 @@
 			errs = append(errs, fmt.Errorf(format, args...))
 		}
 	}
-	require(d.Lasts > 0 && d.Lasts.D() <= time.Hour, "lasts = %v: more than 0s, at most 1h", d.Lasts.D())
+	require(d.Lasts > 0 && d.Lasts.D() <= time.Hour, "lasts = %v: expected more than 0s and at most 1h", d.Lasts.D())
 	s := &d.Site
-	require(s.Nodes >= 1 && s.Nodes <= 1000, "site.nodes = %d: 1 to 1000", s.Nodes)
-	require(s.Zones >= 0 && s.Zones <= s.Nodes, "site.zones = %d: 0 to %d", s.Zones, s.Nodes)
-	require(s.DiskBytes >= 0, "site.disk_bytes = %d: not negative", s.DiskBytes)
-	require(s.Cores >= 1 && s.Queue >= 1, "site: cores and queue are at least 1")
-	require(s.UnitTime >= 0 && s.DeferredPart >= 0 && s.DeferredPart < 1, "site: unit_time is not negative, put_off is 0 to 1")
-	require(s.ColdFor == 0 || s.ColdCapacity > 0 && s.ColdCapacity <= 1, "site.cold_capacity = %v: more than 0, at most 1", s.ColdCapacity)
-	require(d.Gateways.Count >= 1 && d.Gateways.Count <= 50, "gateways.count = %d: 1 to 50", d.Gateways.Count)
+	require(s.Nodes >= 1 && s.Nodes <= 1000, "site.nodes = %d: expected 1 to 1000", s.Nodes)
+	require(s.Zones >= 0 && s.Zones <= s.Nodes, "site.zones = %d: expected 0 to %d", s.Zones, s.Nodes)
+	require(s.DiskBytes >= 0, "site.disk_bytes = %d: expected no negative value", s.DiskBytes)
+	require(s.Cores >= 1 && s.Queue >= 1, "site: expected cores and queue of at least 1")
+	require(s.UnitTime >= 0 && s.DeferredPart >= 0 && s.DeferredPart < 1, "site: expected a unit_time that is not negative, and put_off from 0 to less than 1")
+	require(s.ColdFor == 0 || s.ColdCapacity > 0 && s.ColdCapacity <= 1, "site.cold_capacity = %v: expected more than 0 and at most 1", s.ColdCapacity)
+	require(d.Gateways.Count >= 1 && d.Gateways.Count <= 50, "gateways.count = %d: expected 1 to 50", d.Gateways.Count)
 	cfg, err := d.config("check", "http://127.0.0.1:1/nodes", "dir")
 	if err != nil {
 		errs = append(errs, fmt.Errorf("gateways.settings: %w", err))
 		cfg = config.Default()
 	}
 	errs = append(errs, d.Shares.check(d.Site.Nodes, cfg)...)
-	require(len(d.Loads) > 0, "no [[load]]: at least one is needed")
+	require(len(d.Loads) > 0, "no [[load]]: expected at least one")
 	names := map[string]bool{}
 	for i, l := range d.Loads {
 		at := fmt.Sprintf("load[%d] %q", i, l.Name)
-		require(l.Name != "" && !names[l.Name], "%s: name: each load has one of its own", at)
+		require(l.Name != "" && !names[l.Name], "%s: name: expected a unique, non-empty name", at)
 		names[l.Name] = true
-		require(l.Kind == "pull" || l.Kind == "push", "%s: kind = %q: pull or push", at, l.Kind)
-		require(l.Kind != "pull" || l.Files >= 1, "%s: files = %d: a pull needs prepared ones", at, l.Files)
-		require(l.Rate > 0 && l.Rate <= 10000 && l.Bytes >= 1 && l.AtOnce >= 1, "%s: rate, bytes and at_once are at least 1", at)
-		require(l.Timeout >= config.Duration(time.Second), "%s: timeout = %v: at least 1s", at, l.Timeout.D())
+		require(l.Kind == "pull" || l.Kind == "push", "%s: kind = %q: expected pull or push", at, l.Kind)
+		require(l.Kind != "pull" || l.Files >= 1, "%s: files = %d: expected at least 1 for a pull", at, l.Files)
+		require(l.Rate > 0 && l.Rate <= 10000 && l.Bytes >= 1 && l.AtOnce >= 1, "%s: expected a rate of more than 0 and at most 10000, and bytes and at_once of at least 1", at)
+		require(l.Timeout >= config.Duration(time.Second), "%s: timeout = %v: expected at least 1s", at, l.Timeout.D())
 		require(slices.ContainsFunc(cfg.Modules, func(m config.Module) bool { return m.Name == l.Module }),
 			"%s: module %q: the gateways have none of this name", at, l.Module)
 	}
@@ -164,10 +164,10 @@
 		}
 	}
 	if !slices.Contains(Kinds, t.Kind) {
-		return []error{fmt.Errorf("%s: kind = %q: one of %s", at, t.Kind, strings.Join(Kinds, ", "))}
+		return []error{fmt.Errorf("%s: kind = %q: expected one of %s", at, t.Kind, strings.Join(Kinds, ", "))}
 	}
-	require(t.At >= 0 && t.At < d.Lasts, "at = %v: within the %v that the day lasts", t.At.D(), d.Lasts.D())
-	require(t.For >= 0, "for = %v: not negative", t.For.D())
+	require(t.At >= 0 && t.At < d.Lasts, "at = %v: expected a time within the %v that the day lasts", t.At.D(), d.Lasts.D())
+	require(t.For >= 0, "for = %v: expected no negative value", t.For.D())
 	for _, f := range []struct {
 		name   string
 		set    bool
@@ -183,34 +183,34 @@
 	number := -1
 	switch t.Kind {
 	case "burst", "give_up":
-		require(t.Target == "" || loads[t.Target], "target = %q: a load's name", t.Target)
+		require(t.Target == "" || loads[t.Target], "target = %q: expected a load's name or nothing", t.Target)
 	case "balancer_stall", "kill":
 		_, err := fmt.Sscanf(t.Target, "gateway-%d", &number)
-		require(err == nil && number >= 1 && number <= d.Gateways.Count, "target = %q: gateway-1 to gateway-%d", t.Target, d.Gateways.Count)
-		require(t.For > 0, "for = %v: more than 0s, the time that it is stopped or down", t.For.D())
+		require(err == nil && number >= 1 && number <= d.Gateways.Count, "target = %q: expected gateway-1 to gateway-%d", t.Target, d.Gateways.Count)
+		require(t.For > 0, "for = %v: expected more than 0s, the time for which it is stopped or down", t.For.D())
 	case "rack":
 		_, err := fmt.Sscanf(t.Target, "zone-%d", &number)
-		require(err == nil && number >= 0 && number < d.Site.Zones, "target = %q: one of the %d zones of site.zones, as zone-0", t.Target, d.Site.Zones)
+		require(err == nil && number >= 0 && number < d.Site.Zones, "target = %q: expected one of the %d zones of site.zones, like zone-0", t.Target, d.Site.Zones)
 	case "discovery_down", "discovery_stale", "deploy":
-		require(t.Target == "", "target = %q: must be empty, it always affects all", t.Target)
+		require(t.Target == "", "target = %q: expected nothing, as it always affects all", t.Target)
 	default:
 		_, err := fmt.Sscanf(t.Target, "node-%d", &number)
-		require(t.Target == "" || err == nil && number >= 0 && number < d.Site.Nodes, "target = %q: node-0 to node-%d, or empty for all",
+		require(t.Target == "" || err == nil && number >= 0 && number < d.Site.Nodes, "target = %q: expected node-0 to node-%d, or nothing for all",
 			t.Target, d.Site.Nodes-1)
 	}
 	switch t.Kind {
 	case "burst", "slow":
-		require(t.Amount > 0, "amount = %v: a factor, more than 0", t.Amount)
+		require(t.Amount > 0, "amount = %v: expected a factor of more than 0", t.Amount)
 	case "small_disk", "disk_full":
-		require(t.Kind == "disk_full" || t.Amount > 0 && t.Amount < 1, "amount = %v: a part, more than 0, less than 1", t.Amount)
+		require(t.Kind == "disk_full" || t.Amount > 0 && t.Amount < 1, "amount = %v: expected a part of more than 0 and less than 1", t.Amount)
 		require(d.Site.DiskBytes > 0, "site.disk_bytes = 0: a disk of unlimited capacity is never full")
 	case "heavy_tail", "neighbour", "fast_errors", "answer_lost", "give_up":
-		require(t.Amount > 0 && t.Amount <= 1, "amount = %v: a part, more than 0, at most 1", t.Amount)
-		require(t.Kind != "heavy_tail" || t.Times > 1, "times = %v: more than 1", t.Times)
+		require(t.Amount > 0 && t.Amount <= 1, "amount = %v: expected a part of more than 0 and at most 1", t.Amount)
+		require(t.Kind != "heavy_tail" || t.Times > 1, "times = %v: expected more than 1", t.Times)
 	case "pauses":
-		require(t.Amount > 0 && t.Times > 0, "amount = %v, times = %v: pauses a second and milliseconds of each", t.Amount, t.Times)
+		require(t.Amount > 0 && t.Times > 0, "amount = %v, times = %v: expected more than 0 pauses a second of more than 0 milliseconds each", t.Amount, t.Times)
 	case "discovery_stale":
-		require(t.For > 0 && t.Amount > 0, "amount = %v: the delay in seconds, more than 0, and for more than 0s", t.Amount)
+		require(t.For > 0 && t.Amount > 0, "amount = %v: expected a delay of more than 0 seconds, and a 'for' of more than 0s", t.Amount)
 	}
 	return errs
 }
@@ -221,14 +221,14 @@
 		s.Told = ToldNone
 	}
 	if !slices.Contains([]string{ToldNone, ToldRight, ToldWrong}, s.Told) {
-		errs = append(errs, fmt.Errorf("shares.told = %q: none, right or wrong", s.Told))
+		errs = append(errs, fmt.Errorf("shares.told = %q: expected none, right or wrong", s.Told))
 	}
 	if s.Told == ToldWrong && s.WrongFactor <= 1 {
-		errs = append(errs, fmt.Errorf("shares.off = %v: more than 1", s.WrongFactor))
+		errs = append(errs, fmt.Errorf("shares.off = %v: expected more than 1", s.WrongFactor))
 	}
 	if s.Problem == "" {
 		if s.Told != ToldNone {
-			errs = append(errs, fmt.Errorf("shares.told = %q: needs a shares.problem", s.Told))
+			errs = append(errs, fmt.Errorf("shares.told = %q: expected a shares.problem with it", s.Told))
 		}
 		return errs
 	}
@@ -239,7 +239,7 @@
 	for _, n := range p.Nodes {
 		number := -1
 		if _, err := fmt.Sscanf(n.ID, "node-%d", &number); err != nil || number < 0 || number >= nodes {
-			errs = append(errs, fmt.Errorf("shares.problem: node %q: node-0 to node-%d", n.ID, nodes-1))
+			errs = append(errs, fmt.Errorf("shares.problem: node %q: expected node-0 to node-%d", n.ID, nodes-1))
 		}
 	}
 	for _, v := range p.Volumes {
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -38,10 +38,10 @@
 		{"amount = 2.0", "amount = 2.0\ntimes = 3.0", "times: a burst does not use it"},
 		{"kind = \"burst\"\nat = \"2s\"\nfor = \"5s\"\ntarget = \"export\"\namount = 2.0", "kind = \"reconnect\"\nat = \"2s\"\nfor = \"5s\"", "for: a reconnect does not use it"},
 		{"kind = \"burst\"\nat = \"2s\"\nfor = \"5s\"\ntarget = \"export\"\namount = 2.0", "kind = \"vanish\"\nat = \"2s\"\namount = 2.0", "amount: a vanish does not use it"},
-		{`told = "right"`, `told = "left"`, `shares.told = "left": none, right or wrong`},
+		{`told = "right"`, `told = "left"`, `shares.told = "left": expected none, right or wrong`},
 		{`off = 10.0`, `off = 1.0`, ""},
 		{`told = "right"`, `told = "wrong"` + "\n#", ""},
-		{`id = "node-2"`, `id = "node-3"`, `node "node-3": node-0 to node-2`},
+		{`id = "node-2"`, `id = "node-3"`, `node "node-3": expected node-0 to node-2`},
 		{`id = "enrol"`, `id = "enrols"`, `volume "enrols": the gateways have no module`},
 		{`share_of_capacity = "9/10"`, `share_of_capacity = "10/9"`, "share_of_capacity"},
 	} {
--- a/internal/rehearsal/vary.go
+++ b/internal/rehearsal/vary.go
@@ -37,7 +37,7 @@
 	for _, k := range keys {
 		path := strings.Split(k.Name, ".")
 		if len(path) < 2 || slices.Contains(path, "") || len(k.Values) == 0 {
-			return nil, fmt.Errorf("vary: %s: expected TABLE.KEY=VALUE,..., as placement.choice=0,3", k.Name)
+			return nil, fmt.Errorf("vary: %s: expected TABLE.KEY=VALUE,..., such as placement.choice=0,3", k.Name)
 		}
 		var next []variantText
 		for _, w := range variants {
--- a/internal/solution/keeper_test.go
+++ b/internal/solution/keeper_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestFollowReadsReplacedFile checks that Follow offers the content of the file and offers it again
-// each time the file is replaced.
+// TestFollowReadsReplacedFile checks that Follow offers the content of the file, and again each time the
+// file is replaced.
 func TestFollowReadsReplacedFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "solution")
 	k, h := newTestKeeper(t, Settings{File: file})
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -30,7 +30,7 @@
 	Started      time.Time // zero: the node is warm
 	ColdFor      time.Duration
 	ColdCapacity float64       // fraction of the full speed at the start
-	FallMultiple float64       // a cold node goes down if it receives more than this multiple of its capacity ...
+	FallMultiple float64       // a cold node goes down if it receives more than this multiple of its present capacity ...
 	FallSpan     time.Duration // ... over this time
 	ColdBears    float64       // units over FallSpan that never bring it down
 	DownFor      time.Duration // time for which it then accepts no connection
--- a/mover/mover.go
+++ b/mover/mover.go
@@ -71,7 +71,7 @@
 	MaxTries         int           // number of failed copies of an item after which its move is undone
 }
 
-// Default holds settings for a low load: a shard reads or writes 16 MiB per second, in two moves.
+// Default holds settings that put a low load on shards: each reads or writes 16 MiB per second, in two moves.
 var Default = Settings{MaxMovesPerShard: 2, MaxActions: 4, BytesPerSecond: 16 << 20, RemovalDelay: 10 * time.Second, MaxCopyDuration: 5 * time.Second, MinRetryInterval: 100 * time.Millisecond, MaxRetryInterval: 10 * time.Second, MaxTries: 20}
 
 // Check returns an error that describes the first invalid setting.
