--- a/extentmap/extentmap.go
+++ b/extentmap/extentmap.go
@@ -31,7 +31,7 @@
 // NoShard is the shard number of extents that do not exist according to the authority.
 const NoShard = -1
 
-// Location is the location of extents.
+// Location is where extents are stored.
 type Location struct {
 	Shard int32  `json:"shard"` // NoShard: the extents do not exist
 	Epoch uint32 `json:"epoch"` // of the shard's node; it increases when the node comes back with other data
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// LoadModules returns the configured modules in the front's form, with their users' secrets read from file.
+// LoadModules converts the configured modules for the front and reads their users' secrets from file.
 func LoadModules(cfg *config.Config) ([]front.Module, error) {
 	var list []front.Module
 	for _, m := range cfg.Modules {
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -233,7 +233,7 @@
 	}
 	var c placement.CandidateBuffer
 	tiers := m.Candidates(volume, key, &c)
-	out := make([][]int, len(tiers)) // the tiers point into c, which a request outlives
+	out := make([][]int, len(tiers)) // copied, as the tiers point into c and a request keeps them
 	for i := range tiers {
 		out[i] = slices.Clone(tiers[i])
 	}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -232,7 +232,7 @@
 		data := x.Data
 		r.submit(&host.Request{Volume: mv.Volume, Item: item, Shard: mv.Target, Units: units, Op: nodewire.Write, Key: item, Payload: data.B}, func(y host.Answer) {
 			if y.Kind == host.Served {
-				data.Release() // otherwise a waiting attempt may still use the data
+				data.Release() // only if served: after another result a waiting attempt may still use the data
 				done(nil)
 				return
 			}
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -26,12 +26,12 @@
 	mu               sync.Mutex
 	term             uint64
 	changes          []mapfeed.Change // changes[i] has version i+1
-	resumable        int              // number of last changes from which a stream may resume
+	resumable        int              // how many of the latest changes are kept for streams that resume
 	script           func(gateway string, version uint64) Delivery
 	subs             map[*subscriber]bool
 	down             bool
 	rangeDelay       time.Duration // delay of each answer about a range
-	stalledSnapshots int           // number of next snapshots that stall in the middle
+	stalledSnapshots int           // how many of the next snapshots stall in the middle
 	requests         map[string]int
 }
 
@@ -98,7 +98,7 @@
 	a.script = f
 }
 
-// SetResumable sets the number of last changes from which a stream may resume.
+// SetResumable sets how many of the latest changes the authority keeps for streams that resume.
 func (a *Authority) SetResumable(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -112,7 +112,7 @@
 	a.rangeDelay = d
 }
 
-// StallSnapshots sets the number of next snapshots that stop in the middle until the client closes the connection.
+// StallSnapshots sets how many of the next snapshots stop in the middle until the client closes the connection.
 func (a *Authority) StallSnapshots(snapshots int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/standin/site.go
+++ b/internal/standin/site.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// Restart starts a node again that was closed. It is cold, has the same id and shard, and is announced as ready.
+// Restart starts a closed node again, cold and with the same id and shard, and announces it as ready.
 func (s *Site) Restart(id string) error {
 	s.mu.Lock()
 	opt, ok := s.options[id]
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -779,7 +779,7 @@
 }
 
 // GarbageShards returns, for the given bases, the shards on which items wait to be collected. No part of a base may
-// move to such a shard before that, or it would be collected too.
+// move to such a shard before they are collected, or it would be collected too.
 func (c *Catalogue) GarbageShards(bases map[string]bool) (shards map[string]map[int]bool, err error) {
 	shards = map[string]map[int]bool{}
 	err = c.db.View(func(tx *bolt.Tx) error {
--- a/shares/plain.go
+++ b/shares/plain.go
@@ -93,7 +93,7 @@
 	return set
 }
 
-// Baseline returns the baseline of a name: greedy or hashing.
+// Baseline returns the baseline with the given name: greedy or hashing.
 func Baseline(name string) (func(*Problem) (*Answer, error), error) {
 	switch name {
 	case "greedy":
