--- a/cmd/eiderhold/kill_test.go
+++ b/cmd/eiderhold/kill_test.go
@@ -355,7 +355,7 @@
 		}
 		next++
 		if time.Now().After(limit) {
-			t.Fatalf("%d files of %d bytes on 24 times that: %q", len(confirmed), size, said)
+			t.Fatalf("no refusal after %d confirmed files of %d bytes on nodes with room for 24: %q", len(confirmed), size, said)
 		}
 	}
 	rep, err := (&standin.Client{Addr: addr}).Pull(context.Background(), "records", "", nil)
@@ -375,7 +375,7 @@
 		}
 	}
 	if len(whole) < 15 || len(whole) > 24 {
-		t.Errorf("%d files of %d bytes on 24 times that", len(whole), size)
+		t.Errorf("%d files of %d bytes are complete, want 15 to 24", len(whole), size)
 	}
 	d, _ := site.Disk(1)
 	d.Limit(100*size, 0)
--- a/cmd/eiderhold/moves_test.go
+++ b/cmd/eiderhold/moves_test.go
@@ -69,7 +69,7 @@
 	waitFor("moves to begin", func() bool {
 		out, status := runProgram(t, "space", "rebalance", "--dir", dir, "--detach", "--least", "0.01")
 		if status != exitOK {
-			t.Fatalf("%d %s", status, out)
+			t.Fatalf("rebalance: status %d: %s", status, out)
 		}
 		return strings.Contains(out, "moves begun")
 	})
--- a/cmd/eiderhold/shares_test.go
+++ b/cmd/eiderhold/shares_test.go
@@ -186,7 +186,7 @@
 	out, status := runProgram(t, append([]string{"shares", "gather", "--output", "json", "--into", fleet}, files...)...)
 	var demands map[string]forecast.Demand
 	if err := json.Unmarshal([]byte(out), &demands); err != nil || status != exitOK || demands["v1"].Gateways != 2 {
-		t.Fatalf("%d %v %s", status, err, out)
+		t.Fatalf("gather: status %d, %v: %s", status, err, out)
 	}
 	p, err := loadProblem(fleet)
 	if err != nil {
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	if out, status := runProgram(t, "shares", "gather", files[0]); status != exitError || !strings.Contains(out, "it was cut") {
-		t.Errorf("%d %s", status, out)
+		t.Errorf("gather of a truncated record: status %d: %s", status, out)
 	}
 }
 
--- a/extentmap/book_test.go
+++ b/extentmap/book_test.go
@@ -33,7 +33,7 @@
 func TestOneRefreshForAllRequests(t *testing.T) {
 	b, m := newTestRefresher(t, nil)
 	if v := b.Decide(m.View(), "v", 7, time.Second, 0); v.Action != Use || v.Shard != 1 || v.Version != 5 {
-		t.Fatalf("%+v", v)
+		t.Fatalf("known extent: %+v", v)
 	}
 	if newer, err := b.Moved(m.View(), "v", 7, MovedAnswer{Version: 6}, 0); !newer || err != nil {
 		t.Fatal(newer, err)
@@ -145,7 +145,7 @@
 func TestNoSuchExtent(t *testing.T) {
 	b, m := newTestRefresher(t, nil)
 	if v := b.Decide(m.View(), "w", 1, time.Second, 0); v.Action != Wait {
-		t.Fatalf("%+v", v)
+		t.Fatalf("unknown volume: %+v", v)
 	}
 	for _, r := range b.Due(0) {
 		if err := m.Fetched(r, 1, 5, nil); err != nil {
@@ -167,7 +167,7 @@
 	b, m := newTestRefresher(t, func(s *RefreshSettings) { s.Group, s.MaxGroups, s.MaxInFlight = 1, 20, 4 })
 	for i := range 20 {
 		if v := b.Decide(m.View(), "w", uint64(i), time.Second, 0); v.Action != Wait {
-			t.Fatalf("%d: %+v", i, v)
+			t.Fatalf("unknown extent %d: %+v", i, v)
 		}
 	}
 	if v := b.Decide(m.View(), "w", 99, time.Second, 0); v.Action != Refuse || !strings.Contains(v.Why, "20 parts of the map") {
--- a/internal/audit/rules_test.go
+++ b/internal/audit/rules_test.go
@@ -168,7 +168,7 @@
 	back, rerr := LoadRules(dir)
 	if err != nil || rerr != nil || len(recs) != 2 || recs[0] != arrive(5, "n1", 1, 0, "read") || recs[1].T == 0 ||
 		back.ExtraSpan != rules.ExtraSpan || len(back.Classes) != 4 {
-		t.Fatalf("%+v %v %v", recs, err, rerr)
+		t.Fatalf("records %+v, %v; rules %v", recs, err, rerr)
 	}
 	if _, err := Read(strings.NewReader("{}\nnot json\n"), "x.records"); err == nil || !strings.Contains(err.Error(), "x.records:2") {
 		t.Errorf("bad line: %v", err)
--- a/internal/audit/service_test.go
+++ b/internal/audit/service_test.go
@@ -62,6 +62,6 @@
 		t.Errorf("files: %+v", s)
 	}
 	if s.Nodes != 4 || s.Used != 2 || s.Largest != 3 || math.Abs(s.Varies-math.Sqrt(6)/2) > 1e-9 {
-		t.Errorf("%+v", s)
+		t.Errorf("spread: %+v", s)
 	}
 }
--- a/internal/gateway/land_test.go
+++ b/internal/gateway/land_test.go
@@ -77,7 +77,7 @@
 	r.t.Helper()
 	e, ok, err := r.gw.Catalogue().Stat("records", path)
 	if err != nil || !ok || len(e.Parts) != 1 {
-		r.t.Fatalf("%s: %+v, %v, %v", path, e, ok, err)
+		r.t.Fatalf("%s: entry %+v, found %v, %v; want one extent", path, e, ok, err)
 	}
 	return e.Parts[0].Shard
 }
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -125,7 +125,7 @@
 			left++
 			said := strings.Join(rep.Messages, "\n")
 			if known && (!strings.Contains(said, fmt.Sprintf("after 0 tries: shard %d (%s) has given no answer for", gone, id)) || !strings.Contains(said, "retry-after=")) {
-				t.Errorf("%s: %q", f.Path, said)
+				t.Errorf("%s is on a lost shard: the client is told %q", f.Path, said)
 			}
 			_, _, lost := r.gw.outages.lost(gone)
 			known = known || lost
--- a/internal/gateway/shares_test.go
+++ b/internal/gateway/shares_test.go
@@ -157,7 +157,7 @@
 	}
 	d, err := forecast.EstimateDemands(rec, 1, 1)
 	if err != nil || d["records"].Peak == 0 {
-		t.Errorf("%+v, %v", d, err)
+		t.Errorf("demands on disk: %+v, %v", d, err)
 	}
 	gw, err := Start(r.cfg, r.logger())
 	if err != nil {
--- a/internal/gateway/space_test.go
+++ b/internal/gateway/space_test.go
@@ -64,11 +64,11 @@
 	checkPulled(t, r.pull(""), files...)
 	s, err := r.gw.Space()
 	if err != nil || len(s.Shards) != nodes || s.Modules[0].Files != fit || s.Modules[0].Bytes != fit*size {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("space with full shards: %+v, %v", s, err)
 	}
 	for i, x := range s.Shards {
 		if x.State != StateFull || x.Used != int64(2+i)*size {
-			t.Errorf("%+v", x)
+			t.Errorf("full shard: %+v", x)
 		}
 	}
 	d, _ := r.site.Disk(2)
@@ -133,7 +133,7 @@
 			} else if len(rep.Messages) == 0 {
 				done.Add(1)
 			} else if said := strings.Join(rep.Messages, "\n"); !strings.Contains(said, "quota of module records") {
-				t.Errorf("%q", said)
+				t.Errorf("refusal without the quota: %q", said)
 			}
 		}()
 	}
@@ -148,7 +148,7 @@
 	r.push("", testFile(whole.Files[len(whole.Files)-1].Path, content(7, 10_000)))
 	r.push("", testFile("x", content(1, size)))
 	if u, err := r.gw.Catalogue().Usage("records"); err != nil || u.Bytes != fit*size+10_000 {
-		t.Errorf("%+v, %v", u, err)
+		t.Errorf("usage after the replacement: %+v, %v", u, err)
 	}
 	r.waitFor("the items of refused pushes to be collected", func() bool { // then the shards hold what the catalogue counts
 		sum := int64(0)
@@ -197,11 +197,11 @@
 	r.waitFor("a load report of the new shard", known(nodes+1))
 	p := plan()
 	if x := p.Usage[nodes]; len(p.Moves) == 0 || x.Before != 0 || x.After < p.After.Mean-0.05 || p.After.Max-p.After.Min > 0.1 {
-		t.Errorf("%+v", p)
+		t.Errorf("plan with an empty node: %+v", p)
 	}
 	for _, m := range p.Moves {
 		if m.To == m.Shard || m.Extents != 1 || m.Bytes != size {
-			t.Errorf("%+v", m)
+			t.Errorf("move %+v", m)
 		}
 	}
 	r.site.State("node-1", "draining")
@@ -216,13 +216,13 @@
 		t.Errorf("plan with a draining and a lost node: %+v", p.Usage)
 	}
 	if info, err := os.Stat(filepath.Join(r.dir, AdminSocket)); err != nil || info.Mode().Perm() != 0o600 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("admin socket: %v, %v", info, err)
 	}
 	if err := gatewayCommand(r, "/plan", url.Values{"least": {"much"}}, p); err == nil || !strings.Contains(err.Error(), "least") {
-		t.Errorf("%v", err)
+		t.Errorf("plan with an invalid setting: %v", err)
 	}
 	if err := Get(context.Background(), t.TempDir(), "/space", nil, p); !errors.Is(err, ErrNotRunning) {
-		t.Errorf("%v", err)
+		t.Errorf("folder without a gateway: %v, want ErrNotRunning", err)
 	}
 }
 
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -180,7 +180,7 @@
 		t.Errorf("%d requests got another location; %d refreshes", wrong.Load(), s.authority.Requests("range"))
 	}
 	if st := f.State(); st.Waiting != 0 {
-		t.Errorf("%+v", st)
+		t.Errorf("requests still wait: %+v", st)
 	}
 }
 
--- a/internal/mapfile/mapfile_test.go
+++ b/internal/mapfile/mapfile_test.go
@@ -213,7 +213,7 @@
 		if err == nil && !bytes.Equal(h.marshal(), p[:HeaderBytes]) {
 			// the bytes between the last field and the checksum are reserved for later formats
 			if !bytes.Equal(h.marshal()[:48], p[:48]) {
-				t.Errorf("%+v", h)
+				t.Errorf("header %+v is written back as other bytes", h)
 			}
 		}
 	})
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -56,7 +56,7 @@
 	}
 	res, err := Replay(files, nil)
 	if err != nil || res.Truncated || res.Actions < 200 {
-		t.Fatalf("%+v, %v", res, err)
+		t.Fatalf("replay: %+v, %v", res, err)
 	}
 	if _, err := Replay(files[1:], nil); err == nil || !strings.Contains(err.Error(), "earlier file is missing") {
 		t.Errorf("without the first file: %v", err)
@@ -72,7 +72,7 @@
 	_, err := Replay(files, nil)
 	var d *Difference
 	if !errors.As(err, &d) || d.Batch != 0 || !strings.Contains(err.Error(), "recorded control.Refuse") {
-		t.Fatalf("%v", err)
+		t.Fatalf("replay of a record with another action: %v, want a Difference in batch 0", err)
 	}
 }
 
--- a/internal/register/register_test.go
+++ b/internal/register/register_test.go
@@ -290,7 +290,7 @@
 		}
 		h.waitForNodes(t, "a")
 		if f.State().Failures == 0 {
-			t.Errorf("%s: %+v", name, f.State())
+			t.Errorf("%s: no failure counted: %+v", name, f.State())
 		}
 		stop()
 		server.CloseClientConnections()
--- a/internal/rehearsal/day_test.go
+++ b/internal/rehearsal/day_test.go
@@ -66,7 +66,7 @@
 	}
 	days, err := Vary(file, Key{"placement.choice", []string{"0", "3"}})
 	if err != nil || len(days) != 2 || days[1].Label != "placement.choice=3" {
-		t.Fatalf("%+v, %v", days, err)
+		t.Fatalf("variants %+v, %v", days, err)
 	}
 	for i, want := range []int{0, 3} {
 		c, err := days[i].Day.config("g", "http://127.0.0.1:1/nodes", "d")
@@ -80,11 +80,11 @@
 	}
 	days, err = Vary(file, Key{"site.nodes", []string{"6", "24"}}, Key{"placement.width", []string{"1", "2"}})
 	if err != nil || len(days) != 4 || days[2].Day.Site.Nodes != 24 || days[2].Label != "site.nodes=24 placement.width=1" {
-		t.Errorf("%+v, %v", days, err)
+		t.Errorf("variants %+v, %v", days, err)
 	}
 	for key, want := range map[string]string{"placement": "TABLE.KEY", "placement.choyce": "choyce", "site.nodes.more": "no table", "rsync.listen": "listen"} {
 		if _, err := Vary(file, Key{key, []string{"x"}}); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("key %s: %v", key, err)
 		}
 	}
 	for _, f := range []string{"rack", "full", "burst", "quiet", "slow"} {
--- a/internal/rsync/parts_test.go
+++ b/internal/rsync/parts_test.go
@@ -128,7 +128,7 @@
 		f := &filter{}
 		for text := range strings.SplitSeq(c.rules, "|") {
 			if err := f.add(text, 29); err != nil {
-				t.Errorf("%s: %v", text, err)
+				t.Errorf("rule %s: %v", text, err)
 			}
 		}
 		if got := f.excludes(c.path, c.dir); got != c.out {
--- a/internal/rsync/receiver.go
+++ b/internal/rsync/receiver.go
@@ -51,14 +51,14 @@
 	list  []File   // in the order of the file numbers, with the client's names
 	paths []string // destination of each entry in the module
 
-	// the generator
+	// state of the generator
 	nextEntry      int     // next entry to check
 	retryFiles     []int32 // files to request again in the second phase
 	generatorPhase int     // phases whose end was sent
 	basis          *basisSums
 	requested      int // requested files whose data has not begun to arrive
 
-	// the receiver
+	// state of the receiver
 	clientPhase int // phases that the client has ended
 	files       map[int32]*incomingFile
 	finishing   []*incomingFile // finished files whose writer is not done
--- a/internal/solution/keeper_test.go
+++ b/internal/solution/keeper_test.go
@@ -113,7 +113,7 @@
 		t.Errorf("received %+v", h.received[0])
 	}
 	if st := k.State(); st.Version != 5 || st.Refused < 6 || st.Err == "" {
-		t.Errorf("%+v", st)
+		t.Errorf("state %+v", st)
 	}
 }
 
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -374,7 +374,7 @@
 	return true
 }
 
-// speedFactor returns the node's present speed as a part of its full speed.
+// speedFactor returns the node's present speed as a fraction of its full speed.
 func (n *Node) speedFactor() float64 {
 	o := &n.opt
 	if o.Started.IsZero() || o.ColdFor == 0 {
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -53,7 +53,7 @@
 	c.mustCommit(t, "a/b", want)
 	got, ok, err := c.Stat("m", "a/b")
 	if err != nil || !ok || fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Fatalf("%+v %v %v", got, ok, err)
+		t.Fatalf("entry %+v, found %v, %v", got, ok, err)
 	}
 	x := got.Extents()
 	if x[1].Item != want.Base+".1.2" || x[1].Offset != 100 || x[2].Offset != 201 || x[2].Shard != 2 {
@@ -223,7 +223,7 @@
 		}
 	}
 	if e, _, _ := c.Stat("m", "f"); e.MTime != 2 || len(e.Parts) != 1 {
-		t.Errorf("%+v", e)
+		t.Errorf("entry %+v", e)
 	}
 }
 
--- a/mover/mover_test.go
+++ b/mover/mover_test.go
@@ -306,7 +306,7 @@
 		}
 	}
 	if len(m.Progress()) != 0 {
-		t.Errorf("%+v", m.Progress())
+		t.Errorf("moves after invalid ones: %+v", m.Progress())
 	}
 	begin := Record{ID: 1, Step: Waiting, Move: &good}
 	for i, log := range [][]Record{{{ID: 1, Step: Copying}}, {begin, begin}, {begin, {ID: 1, Step: Retiring}}, {begin, {ID: 1, Step: 99}}, {{ID: 1, Step: Waiting}}} {
@@ -315,6 +315,6 @@
 		}
 	}
 	if got := slices.Collect(maps.Keys(m.moves)); len(got) != 0 {
-		t.Errorf("%v", got)
+		t.Errorf("moves added although invalid: %v", got)
 	}
 }
--- a/shares/cases_test.go
+++ b/shares/cases_test.go
@@ -113,7 +113,7 @@
 		}
 		change(p)
 		if a, err := Exact(p, 0); !errors.Is(err, ErrInfeasible) {
-			t.Errorf("%s: %+v, %v", name, a, err)
+			t.Errorf("%s: got %+v, %v, want ErrInfeasible", name, a, err)
 		}
 	}
 }
@@ -127,10 +127,10 @@
 	}
 	a, err := Exact(readyProblem(nodes, volumes), 50)
 	if !errors.Is(err, ErrStepLimit) || a == nil {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("50 steps: %+v, %v, want an answer and ErrStepLimit", a, err)
 	}
 	if a, err = Exact(readyProblem(nodes, volumes), 3); !errors.Is(err, ErrStepLimit) || a != nil {
-		t.Errorf("%+v, %v", a, err)
+		t.Errorf("3 steps: %+v, %v, want no answer and ErrStepLimit", a, err)
 	}
 }
 
@@ -161,7 +161,7 @@
 	p := readyProblem([]Node{{ID: "a", Capacity: 10}}, []Volume{{ID: "v", Plan: "p", Demand: 10, Spread: 1}})
 	for _, placement := range []map[string][]string{{}, {"v": nil}, {"v": {"z"}}, {"v": {"a", "a"}}, {"v": {"a"}, "w": {"a"}}} {
 		if _, err := Evaluate(p, placement); !errors.As(err, new(*InfeasibleError)) {
-			t.Errorf("%v: %v", placement, err)
+			t.Errorf("placement %v: %v, want an InfeasibleError", placement, err)
 		}
 	}
 }
--- a/shares/resolve_test.go
+++ b/shares/resolve_test.go
@@ -65,7 +65,7 @@
 		c.change(p)
 		f, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 200, MaxMoves: -1})
 		if err != nil {
-			t.Fatalf("%s: %v", name, err)
+			t.Fatalf("%s: resolve: %v", name, err)
 		}
 		forced := on(p, c.forced...)
 		least, err := Resolve(p, ResolveOptions{Seed: 1, Steps: 200, MaxMoves: forced})
--- a/shares/solution.go
+++ b/shares/solution.go
@@ -21,7 +21,7 @@
 	// sealed. Object keys are in order, so that equal solutions have equal bytes.
 	SolutionFormat = 1
 	solutionMagic  = "eiderhold-shares"
-	// MostSolution is the maximum size of an encoded solution in bytes.
+	// MaxSolutionBytes is the maximum size of an encoded solution in bytes.
 	MaxSolutionBytes = 256 << 20
 )
 
--- a/shares/solution_test.go
+++ b/shares/solution_test.go
@@ -89,7 +89,7 @@
 		_, s := testSolution(t)
 		change(s)
 		if _, err := s.Encode(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("error with %q: got %v", want, err)
 		}
 	}
 }
@@ -109,7 +109,7 @@
 	d := Diff(a, &b)
 	if fmt.Sprint(d.Added, d.Removed) != "[v99] [v01]" || len(d.Changed) != 2 || d.Changed[0].Volume != "v00" || d.Moves != 1 ||
 		fmt.Sprint(d.Changed[0].NodesAdded) != "[n9]" || d.Changed[0].After != 5 || d.Changed[1].Weights[1] != 9 {
-		t.Errorf("%+v", d)
+		t.Errorf("difference %+v", d)
 	}
 }
 
