--- a/control/api.go
+++ b/control/api.go
@@ -88,10 +88,10 @@
 	ColdCapacityFraction float64       // part of its capacity with which a node starts
 	OverloadMultiple     float64       // a cold node fails under more than this multiple of its current capacity ...
 	OverloadSpan         time.Duration // ... during this time
-	ColdMinUnits         float64       // units within FallSpan that a cold node withstands in any case
+	ColdMinUnits         float64       // units within OverloadSpan that a cold node withstands in any case
 
-	RetryBudgetBase  float64       // retries allowed within ExtraSpan regardless of the requests
-	RetryBudgetRatio float64       // retries allowed for each request accepted within ExtraSpan
+	RetryBudgetBase  float64       // retries allowed within RetryBudgetSpan regardless of the requests
+	RetryBudgetRatio float64       // retries allowed for each request accepted within RetryBudgetSpan
 	RetryBudgetSpan  time.Duration // span of the retry budget; 0: no budget
 
 	OrderPause time.Duration // pause of an item after an attempt that may still be running
@@ -171,7 +171,7 @@
 	return r == Busy || r == Unreachable || r == NotSent || r == NoRoom
 }
 
-// Doubtful reports whether the attempt may still be running.
+// MayStillRun reports whether the attempt may still be running.
 func (r Result) MayStillRun() bool { return r == TimedOut || r == Reset || r == Cancelled }
 
 // NodeState is a node's state in the node list.
@@ -292,7 +292,7 @@
 func (NodeList) event()      {}
 func (ProbeResult) event()   {}
 
-// Belief is a controller's estimate of the state of a node.
+// NodeEstimate is a controller's estimate of the state of a node.
 type NodeEstimate struct {
 	Node           string
 	State          NodeState
--- a/control/control.go
+++ b/control/control.go
@@ -38,7 +38,7 @@
 	maxBackoffSlots     = 8                // longest pause between attempts at a suspect node
 	coldBudgetFraction  = 0.8              // part of the cold budget in use; the rest absorbs chance
 	maxMeanLoad         = 0.6              // highest mean load of a node, as part of its capacity
-	resubscribeFraction = 0.4              // part of Settings.AskWithin after which the list is asked
+	resubscribeFraction = 0.4              // part of MaxListRequestInterval after which to ask again
 	checksPerSlot       = 4                // checks of the held requests in a slot
 	staleHalvings       = 4.0              // halvings of the trust per trusted age beyond the first
 	maxShareDoublings   = 3.0              // doublings above the share at which its trust is 0
@@ -266,7 +266,7 @@
 	if s.Rate <= 0 || c.shares.Trust <= 0 {
 		return 0, 0
 	}
-	// Without recent answers, ownFraction tends to that of a busiest host: one in sqrt(hosts).
+	// Without recent answers, ownFraction tends to that of the busiest host: one in sqrt(hosts).
 	ownFraction := v.ownServed.add(c.now, c.settings.MeanUnits, rateSpan).sum
 	ownFraction /= ownFraction +
 		v.othersServed.add(c.now, c.settings.MeanUnits*(math.Sqrt(v.hosts)-1), rateSpan).sum
@@ -808,7 +808,7 @@
 	return v.plan.LimitRate <= 0 || len(r.attempts) > 0 || v.limit.refill(c.now) >= r.Units
 }
 
-// cold reports whether the node started less than Settings.ColdFor ago.
+// cold reports whether the node started less than Settings.WarmupDuration ago.
 func (c *Controller) cold(n *node) bool {
 	return c.settings.WarmupDuration > 0 && n.StartedAt != 0 && c.now < n.StartedAt+c.settings.WarmupDuration
 }
@@ -820,8 +820,8 @@
 }
 
 // coldRate returns the units a second that this host may send to a cold node, scaled by its warm fraction.
-// It is the larger of two parts. One is an equal part for each host of the units that the node bears in any
-// case. The other is this host's part of the stated multiple of the node's capacity, by what it served of
+// It is the larger of two parts. One is an equal part for each host of the units that the node withstands in
+// any case. The other is this host's part of the stated multiple of the node's capacity, by what it served of
 // the shard before: half of that counts its own rate at the shard, half its mean rate over all shards,
 // because the busiest host of a volume changes. No node has served more than its capacity, so the parts of
 // all hosts add up to no more than the whole, whatever their number. Drawback: if the node was fully loaded
@@ -836,9 +836,10 @@
 }
 
 // coldWait returns how long nothing may be sent to a cold node: until its credit, which fills at this host's
-// coldRate, is no longer negative. The credit stores at most the part of a FallSpan that coldBudgetFraction
-// leaves, so that rate and credit together stay within the budget of any span. Each request takes its units.
-// A host's part may be far less than one request, so the credit starts below 0 by a random part of one.
+// coldRate, is no longer negative. The credit stores at most the part of an OverloadSpan that
+// coldBudgetFraction leaves, so that rate and credit together stay within the budget of any span. Each
+// request takes its units. A host's part may be far less than one request, so the credit starts below 0 by
+// a random part of one.
 func (c *Controller) coldWait(n *node) time.Duration {
 	if !c.cold(n) || c.settings.OverloadSpan == 0 {
 		return 0
@@ -1036,7 +1037,8 @@
 	}
 }
 
-// resubscribe subscribes again, well before Settings.AskWithin is over, while there is no subscription.
+// resubscribe subscribes again while there is no subscription, well before Settings.MaxListRequestInterval is
+// over.
 func (c *Controller) resubscribe() {
 	if !c.settings.ListOnRequest || c.subscribed {
 		return
--- a/control/control_test.go
+++ b/control/control_test.go
@@ -311,7 +311,7 @@
 	}
 	h.step(ms, NodeList{Kind: ListFailed})
 	if n := asks(h.step(9*time.Second, TimerFired{h.c.timerToken})); n != 1 {
-		t.Errorf("%d subscriptions within AskWithin after a failure, want 1", n)
+		t.Errorf("%d subscriptions within MaxListRequestInterval after a failure, want 1", n)
 	}
 	h.step(ms, NodeList{Kind: ListFull})
 	if n := asks(h.step(time.Minute)); n != 0 {
@@ -388,7 +388,7 @@
 	}
 }
 
-// TestColdBudget checks rule 4: within any FallSpan, what all hosts together send to a cold node stays within
+// TestColdBudget checks rule 4: within any OverloadSpan, what all hosts together send to a cold node stays within
 // their common budget, even if each sends as much as it may. The total also has a lower bound. Both hold for few
 // and many hosts, with and without earlier work at the node.
 func TestColdBudget(t *testing.T) {
@@ -426,7 +426,8 @@
 				units += u
 			}
 			warmth := 0.2 + 0.8*float64(from+50)/500
-			// The node withstands these units in any case, or the multiple of its capacity, which exceeds its earlier rate.
+			// The node withstands these units in any case, or the multiple of its capacity, which exceeds its
+			// earlier rate.
 			most := max(20*warmth/0.2, 3*warmth*tt.before/maxMeanLoad)
 			if slack := 2.0 * float64(min(tt.hosts, 4)); units > most+slack {
 				t.Fatalf("%+v: %v units within a span from %d ms, want at most %v", tt, units, 20*from, most)
@@ -1030,8 +1031,8 @@
 		"no units":          func(s *Settings) { s.MeanUnits, s.MaxUnits = 0, 0 },
 		"no cold budget":    func(s *Settings) { s.WarmupDuration, s.OverloadSpan, s.ColdMinUnits = time.Second, time.Second, 0 },
 		"cold for ever":     func(s *Settings) { s.WarmupDuration, s.OverloadSpan = 1<<62, time.Second },
-		"no fall span":      func(s *Settings) { s.WarmupDuration, s.ColdMinUnits = time.Second, 10 },
-		"aims past deadlin": func(s *Settings) { s.Classes[0].Aim = time.Hour },
+		"no overload span":  func(s *Settings) { s.WarmupDuration, s.ColdMinUnits = time.Second, 10 },
+		"aim past deadline": func(s *Settings) { s.Classes[0].Aim = time.Hour },
 		"no aims":           func(s *Settings) { s.Classes[0].Aim, s.Classes[0].Deadline = 0, 0 },
 		"plans weigh 0":     func(s *Settings) { s.Plans = []Plan{{Name: "p", Nominal: 3}}; s.ShareWorth = 1 },
 		"reports":           func(s *Settings) { s.LoadFields = []string{"queue", "latency_ms"} },
--- a/control/example_test.go
+++ b/control/example_test.go
@@ -7,7 +7,7 @@
 	"eiderhold/control"
 )
 
-// A host takes two requests; the node answers the first.
+// A host takes two requests: the node answers the first, and the second is refused because no node holds its shard.
 func Example() {
 	c, err := control.New(control.Settings{
 		Hosts:   3,
--- a/control/fade_test.go
+++ b/control/fade_test.go
@@ -14,11 +14,10 @@
 	demand, share float64
 }
 
-// simulateSite runs one host for some seconds in front of three nodes of 100 units a second
-// each, with a queue and one server per node, and returns the earned part of the offered
-// worth. In each second, a volume's units within its share count in full, those beyond it a
-// twentieth. Nodes meter volumes over two seconds. The simulation shares no code with the
-// controller.
+// simulateSite runs one host for some seconds in front of three nodes of 100 units a second each, with a queue and
+// one server per node, and returns the earned part of the offered worth. In each second, a volume's units within its
+// share count in full, those beyond it count a twentieth. Nodes meter volumes over two seconds. The simulation shares
+// no code with the controller.
 func simulateSite(t *testing.T, seed int64, seconds int, volumes []siteVolume, shares Shares) float64 {
 	t.Helper()
 	set := settings()
@@ -110,10 +109,10 @@
 	return earned / total
 }
 
-// TestWrongSharesLoseTrust: the demand of five volumes is half more than the nodes can
-// serve. With correct shares the host earns no less than without any. With shares of a third
-// of the volumes ten times too large or too small it earns at most 0.03 less, because they
-// contradict the meters. All values are means over five seeds.
+// TestWrongSharesLoseTrust checks that wrong shares cost little when the demand of five volumes is half more than
+// the nodes can serve. With correct shares the host earns no less than without any. With shares of a third of the
+// volumes ten times too large or too small it earns at most 0.03 less, because they contradict the meters. All values
+// are means over five seeds.
 func TestWrongSharesLoseTrust(t *testing.T) {
 	volumes := []siteVolume{{"a", "priority", 40, 40}, {"b", "priority", 30, 30}, {"c", "standard", 40, 40}, {"d", "standard", 40, 40},
 		{"e", "standard", 300, 120}}
--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -126,7 +126,7 @@
 	return k
 }
 
-// worstSpan returns the largest ratio, over all spans of FallSpan, of what a node was sent to what the settings
+// worstSpan returns the largest ratio, over all spans of OverloadSpan, of what a node was sent to what the settings
 // allow plus a margin for chance, both in mean requests; and the units that it was sent in total.
 func (f *fleet) worstSpan(node Node, capacity float64) (over, total float64) {
 	steps := int(f.set.OverloadSpan / fleetStep)
@@ -155,7 +155,7 @@
 // takes the larger of two parts. Where a few hosts are busy, the sum of these exceeds N, but by less than chance
 // adds to the demand.
 func TestFleetStaysWithinColdBudget(t *testing.T) {
-	const capacity = 27.0 // units a second of a warm node: 37 units in a span are what a cold one bears of it
+	const capacity = 27.0 // units a second of a warm node; a cold one withstands 0.17 x 4 times that, 37 a span
 	const usual = 0.6 * capacity / 2
 	all := []int{0, 1, 2, 3}
 	warm := []Node{nodeEntry("a0", 0), nodeEntry("a1", 1), nodeEntry("a2", 2), nodeEntry("a3", 3)}
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// worthWhenServed returns the part of its full worth that a request for units of a volume
-// gets, and has it served at once.
+// worthWhenServed returns the part of its full worth that a request for units of a volume gets, and has it served at
+// once.
 func worthWhenServed(h *harness, id, volume string, units float64) float64 {
 	h.t.Helper()
 	part := worthWhenHeld(h, id, volume, units)
@@ -46,10 +46,9 @@
 	return Shares{Version: 1, Trust: time.Hour, Volumes: map[string]VolumeShare{"v": {Rate: rate, At: map[string]float64{"n1": rate}}}}
 }
 
-// TestWorthWithinAndBeyondShare: requests within a volume's share get the share's worth. Of
-// a demand beyond it, the covered part counts. Volumes without a share get the worth by their
-// nominal rate, as do all volumes after the shares are withdrawn. The nodes on which the
-// shares place a volume make no difference.
+// TestWorthWithinAndBeyondShare checks that requests within a volume's share get the share's worth, and that of a
+// demand beyond it the covered part counts. Volumes without a share get the worth by their nominal rate, as do all
+// volumes after the shares are withdrawn. The nodes on which the shares place a volume make no difference.
 func TestWorthWithinAndBeyondShare(t *testing.T) {
 	for _, at := range []map[string]float64{{"n1": 40}, {"n1": 2}, {"n9": 40}, nil} {
 		h := newSharesHarness(t)
@@ -87,9 +86,9 @@
 	}
 }
 
-// TestMetShareDoesNotLowerWorth: a volume whose share covers its whole expected demand gets
-// no less than the worth by its nominal rate, however large its demand, and more if the share
-// is larger. A share that does not cover the expected demand lowers the worth.
+// TestMetShareDoesNotLowerWorth checks that a volume whose share covers its whole expected demand gets no less than the
+// worth by its nominal rate, however large its demand, and more if the share is larger. A share that does not cover the
+// expected demand lowers the worth.
 func TestMetShareDoesNotLowerWorth(t *testing.T) {
 	price := func(met bool, rate float64) (last float64) {
 		h := newSharesHarness(t)
@@ -107,8 +106,8 @@
 	}
 }
 
-// TestShareTrustDecays: shares lose their trust past the trusted age, or if the volume's
-// meter contradicts them. Within a factor of two of the meter they are trusted in full.
+// TestShareTrustDecays checks that shares lose their trust past the trusted age, or if the volume's meter contradicts
+// them. Within a factor of two of the meter they are trusted in full.
 func TestShareTrustDecays(t *testing.T) {
 	trust := func(age time.Duration, use int, rate float64) float64 {
 		h := newSharesHarness(t)
@@ -145,8 +144,8 @@
 	}
 }
 
-// TestSharesOfManyHosts: this host counts on the part of the share that corresponds to its
-// part of the volume's work, which answers report for the other hosts.
+// TestSharesOfManyHosts checks that this host counts on the part of the share that corresponds to its part of the
+// volume's work. The answers report the work done for the other hosts.
 func TestSharesOfManyHosts(t *testing.T) {
 	h := newSharesHarness(t)
 	h.step(0, sharesOfV(60))
@@ -166,9 +165,8 @@
 	}
 }
 
-// TestIrrelevantSharesChangeNothing: an event without shares, or with shares of other
-// volumes, changes no action of a random sequence of events. With relevant shares, the same
-// events still give the same actions.
+// TestIrrelevantSharesChangeNothing checks that an event without shares, or with shares of other volumes, changes no
+// action of a random sequence of events. With relevant shares, the same events still give the same actions.
 func TestIrrelevantSharesChangeNothing(t *testing.T) {
 	for seed := range int64(30) {
 		plain := playRandom(t, seed)
--- a/control/state.go
+++ b/control/state.go
@@ -30,7 +30,7 @@
 	servedByShard  map[int]decayingSum        // the same by shard
 	firstTries     map[retryKey]time.Duration // when the first try of a request that may come again arrived
 	stallTime      time.Duration              // how long this host was stalled before this step; 0: not
-	recentRequests []timedAmount              // within Settings.ExtraSpan, for the retry budget
+	recentRequests []timedAmount              // within Settings.RetryBudgetSpan, for the retry budget
 	recentRetries  []timedAmount              // the same
 	timerToken     int64
 	timerAt        time.Duration
@@ -313,7 +313,7 @@
 	c.emit(SetTimer{at, c.timerToken})
 }
 
-// Beliefs returns the controller's estimates of each known node, sorted by id. It changes nothing. Callers
+// NodeEstimates returns the controller's estimates of each known node, sorted by id. It changes nothing. Callers
 // compare it with what they observe on the sockets.
 func (c *Controller) NodeEstimates() []NodeEstimate {
 	list := make([]NodeEstimate, 0, len(c.nodesByID))
