--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -131,7 +131,7 @@
 		case <-f.addressChanged:
 			f.closeWatch(&f.trial)
 			f.scheduler.AddressChanged(f.clock())
-			f.log.Info("discovery: another address", "addr", f.State().Address)
+			f.log.Info("discovery: address changed", "addr", f.State().Address)
 		case e := <-f.events:
 			f.handleEvent(e)
 		case <-timer.C:
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -2,7 +2,7 @@
 // backend posts outcomes, and the register or discovery feed posts node lists. Each turn of the loop passes the
 // whole mailbox to the controller as one batch and executes the actions that it returns. The package makes no
 // decision about a request, opens no socket, and reads the clock once a turn for all events of the batch.
-// Callers: internal/front (Submit, Leave), internal/backend (Ended, Probed), internal/register and
+// Callers: internal/front (Submit, ClientGone), internal/backend (AttemptEnded, Probed), internal/register and
 // internal/discovery (List), cmd/eiderhold and internal/live (Run).
 package host
 
@@ -85,7 +85,7 @@
 }
 
 // Abandon marks the request as one whose client has gone: no further attempt of it may begin. A front calls it
-// when it sees the close, before Host.Leave, so that attempts waiting for a connection stop without waiting for
+// when it sees the close, before Host.ClientGone, so that attempts waiting for a connection stop without waiting for
 // the loop.
 func (r *Request) Abandon() { r.abandoned.Store(true) }
 
@@ -112,7 +112,7 @@
 	Number      int    // from 0 on
 	Node        string
 	Remaining   time.Duration // time left until the answer is due
-	BeginWithin time.Duration // the attempt must begin within this time from now; 0: within Left
+	BeginWithin time.Duration // the attempt must begin within this time from now; 0: within Remaining
 	Request     *Request
 }
 
@@ -131,7 +131,7 @@
 }
 
 // Backend sends attempts to nodes. Its methods return at once and are called on the host's loop. Every Send is
-// followed by one Host.Ended unless Drop is called first.
+// followed by one Host.AttemptEnded unless Drop is called first.
 type Backend interface {
 	Send(Attempt)
 	Drop(ref uint64) // the attempt's answer is no longer wanted
@@ -179,7 +179,7 @@
 	// Demand is called about once a second while there is any demand, with the units requested per volume since
 	// the last call; retries do not count. The callee owns the map and must not block. May be nil.
 	Demand func(map[string]float64)
-	// Heard is called for each attempt and probe that ended, with the shard of its node and whether an answer
+	// NodeAnswered is called for each attempt and probe that ended, with the shard of its node and whether an answer
 	// of any kind came. It is called on the host's loop and must not block. May be nil.
 	NodeAnswered func(shard int, answered bool)
 }
@@ -294,7 +294,7 @@
 		nodes: map[string]Node{}, nodeStarts: map[string]nodeStart{}, now: clock()}, nil
 }
 
-// Follow sets the register. It must be called before Run.
+// SetRegister sets the register. It must be called before Run.
 func (h *Host) SetRegister(r Register) { h.options.Register = r }
 
 // Now returns the time by the host's clock.
@@ -307,7 +307,7 @@
 }
 
 // Submit posts a request. If it returns an error the request was not accepted and no answer follows; otherwise
-// exactly one answer follows within Expires, unless Leave is called first.
+// exactly one answer follows within Expires, unless ClientGone is called first.
 func (h *Host) Submit(r *Request) (id uint64, err error) {
 	h.mu.Lock()
 	if h.stopped {
@@ -330,10 +330,10 @@
 	return q.id, nil
 }
 
-// Leave reports that the client of a request has gone. The request gets no answer if it has none yet.
+// ClientGone reports that the client of a request has gone. The request gets no answer if it has none yet.
 func (h *Host) ClientGone(id uint64) { h.post(clientGone{id}) }
 
-// Ended reports the end of an attempt, for the backend.
+// AttemptEnded reports the end of an attempt, for the backend.
 func (h *Host) AttemptEnded(o Outcome) {
 	o.at = h.clock()
 	h.post(o)
@@ -664,14 +664,14 @@
 	return s
 }
 
-// Believed is the controller's belief about a node, with the attempts that the host has in flight to it.
+// NodeView is the controller's estimate of a node's state, with the attempts that the host has in flight to it.
 type NodeView struct {
 	control.NodeEstimate
 	HostInFlight int // attempts in flight; the backend has as many, on connections or waiting for one
 }
 
-// Beliefs calls f on the host's loop with the controller's belief about each node, ordered by id, or with nil if the
-// controller does not report beliefs. f must not block.
+// Beliefs calls f on the host's loop with the controller's estimate of each node, ordered by id, or with nil if the
+// controller does not report estimates. f must not block.
 func (h *Host) Beliefs(f func([]NodeView)) {
 	h.post(call(func() {
 		reporter, ok := h.controller.(interface{ NodeEstimates() []control.NodeEstimate })
@@ -695,7 +695,7 @@
 // actions are being executed.
 func (h *Host) postCall(f func()) { h.post(call(f)) }
 
-// send starts an attempt, or ends it as not sent if its node is unknown or it is too late for it.
+// send starts an attempt, or ends it as not sent if its node is unknown or its time is over.
 func (h *Host) send(s control.Send) {
 	r := h.requests[s.ID]
 	if r == nil {
--- a/internal/host/host_test.go
+++ b/internal/host/host_test.go
@@ -146,7 +146,7 @@
 		t.Fatalf("%+v, %+v", *got, b.stats)
 	}
 	if _, gone := d.events[0].(control.ClientGone); !gone {
-		t.Errorf("the controller was told %+v", d.events)
+		t.Errorf("the controller got the events %+v", d.events)
 	}
 	b.controller = &scriptedController{next: func([]control.Event) []control.Action {
 		return []control.Action{control.Refuse{ID: "1"}, control.Send{ID: "1", Node: "n"}}
@@ -278,7 +278,7 @@
 	b.ClientGone(999)
 	b.step(0)
 	if _, ok := d.events[0].(control.ClientGone); !ok || len(d.events) != 1 {
-		t.Fatalf("told %+v", d.events)
+		t.Fatalf("the controller got the events %+v", d.events)
 	}
 	if w := b.back.withdrawn; len(w) != 1 || w[0] != b.back.sent[0].Ref || !b.back.sent[0].Request.Abandoned() {
 		t.Fatalf("withdrawn %v, request abandoned: %v", w, b.back.sent[0].Request.Abandoned())
@@ -286,7 +286,7 @@
 	b.AttemptEnded(Outcome{Ref: b.back.sent[0].Ref, Result: control.Done, Data: buffer.Get(1)})
 	b.step(0)
 	if o, ok := d.events[0].(control.Outcome); !ok || !o.Closed || len(*got) != 0 || len(b.requests) != 0 {
-		t.Errorf("told %+v, %d answers, %d requests", d.events, len(*got), len(b.requests))
+		t.Errorf("the controller got the events %+v; %d answers, %d requests", d.events, len(*got), len(b.requests))
 	}
 }
 
--- a/internal/host/stats.go
+++ b/internal/host/stats.go
@@ -10,7 +10,7 @@
 
 const statsInterval = 200 * time.Millisecond // between two publications of Stats
 
-// Times is a histogram of durations from one microsecond to one minute.
+// Histogram is a histogram of durations from one microsecond to one minute.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
 // Record adds a duration. It is not safe for concurrent use.
@@ -31,7 +31,7 @@
 	_ = t.h.RecordValue(min(max(1, d.Microseconds()), time.Minute.Microseconds())) // clamped, so never out of range
 }
 
-// At returns the value at a percentile, or 0 if nothing was recorded.
+// Percentile returns the value at a percentile, or 0 if nothing was recorded.
 func (t Histogram) Percentile(percentile float64) time.Duration {
 	if t.h == nil {
 		return 0
@@ -45,10 +45,10 @@
 	Answers                           [3]uint64 // by Kind
 	Results                           [9]uint64 // by control.Result
 	Placed                            [3]uint64 // attempts at new extents: in the first tier, a later tier, elsewhere
-	ClientsGone                       uint64    // clients that left before their answer
+	ClientsGone                       uint64    // clients that disconnected before their answer
 	LateOutcomes                      uint64    // outcomes reported after the end of their attempt
 	RefusedAtLimit                    uint64    // refused at the limit of open requests
-	Defects                           uint64    // requests without a decision in time, and other controller faults: must stay 0
+	Defects                           uint64    // controller faults, such as no decision in time: must stay 0
 	Open, InFlight, Timers            int
 	Mailbox                           Histogram // from Submit to the controller
 	Decide                            Histogram // from Submit to the first Send
--- a/internal/live/live.go
+++ b/internal/live/live.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// StartedAt converts the start of a node to the host's clock, see host.Host.StartedAt.
+// StartedAt converts the start of a node to the host's clock; see host.Host.StartedAt.
 func (s *Server) StartedAt(node string, wall time.Time) time.Duration {
 	return s.host.StartedAt(node, wall)
 }
@@ -216,14 +216,14 @@
 	return s.loop.Stop()
 }
 
-// CompareNodes calls f with the controller's beliefs about each node and with the counters of its connections.
+// CompareNodes calls f with the controller's estimate of each node and with the counters of its connections.
 func (s *Server) CompareNodes(f func([]host.NodeView, map[string]backend.NodeTraffic)) {
 	s.host.Beliefs(func(believed []host.NodeView) {
 		s.backend.Traffic(func(passed map[string]backend.NodeTraffic) { f(believed, passed) })
 	})
 }
 
-// logNodes logs a line for each node to which anything was sent: the controller's beliefs and the counters of the
+// logNodes logs a line for each node to which anything was sent: the controller's estimates and the counters of the
 // connections.
 func (s *Server) logNodes() {
 	s.CompareNodes(func(believed []host.NodeView, passed map[string]backend.NodeTraffic) {
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -263,7 +263,8 @@
 	}
 	for settled := false; !settled; {
 		got := make(chan bool)
-		r.CompareNodes(func(b []host.NodeView, p map[string]backend.NodeTraffic) { // attempts that wait for a connection are not in flight yet
+		// Attempts that wait for a connection are not in flight yet.
+		r.CompareNodes(func(b []host.NodeView, p map[string]backend.NodeTraffic) {
 			got <- len(b) == 1 && b[0].InFlight > 0 && b[0].Held > 0 && p["s-1"].Waiting == 0 && p["s-1"].InFlight == b[0].InFlight
 		})
 		settled = <-got
@@ -290,7 +291,7 @@
 	}
 }
 
-// TestBeliefs checks that the controller's belief about attempts in flight matches the sockets, while a node delays
+// TestBeliefs checks that the controller's estimate of the attempts in flight matches the sockets, while a node delays
 // its answers and after. A node that does not answer is suspect until it answers.
 func TestBeliefs(t *testing.T) {
 	release := make(chan bool)
@@ -308,12 +309,12 @@
 	}
 	r.waitReceived(n, 3, answers...)
 	if b, p := compare(); b.InFlight != 3 || b.HostInFlight != 3 || p.InFlight+p.Waiting != 3 || p.Written != 3 || p.Responses != 0 {
-		t.Fatalf("believed %+v, passed %+v", b, p)
+		t.Fatalf("estimates %+v, traffic %+v", b, p)
 	}
 	for suspect := false; !suspect; {
 		b, p := compare()
 		if suspect = b.Suspect; b.HostInFlight != p.InFlight+p.Waiting {
-			t.Fatalf("believed %+v, passed %+v", b, p)
+			t.Fatalf("estimates %+v, traffic %+v", b, p)
 		}
 	}
 	close(release)
@@ -321,7 +322,7 @@
 		r.expect(a, served(i))
 	}
 	if b, p := compare(); b.InFlight != 0 || b.HostInFlight != 0 || b.Suspect || p.InFlight+p.Waiting != 0 || p.Responses != 3 {
-		t.Fatalf("believed %+v, passed %+v", b, p)
+		t.Fatalf("estimates %+v, traffic %+v", b, p)
 	}
 }
 
--- a/internal/loop/finish.go
+++ b/internal/loop/finish.go
@@ -22,10 +22,10 @@
 	discarded   int       // bytes read and discarded
 }
 
-// Finish closes a connection gracefully, on the loop: it flushes what is written, shuts down the sending side, and
-// discards further input until the peer closes or a bound is reached. The Peer gets no more Traffic calls, and Closed
-// at the end. A plain close with unread input resets the connection, which can destroy an answer that the other side
-// has not read yet. The cost is a descriptor that stays open for up to a second after the flush.
+// CloseGracefully closes a connection gracefully, on the loop: it flushes what is written, shuts down the sending side,
+// and discards further input until the peer closes or a bound is reached. The Peer gets no more Traffic calls, and
+// Closed at the end. A plain close with unread input resets the connection, which can destroy an answer that the other
+// side has not read yet. The cost is a descriptor that stays open for up to a second after the flush.
 func (l *Loop) CloseGracefully(g gnet.Conn) {
 	m := g.Context().(*connState)
 	if m.closing != nil {
@@ -68,7 +68,7 @@
 	l.scheduleSweep()
 }
 
-// Unread reports whether the connection has input that has not been read yet. It is called on the loop.
+// HasUnread reports whether the connection has input that has not been read yet. It is called on the loop.
 func HasUnread(g gnet.Conn) bool {
 	var p [1]byte
 	n, _, err := unix.Recvfrom(g.Fd(), p[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -82,7 +82,7 @@
 func (idlePeer) Traffic(gnet.Conn) gnet.Action { return gnet.None }
 func (idlePeer) Closed(gnet.Conn, error)       {}
 
-// Do runs f on the loop, asynchronously. Calls run in the order of Do. After Stop they are dropped.
+// Post runs f on the loop, asynchronously. Calls run in the order of Post. After Stop they are dropped.
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
@@ -148,7 +148,7 @@
 }
 
 // Close closes a connection at once, on the loop; Closed runs before it returns. If the other side may still be
-// reading or sending, use Finish.
+// reading or sending, use CloseGracefully.
 func (l *Loop) Close(g gnet.Conn) { _ = l.eventLoop.Close(g) }
 
 // Stop stops the loop and closes all of its connections.
--- a/membership/keeper.go
+++ b/membership/keeper.go
@@ -11,7 +11,7 @@
 // less, so that two consecutive trials may fail. A change that the agent has after downtime is due at once, hence
 // the short TrialTimeout.
 type Timing struct {
-	SilenceTimeout time.Duration // without a byte, until another watch is opened; discovery sends an empty line every 2 s
+	SilenceTimeout time.Duration // without a byte until another watch opens; discovery sends an empty line every 2 s
 	TrialTimeout   time.Duration // from the dial to the first object, which the agent on the same machine sends at once
 	MinRetryDelay  time.Duration // after the first failed trial
 	MaxRetryDelay  time.Duration // maximum after repeated failures
@@ -31,7 +31,7 @@
 	MinRetryDelay: 20 * time.Millisecond, MaxRetryDelay: 250 * time.Millisecond, KnownListDelay: 1500 * time.Millisecond}
 
 // Scheduler decides when a watch is opened. At most two are open: the current watch, and one on trial, which replaces
-// it with its first object. So a working watch is never dropped for one that does not work.
+// it with its first object. A working watch is therefore never dropped for one that does not work.
 type Scheduler struct {
 	timing Timing
 
@@ -60,7 +60,7 @@
 	Wait          Step = iota // do nothing until Due
 	OpenWatch                 // open a watch, on trial
 	FetchAll                  // request the whole list, on trial
-	TrialTimedOut             // close the watch on trial: it has had no object in time
+	TrialTimedOut             // close the watch on trial: it has sent no object in time
 	CancelTrial               // close the watch on trial: the current watch works again
 )
 
