--- a/connpool/connpool.go
+++ b/connpool/connpool.go
@@ -31,16 +31,16 @@
 	IdleTimeout    time.Duration // after which nodes close an idle connection; 0: never
 }
 
-// Verdict is the decision for an attempt.
+// Decision is the decision for an attempt.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
 	Use         Decision = iota // the returned connection carries the attempt
 	Open                        // open a connection; the attempt waits
 	Evict                       // close the returned idle connection and open one in its place; the attempt waits
 	WaitForIdle                 // a connection that rests or is being opened will carry it, see Due; the attempt waits
-	Wait                        // the maximum is reached and no connection can be evicted: the attempt waits for a connection
+	Wait                        // the maximum is reached and no connection can be evicted: the attempt waits
 )
 
 // Pool tracks the connections of all nodes. C identifies a connection.
@@ -63,7 +63,7 @@
 	unused bool // it has carried no request yet and need not rest
 }
 
-// Excess reports that bytes arrived on a connection without a request in flight.
+// UnexpectedBytes reports that bytes arrived on a connection without a request in flight.
 func (p *Pool[C]) UnexpectedBytes(now time.Duration) { p.longDelayUntil = now + longDelayDuration }
 
 // readyAt returns the time from which an idle connection may carry a request.
@@ -168,21 +168,22 @@
 	p.removeEmpty(id)
 }
 
-// Done reports that a connection's request has ended and that the connection may be reused.
+// Released reports that a connection's request has ended and that the connection may be reused.
 func (p *Pool[C]) Released(now time.Duration, id string, c C) {
 	n := p.node(id)
 	n.busy--
 	n.idle = append(n.idle, idleConn[C]{c, now, false})
 }
 
-// Ended reports that a connection with a request in flight has been closed.
+// BusyClosed reports that a connection with a request in flight has been closed.
 func (p *Pool[C]) BusyClosed(id string) {
 	p.node(id).busy--
 	p.total--
 	p.removeEmpty(id)
 }
 
-// Lost reports that an idle connection has been closed. It returns false if the connection is not idle in the pool.
+// IdleClosed reports that an idle connection has been closed. It returns false if the connection is not idle in the
+// pool.
 func (p *Pool[C]) IdleClosed(id string, c C) bool {
 	n := p.node(id)
 	i := slices.IndexFunc(n.idle, func(x idleConn[C]) bool { return x.conn == c })
@@ -206,8 +207,8 @@
 	return at, ok
 }
 
-// Old removes and returns the connections that have idled too long, and all idle ones of nodes that are no longer
-// wanted.
+// RemoveExpired removes and returns the connections that have idled too long, and all idle ones of nodes that are no
+// longer wanted.
 func (p *Pool[C]) RemoveExpired(now time.Duration, wanted func(id string) bool) (old []C) {
 	limit := time.Duration(idleFraction * float64(p.settings.IdleTimeout))
 	for id, n := range p.nodes {
--- a/connpool/connpool_test.go
+++ b/connpool/connpool_test.go
@@ -11,13 +11,13 @@
 const ms = time.Millisecond
 
 // TestReuseDelay checks that a connection is not reused right after an answer, that a second attempt meanwhile opens
-// another, that a third waits while connections for both are on their way, and that Excess extends the delay.
+// another, that a third waits while connections for both are on their way, and that UnexpectedBytes extends the delay.
 func TestReuseDelay(t *testing.T) {
 	p := New[int](Settings{MaxConnections: 10, IdleTimeout: time.Second})
 	expect := func(now time.Duration, waiting int, conn int, want Decision) {
 		t.Helper()
 		if c, v := p.Take(now, "n", waiting); v != want || c != conn {
-			t.Fatalf("at %v: connection %d, verdict %d; expected %d, %d", now, c, v, conn, want)
+			t.Fatalf("at %v: connection %d, decision %d; expected %d, %d", now, c, v, conn, want)
 		}
 	}
 	expect(0, 0, 0, Open)
@@ -50,7 +50,7 @@
 		p.Opened(time.Duration(i)*ms, "n", i)
 	}
 	if c, v := p.Take(10*ms, "n", 0); c != 3 || v != Use {
-		t.Fatalf("connection %d, verdict %d", c, v)
+		t.Fatalf("connection %d, decision %d", c, v)
 	}
 	p.Released(900*ms, "n", 3)
 	wanted := func(string) bool { return true }
@@ -74,17 +74,17 @@
 	p.Take(0, "b", 0)
 	p.Opened(2*ms, "b", 2)
 	if c, v := p.Take(3*ms, "c", 0); c != 1 || v != Evict || p.Total() != 2 {
-		t.Fatalf("connection %d, verdict %d, %d in all", c, v, p.Total())
+		t.Fatalf("connection %d, decision %d, %d in all", c, v, p.Total())
 	}
 	if c, v := p.Take(3*ms, "b", 0); c != 2 || v != Use {
-		t.Fatalf("connection %d, verdict %d", c, v)
+		t.Fatalf("connection %d, decision %d", c, v)
 	}
 	if _, v := p.Take(3*ms, "b", 0); v != Wait {
-		t.Fatalf("verdict %d", v)
+		t.Fatalf("decision %d", v)
 	}
 	p.Failed("c")
 	if _, v := p.Take(4*ms, "b", 0); v != Open {
-		t.Fatalf("after a failed dial: verdict %d, expected Open", v)
+		t.Fatalf("after a failed dial: decision %d, expected Open", v)
 	}
 }
 
@@ -181,12 +181,12 @@
 		now += 10 * ms
 		id := fmt.Sprint("n", i)
 		if _, v := p.Take(now, id, 0); v != Open {
-			t.Fatalf("node %d: verdict %d", i, v)
+			t.Fatalf("node %d: decision %d", i, v)
 		}
 		next++
 		p.Opened(now, id, next)
 		if c, v := p.Take(now, id, 0); v != Use || c != next {
-			t.Fatalf("node %d: connection %d, verdict %d", i, c, v)
+			t.Fatalf("node %d: connection %d, decision %d", i, c, v)
 		}
 		p.Released(now, id, next)
 		p.RemoveExpired(now, func(other string) bool { return other != fmt.Sprint("n", i-20) }) // replaced
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// Yields reports whether a connection that holds heldBytes of an incomplete request is closed in favour of a request
-// of newBytes, when there is no room for both. It guards against clients that begin hundreds of large requests.
+// EvictForRequest reports whether a connection that holds heldBytes of an incomplete request is closed in favour of a
+// request of newBytes, when there is no room for both. It guards against clients that begin hundreds of large requests.
 func EvictForRequest(heldBytes, newBytes int) bool { return heldBytes > newBytes }
 
-// Again is the retry delay given to a client that is refused for lack of room.
+// RetryDelay is the retry delay given to a client that is refused for lack of room.
 const RetryDelay = 500 * time.Millisecond
 
 // Conn is the state of a client connection.
@@ -70,7 +70,8 @@
 	shortIdleTimeout = 2 * time.Second
 	// answerTimeout is the time to write an answer completely. It guards against clients that do not read.
 	answerTimeout = 5 * time.Second
-	// silentTimeout is for a connection that has sent nothing, while there is no room: clients send as they connect.
+	// silentTimeout is for a connection that has sent nothing, while there is no room: clients send as soon as they
+	// connect.
 	silentTimeout = 300 * time.Millisecond
 	// shortLingerTimeout is for a connection that is being closed, while there is no room: by then its client has
 	// read its answer.
@@ -79,17 +80,17 @@
 	busyOccupancy      = 0.75 // part of the capacity in use from which shortIdleTimeout applies
 )
 
-// Verdict is the decision about a connection.
+// Decision is the decision about a connection.
 type Decision int
 
-// The verdicts.
+// The decisions.
 const (
 	KeepOpen Decision = iota // keep it open
 	Close                    // close it
 	Late                     // answer that the request did not arrive in time, then close it
 )
 
-// Judge decides whether a connection stays open while used of capacity connections exist.
+// Decide decides whether a connection stays open while used of capacity connections exist.
 func Decide(now time.Duration, c Conn, used, capacity int) Decision {
 	age := now - c.Since
 	switch {
@@ -113,16 +114,16 @@
 	return KeepOpen
 }
 
-// Keep reports whether a connection stays open after an answer while used of capacity connections exist. It guards
+// KeepAlive reports whether a connection stays open after an answer while used of capacity connections exist. It guards
 // against clients that send one request and stay connected: they would hold the places of active clients, and
-// detecting them takes longer than opening a new connection. A client that is told with the answer sends nothing more
-// on a connection that closes. The cost is that clients reconnect for each request while places are short.
+// detecting them takes longer than opening a new connection. A client that is told of the close with the answer sends
+// nothing more on the connection. The cost is that clients reconnect for each request while places are short.
 func KeepAlive(used, capacity int) bool { return float64(used) < keepAliveOccupancy*float64(capacity) }
 
-// Rank orders connections for eviction when a new client connects and Judge frees no place: the highest rank is closed
-// first. may is false for a connection that must not be closed, such as one with an open request. Connections that are
-// being closed rank above those that have sent nothing, these above those between requests, and these above those
-// with part of a first request.
+// EvictionRank orders connections for eviction when a new client connects and Decide frees no place: the highest rank
+// is closed first. may is false for a connection that must not be closed, such as one with an open request. Connections
+// that are being closed rank above those that have sent nothing, these above those between requests, and these above
+// those with part of a first request.
 func EvictionRank(now time.Duration, c Conn) (rank float64, may bool) {
 	age := min(0.99, max(0, (now-c.Since).Seconds()/60))
 	switch {
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -44,7 +44,7 @@
 		{"idle for long", Conn{HasRequested: true}, 21 * sec, 1, 100, Close},
 	} {
 		if got := Decide(c.now, c.conn, c.taken, c.places); got != c.want {
-			t.Errorf("%s: verdict %d, expected %d", c.name, got, c.want)
+			t.Errorf("%s: decision %d, expected %d", c.name, got, c.want)
 		}
 	}
 }
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,6 +1,6 @@
 // Package outcome decides what the end of an attempt over HTTP proves: that the node ran the request, may have run it,
 // or never ran it (the platform's PROTOCOL, "Hosts to nodes"). It does no I/O; internal/backend/http uses it. Without
-// proof that a request never ran, it may have run: one that is resent or refused by mistake takes effect twice.
+// proof that a request never ran, it may have run: a request that is resent or refused by mistake takes effect twice.
 package outcome
 
 import (
@@ -30,8 +30,8 @@
 	return control.Reset
 }
 
-// Ends reports whether the end of a connection completes an answer without a length: it does if the other side shut
-// down its sending side, which a read of zero bytes shows. A reset or any other error does not complete it.
+// EndsAnswer reports whether the end of a connection completes an answer without a length: it does if the other side
+// shut down its sending side, which a read of zero bytes shows. A reset or any other error does not complete it.
 func EndsAnswer(err error) bool {
 	var syscallErr *os.SyscallError
 	return errors.As(err, &syscallErr) && syscallErr.Syscall == "read" && syscallErr.Err == io.EOF
@@ -49,7 +49,7 @@
 	return control.Error
 }
 
-// OfSpoilt returns the result that a malformed or incomplete answer proves: the request may have run, and a
+// OfMalformed returns the result that a malformed or incomplete answer proves: the request may have run, and a
 // Not-Started field in it is no proof to the contrary.
 func OfMalformed() control.Result { return control.Error }
 
--- a/shutdown/shutdown.go
+++ b/shutdown/shutdown.go
@@ -7,7 +7,7 @@
 
 // The platform's figures for a planned restart (PROTOCOL, Figures). Clients use their connections as long as these
 // stay open, and an early exit does not make the next process start sooner. A host therefore serves as long as
-// possible during shutdown: without it its clients have no host. A request that arrives within requestGrace of the
+// possible during shutdown: its clients have no other host. A request that arrives within requestGrace of the
 // signal and is open when the host is killed does not count against the host.
 const (
 	connectDuration    = 400 * time.Millisecond // new connections arrive for this time at most
@@ -28,7 +28,7 @@
 	// Serve says that connections stay open, even when places are short: a client that loses its connection cannot
 	// open another. When it is false, each connection closes after its answer, and idle ones at once.
 	Serve    bool
-	AnswerBy time.Duration // time from the signal by which requests accepted now must be answered; 0: their own deadline
+	AnswerBy time.Duration // time from the signal by which requests accepted now must be answered; 0: own deadline
 	// StopReading says that all accepted requests have their answers. Requests received in part are refused, and
 	// further input is not read: such requests would be open when the process exits.
 	StopReading bool
