--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,6 +1,6 @@
 // Package backend sends attempts to storage nodes over pipelined connections on gnet event loops, and reports how
 // each ended. It neither chooses nodes nor retries. The host calls it (Send, Drop, Probe, Nodes) and receives
-// results through its Ended and Probed methods.
+// results through its AttemptEnded and Probed methods.
 //
 // What an outcome proves: NotSent and Unreachable are reported only for attempts of which no byte was handed to a
 // socket. Once a frame has been handed over, an attempt whose connection ends is reported as Reset, however much of
@@ -36,7 +36,7 @@
 	IdleClose       time.Duration // idle time after which a connection is closed; 0: never
 	SendCancel      bool          // send the node a cancel for each dropped attempt
 	Loops           int           // gnet event loops
-	// Filled is called with the bytes that a shard holds, and whether it had no room for an item. It is called with
+	// OnFill is called with the bytes that a shard holds, and whether it had no room for an item. It is called with
 	// a lock held, so it must neither block nor call the Backend. It may be nil.
 	OnFill func(shard int, used, capacity uint64, noRoom bool)
 }
@@ -90,7 +90,7 @@
 	closeReason string // text reported to the owner; empty: unknown
 	lastID      uint64
 	attempts    map[uint64]*attempt // by attempt.id
-	probe       *attempt            // the latest one in flight; only one is kept, so that a node that hangs does not accumulate probes
+	probe       *attempt            // the latest in flight; only one is kept, so that none accumulate at a hanging node
 	idleSince   time.Time           // time when its last attempt ended
 	timer       *time.Timer         // dial timeout, until the hello arrives
 	needBytes   int                 // bytes of the current frame, as far as its size is known
@@ -125,7 +125,7 @@
 	return b, nil
 }
 
-// Own sets the owner. It must be called before the first Send.
+// SetOwner sets the owner. It must be called before the first Send.
 func (b *Backend) SetOwner(o Owner) { b.owner = o }
 
 // Close closes all connections. Outcomes of attempts in flight are not reported.
@@ -203,8 +203,8 @@
 	b.dial(n)
 }
 
-// leastLoaded returns the connection with the fewest attempts in flight, or nil if all have reached streams and
-// another one may be opened. When the connection limit is reached, streams no longer applies: the controller's
+// leastLoaded returns the connection with the fewest attempts in flight, or nil if all carry at least streams attempts
+// and another one may be opened. When the connection limit is reached, streams no longer applies: the controller's
 // window bounds the attempts.
 func (n *node) leastLoaded(streams, conns int) *conn {
 	var best *conn
@@ -220,7 +220,8 @@
 }
 
 // write writes the attempt's frame to a connection; from then on the attempt may run. An attempt that has waited
-// longer than Begin is not sent: the node may no longer recognize it as a repeat and would apply its effect again.
+// longer than BeginWithin is not sent: the node may no longer recognize it as a repeat and would apply its effect
+// again.
 func (b *Backend) write(c *conn, a *attempt) {
 	if a.BeginWithin > 0 && time.Since(a.sentAt) >= a.BeginWithin {
 		delete(b.attempts, a.Ref)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -153,7 +153,7 @@
 	b.Send(read(2, "closed", "i", 1))
 	b.Send(read(3, "mute", "i", 1))
 	b.Send(read(4, "mute", "i", 1))
-	b.Send(read(5, "mute", "i", 1))  // one more than Settings.Waiting
+	b.Send(read(5, "mute", "i", 1))  // one more than Settings.MaxWaiting
 	b.Send(read(6, "other", "i", 1)) // node n answers at this address
 	b.Send(read(7, "n", "no such item", 1))
 	b.Send(write(8, "n", "i", []byte("bytes")))
--- a/internal/backend/handler.go
+++ b/internal/backend/handler.go
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// reportFill passes the fill of a connection's shard to Settings.Filled.
+// reportFill passes the fill of a connection's shard to Settings.OnFill.
 func (b *Backend) reportFill(c *conn, used, capacity uint64, noRoom bool) {
 	if b.settings.OnFill != nil && (capacity > 0 || noRoom) {
 		b.settings.OnFill(c.shard, used, capacity, noRoom)
--- a/internal/backend/http/answer.go
+++ b/internal/backend/http/answer.go
@@ -111,7 +111,7 @@
 	case h.Body.Length > http1.MaxBody:
 		return fmt.Errorf("a body of %d bytes: expected %d at most", h.Body.Length, http1.MaxBody)
 	default:
-		r.body = make([]byte, 0, min(h.Body.Length, initialBodyBytes)) // allocates little for a length that is only announced
+		r.body = make([]byte, 0, min(h.Body.Length, initialBodyBytes)) // little for a length that is only announced
 	}
 	return nil
 }
--- a/internal/backend/http/backend.go
+++ b/internal/backend/http/backend.go
@@ -1,7 +1,7 @@
 // Package http sends attempts to storage nodes that speak HTTP/1.1, one request at a time per connection, and
 // reports how each ended. It neither chooses nodes nor retries; package connpool decides which connection carries
 // an attempt and when connections are opened and closed. The host calls it (Send, Drop, Nodes) and receives
-// results through its Ended method. All state belongs to one event loop.
+// results through its AttemptEnded method. All state belongs to one event loop.
 //
 // What an outcome proves: Unreachable is reported only for attempts whose last byte was not handed to the kernel,
 // Busy only for a complete response that carries Not-Started. In every other case after the last byte was handed
@@ -66,12 +66,13 @@
 
 // Stats are counters since the start; Conns, Out and Waiting are current values. Spoilt counts invalid responses,
 // Excess connections with unsolicited bytes, Stale connections found unusable before reuse, and Given attempts dropped
-// in flight.
+// in flight. Rested counts attempts that waited for a connection in its rest period, Barred attempts rejected while
+// they waited for a connection. Queued is the total time that written attempts had waited.
 type Stats struct {
 	Dials, DialsFailed, Written, Answers, Spoilt, Excess, Stale, Given uint64
-	Rested                                                             uint64        // attempts that waited for a connection in its rest period
-	Barred                                                             uint64        // attempts rejected while they waited for a connection
-	Queued                                                             time.Duration // total time that written attempts had waited
+	Rested                                                             uint64
+	Barred                                                             uint64
+	Queued                                                             time.Duration
 	Conns, Out, Waiting                                                int
 }
 
@@ -102,7 +103,7 @@
 	return b
 }
 
-// Own sets the owner, which receives outcomes. It must be called before the first Send.
+// SetOwner sets the owner, which receives outcomes. It must be called before the first Send.
 func (b *Backend) SetOwner(o backend.Owner) { b.owner = o }
 
 // Close stops opening connections; those that are open end with the loop.
@@ -123,15 +124,15 @@
 	})
 }
 
-// Passed is the traffic on the connections of one node.
+// NodeTraffic is the traffic on the connections of one node.
 type NodeTraffic struct {
 	InFlight, Waiting, Idle, Opening int
 	Written, Responses, Invalid      uint64
-	ResponseTime                     time.Duration // moving average of the time from a request's last byte to its response's
+	ResponseTime                     time.Duration // moving average, from a request's last byte to its response's
 	Load                             []float64     // the last load report
 }
 
-// Passed calls f, on the loop, with the traffic by node.
+// Traffic calls f, on the loop, with the traffic by node.
 func (b *Backend) Traffic(f func(map[string]NodeTraffic)) {
 	b.loop.Post(func() {
 		m := make(map[string]NodeTraffic, len(b.nodes))
@@ -564,7 +565,7 @@
 		}
 		o := host.Outcome{Result: outcome.OfEnd(c.progress, g.OutboundBuffered()), Text: text}
 		if o.Result == control.Unreachable {
-			_ = unix.Shutdown(g.Fd(), unix.SHUT_RDWR) // prevents that buffered output is still sent
+			_ = unix.Shutdown(g.Fd(), unix.SHUT_RDWR) // prevents buffered output from being sent
 		}
 		b.report(a, o)
 	}
--- a/internal/backend/http/backend_test.go
+++ b/internal/backend/http/backend_test.go
@@ -294,7 +294,8 @@
 			t.Fatal(err)
 		}
 		standin.Reset(c)
-		if o := <-r.outcomes; o.Result != control.Unreachable && o.Result != control.Reset { // depends on how much the kernel took
+		// The result depends on how much the kernel took.
+		if o := <-r.outcomes; o.Result != control.Unreachable && o.Result != control.Reset {
 			t.Fatalf("%+v", o)
 		}
 	})
@@ -399,8 +400,9 @@
 			req := &host.Request{Message: &http1.Message{Method: "GET", Target: "/api/v/i", ID: "00000000000000ff"}}
 			r.next++
 			ref := r.next
-			r.Send(host.Attempt{Ref: ref, Node: "b", Remaining: c.left, BeginWithin: c.begin, Request: req}) // the connection limit is reached
-			r.readStats()                                                                                    // the attempt is queued once this returns
+			// The connection limit is reached, so the attempt is queued once readStats returns.
+			r.Send(host.Attempt{Ref: ref, Node: "b", Remaining: c.left, BeginWithin: c.begin, Request: req})
+			r.readStats()
 			c.change(r, ref, req, [2]string{slow.Addr(), other.Addr()})
 			if c.atOnce {
 				if o := <-r.outcomes; o.Ref != ref || o.Result != control.NotSent {
@@ -452,7 +454,7 @@
 	}
 	left, err := strconv.Atoi(other.WaitSeen(1)[0].Left)
 	if err != nil || left > int((5*time.Second-wait).Milliseconds()) || left < int((5*time.Second-time.Since(began)).Milliseconds())-1 {
-		t.Fatalf("told %d ms after %v: %v", left, time.Since(began), err)
+		t.Fatalf("the node was told %d ms after %v: %v", left, time.Since(began), err)
 	}
 }
 
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -241,8 +241,8 @@
 	c.f.opt.Loop.CloseGracefully(c.g)
 }
 
-// EndBy limits the deadline of further requests to a time of the host's clock, even if their clients would wait
-// longer.
+// LimitDeadlines limits the deadline of further requests to a time of the host's clock, even if their clients would
+// wait longer.
 func (f *Front) LimitDeadlines(until time.Duration) { f.opt.Loop.Post(func() { f.endBy = until }) }
 
 // KeepAlive keeps connections open after their answers however few places are left. It is used during shutdown,
@@ -275,8 +275,8 @@
 	})
 }
 
-// Shut closes all connections without an open request. A partly read request is refused; unread bytes are
-// discarded.
+// CloseWithoutRequest closes all connections without an open request. A partly read request is refused; unread bytes
+// are discarded.
 func (f *Front) CloseWithoutRequest() {
 	f.opt.Loop.Post(func() {
 		for c := range f.conns {
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -449,7 +449,7 @@
 			req := <-r.host.submitted
 			leave(c)
 			if got := <-r.host.left; got != 1 || !req.Abandoned() {
-				t.Fatalf("request %d left, abandoned: %v", got, req.Abandoned())
+				t.Fatalf("the client of request %d has gone, abandoned: %v", got, req.Abandoned())
 			}
 			r.waitEmpty()
 			if len(r.host.submitted) != 0 {
@@ -508,8 +508,8 @@
 	<-done
 }
 
-// TestReadAfterShut checks that a request that arrives after its connection was shut is discarded, and that its
-// client reads the end of the stream rather than a reset.
+// TestReadAfterShut checks that a request that arrives after the front began to close its connection is discarded, and
+// that its client reads the end of the stream rather than a reset.
 func TestReadAfterShut(t *testing.T) {
 	r := newHarness(t, 10)
 	c := r.dial()
@@ -546,8 +546,8 @@
 	}
 }
 
-// TestShut checks that Shut refuses a partly read request, closes idle connections and leaves an open request to be
-// answered.
+// TestShut checks that CloseWithoutRequest refuses a partly read request, closes idle connections and leaves an open
+// request to be answered.
 func TestShut(t *testing.T) {
 	r := newHarness(t, 10)
 	open, half, idle := r.dial(), r.dial(), r.dial()
--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -42,7 +42,7 @@
 	Secrets  map[string]string // passwords by user name
 }
 
-// Spot tells which shards a new extent may be written to.
+// Placement tells which shards a new extent may be written to.
 type Placement struct {
 	Tiers [][]int // preferred shards in descending order of preference; empty: any shard
 	Avoid []int   // shards that accept no new extents, in ascending order
@@ -64,7 +64,7 @@
 	// Place returns the shards that an extent of a file of size bytes (negative: unknown) may be written
 	// to, or an error that says why no shard accepts it. nil: any shard may be used.
 	Place func(volume, file string, index int, size int64) (Placement, error)
-	// Lost reports whether a shard has stopped answering, with the reason and the time after which the
+	// ShardLost reports whether a shard has stopped answering, with the reason and the time after which the
 	// client should retry. nil: no shard is ever considered lost.
 	ShardLost        func(shard int) (why string, back time.Duration, lost bool)
 	MaxConns         int           // maximum concurrent connections
@@ -118,7 +118,7 @@
 	Shed, Paused, Corrupt           uint64
 	Conns, Active                   int
 	Budget                          int64
-	Deliver                         host.Histogram // from the arrival of an outcome to its handling on the connection's loop
+	Deliver                         host.Histogram // from an outcome's arrival to its handling on the connection's loop
 }
 
 const (
@@ -126,7 +126,7 @@
 	outboundPollInterval = 2 * time.Millisecond // how often a full output buffer is checked
 	pauseInboundBytes    = 512 << 10            // unconsumed input at which reading from the client pauses
 	maxInboundBytes      = 8 << 20              // unconsumed input at which a connection with blocked output is closed
-	maxRejectedConns     = 256                  // rejected connections that may linger; beyond it they are closed at once
+	maxRejectedConns     = 256                  // rejected connections that may linger; further ones are closed at once
 	stallCheckInterval   = 1 * time.Second      // how often a connection is checked for progress
 )
 
@@ -201,7 +201,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return fmt.Errorf("rsync front: %d transfers had not ended in the time for draining", left)
+			return fmt.Errorf("rsync front: %d connections were still open when the drain timeout expired", left)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
--- a/internal/http1/chunks.go
+++ b/internal/http1/chunks.go
@@ -4,7 +4,7 @@
 	"bytes"
 )
 
-// Chunks decodes a chunked body (RFC 9112, 7.1) that is fed in pieces of any size.
+// ChunkDecoder decodes a chunked body (RFC 9112, 7.1) that is fed in pieces of any size.
 type ChunkDecoder struct {
 	Max          int64 // most bytes of the body; 0: unbounded, for a stream that is consumed as it arrives
 	remaining    int64 // bytes left of the current chunk's data
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -80,14 +80,14 @@
 	"": control.GroupAll, "all": control.GroupAll, "zone": control.GroupZone, "cell": control.GroupCell,
 }
 
-// Conns holds the settings of connections to nodes. They apply to the host that opens the connections,
+// ConnectionSettings holds the settings of connections to nodes. They apply to the host that opens the connections,
 // not to the controller.
 type ConnectionSettings struct {
 	Idle        time.Duration // a node closes a connection that has been idle for this long; 0: it does not
 	DialTimeout time.Duration // a node that does not accept a connection in this time is unreachable; 0: not set
 }
 
-// ConnSettings parses the connection settings of a start message.
+// ParseConnectionSettings parses the connection settings of a start message.
 func ParseConnectionSettings(text []byte) (ConnectionSettings, error) {
 	var message settingsMessage
 	if err := json.Unmarshal(text, &message); err != nil {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// Settings translates the settings of a start message. control.New validates the result.
+// ParseSettings translates the settings of a start message. control.New validates the result.
 func ParseSettings(text []byte) (control.Settings, error) {
 	var message settingsMessage
 	if err := json.Unmarshal(text, &message); err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -289,7 +289,7 @@
 
 // duration converts milliseconds to a duration, rounded to microseconds, the resolution of the protocol.
 func duration(ms float64) time.Duration {
-	const maxMilliseconds = 1e12 // about 30 years: larger magnitudes are clamped, so that the conversion cannot overflow
+	const maxMilliseconds = 1e12 // about 30 years; larger magnitudes are clamped, so that conversions cannot overflow
 	return time.Duration(math.Round(max(-maxMilliseconds, min(maxMilliseconds, ms))*1000)) * time.Microsecond
 }
 
