--- a/forecast/forecast.go
+++ b/forecast/forecast.go
@@ -1,7 +1,7 @@
 // Package forecast predicts the demand of volumes from their past demand. For each volume and day it keeps a sketch of
 // the rates in units per second, over the last days, with older days weighted less. The package is pure decision code:
 // it does no I/O, reads no clock and starts no goroutine; times are passed in. A gateway records its own demand in a
-// Book, and the command eiderhold shares gather uses Merge and Demands.
+// Recorder, and the command "eiderhold shares gather" uses Merge and EstimateDemands.
 //
 // The demand of a volume in one slot of time (a minute) is one count in the sketch of that day. On a day with a surge
 // of one hour, 60 of 1,440 counts lie at the surge: a quantile of 0.99 includes it and one of 0.95 does not. Its weight
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// Settings configure a Book.
+// Settings configure a Recorder.
 type Settings struct {
 	Gateway    string
 	Slot       time.Duration // interval over which demand is averaged
@@ -41,7 +41,7 @@
 	return nil
 }
 
-// Book records the demand that one gateway sees. It is not safe for concurrent use.
+// Recorder records the demand that one gateway sees. It is not safe for concurrent use.
 type Recorder struct {
 	settings       Settings
 	currentSlot    int64 // number of the current slot, counted from 1970
@@ -64,8 +64,8 @@
 	Gateways map[string]map[int64]*Day
 }
 
-// NewBook returns a Book that continues an earlier record of the gateway, or an empty one if previous is nil or was
-// recorded with another slot.
+// NewRecorder returns a Recorder that continues an earlier record of the gateway, or an empty one if previous is nil or
+// was recorded with another slot.
 func NewRecorder(settings Settings, previous *Record) (*Recorder, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("forecast: %w", err)
@@ -111,8 +111,8 @@
 	}
 }
 
-// Tick closes the slots that have ended. A gap of more than an hour without a call counts as time in which the gateway
-// did not run; shorter gaps count as time without demand.
+// Advance closes the slots that have ended. A gap of more than an hour without a call counts as time in which the
+// gateway did not run; shorter gaps count as time without demand.
 func (b *Recorder) Advance(now time.Time) {
 	slot := now.UnixNano() / int64(b.settings.Slot)
 	if !b.started {
@@ -197,7 +197,7 @@
 	})
 }
 
-// Record returns a copy of what the book holds, without the current slot.
+// Record returns a copy of what the recorder holds, without the current slot.
 func (b *Recorder) Record() *Record {
 	r := &Record{Slot: b.settings.Slot, Gateways: map[string]map[int64]*Day{b.settings.Gateway: {}}}
 	for k, d := range b.days {
@@ -269,10 +269,10 @@
 // the quantile independent of the order of summation.
 const unitWeight = 1 << 20
 
-// Demands returns the expected demand of all volumes of a record at a quantile (0 to 1) of all slots. A slot of a day
-// that is halfLife days old counts half. The demand of a volume at several gateways is the sum of their quantiles. The
-// sum is exact if surges occur at all gateways together, as they do when clients spread over gateways, and otherwise
-// an overestimate.
+// EstimateDemands returns the expected demand of all volumes of a record at a quantile (0 to 1) of all slots. A slot of
+// a day that is halfLife days old counts half. The demand of a volume at several gateways is the sum of their
+// quantiles. The sum is exact if surges occur at all gateways together, as they do when clients spread over gateways,
+// and otherwise an overestimate.
 func EstimateDemands(r *Record, quantile, halfLife float64) (map[string]Demand, error) {
 	if !(quantile > 0 && quantile <= 1) || !(halfLife > 0) {
 		return nil, fmt.Errorf("forecast: quantile %v, half-life %v days: expected both above 0, and the quantile at most 1",
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Date(2026, 8, 13, 0, 0, 0, 0, time.UTC)
 
-// newBook returns an empty Book.
+// newBook returns an empty Recorder.
 func newBook(t testing.TB, set Settings) *Recorder {
 	t.Helper()
 	b, err := NewRecorder(set, nil)
@@ -28,7 +28,8 @@
 }
 
 // TestQuantileDeterminesWhetherSurgeCounts checks a volume that requests 10 units per second, and 100 during one hour
-// of each of the last two days. The surge must count at the quantile 0.99 but not at 0.95, and no longer at 0.99 a week later.
+// of each of the last two days. The surge must count at the quantile 0.99 but not at 0.95, and no longer at 0.99 a
+// week later.
 func TestQuantileDeterminesWhetherSurgeCounts(t *testing.T) {
 	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, MaxVolumes: 10})
 	for m := range 5 * 24 * 60 {
@@ -181,8 +182,8 @@
 	}
 }
 
-// TestRestart checks that a book continues an earlier record, that a clock that moves backwards adds no slots, and that
-// a long gap is not counted as time without demand.
+// TestRestart checks that a recorder continues an earlier record, that a clock that moves backwards adds no slots, and
+// that a long gap is not counted as time without demand.
 func TestRestart(t *testing.T) {
 	set := Settings{Gateway: "g", Slot: time.Minute, Days: 3, MaxVolumes: 10}
 	b := newBook(t, set)
--- a/outage/outage.go
+++ b/outage/outage.go
@@ -1,7 +1,7 @@
 // Package outage detects shards whose nodes do not answer, and decides when to probe them and when clients that need
 // them should retry. The package is pure decision code: it does no I/O, reads no clock and starts no goroutine; times
-// are passed in. The gateway calls Heard for each outcome and Due for probes, and its fronts call Lost before a
-// request for data on one shard.
+// are passed in. The gateway calls RecordResult for each outcome and ProbesDue for probes, and its fronts call Lost
+// before a request for data on one shard.
 //
 // Package control detects suspect nodes by itself and lets a request through now and then. But every extent of every
 // file on such a node is a request that control has to refuse, up to four times each. This package treats the shard
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// Settings configure a Book.
+// Settings configure a Tracker.
 type Settings struct {
 	LossThreshold    int           // consecutive silences, without an answer in between, after which a shard is lost
 	SilenceInterval  time.Duration // silences closer together count as one: a dropped connection ends many requests
@@ -24,7 +24,7 @@
 	MaxProbeInterval time.Duration // ... up to this limit
 	MinRetryAfter    time.Duration // bounds of the retry-after given to clients
 	MaxRetryAfter    time.Duration
-	RetryQuantile    float64 // fraction of clients that should be served when they retry as told, judging by past outages
+	RetryQuantile    float64 // fraction of clients to be served when they retry as told, judging by past outages
 }
 
 // Default holds the default settings. With a probe fraction of 0.2, a recovered shard is found within a fifth of the
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// Book tracks shards that do not answer. It is not safe for concurrent use. It holds an entry only for listed shards
+// Tracker tracks shards that do not answer. It is not safe for concurrent use. It holds an entry only for listed shards
 // that have been silent since their last answer.
 type Tracker struct {
 	settings    Settings
@@ -71,7 +71,7 @@
 	nextProbe   time.Duration // time of the next probe
 }
 
-// New returns an empty Book.
+// New returns an empty Tracker.
 func New(settings Settings) (*Tracker, error) {
 	if err := settings.Check(); err != nil {
 		return nil, fmt.Errorf("outage: %w", err)
@@ -79,7 +79,7 @@
 	return &Tracker{settings: settings, silent: map[int]*silentShard{}}, nil
 }
 
-// Change is the effect of a call to Heard.
+// Change is the effect of a call to RecordResult.
 type Change int
 
 // Changes of a shard's state.
@@ -89,8 +89,9 @@
 	ShardRecovered        // a lost shard answers again
 )
 
-// Heard records that a shard answered, with whatever result, or gave no answer: the connection failed or was dropped,
-// or the answer did not come in time. The duration returned with Gone and Back is how long the shard was silent.
+// RecordResult records that a shard answered, with whatever result, or gave no answer: the connection failed or was
+// dropped, or the answer did not come in time. The duration returned with ShardLost and ShardRecovered is how long the
+// shard was silent.
 func (b *Tracker) RecordResult(id int, answered bool, now time.Duration) (Change, time.Duration) {
 	s := b.silent[id]
 	if answered {
@@ -118,14 +119,15 @@
 	return ShardLost, now - s.since
 }
 
-// Word records a change in the register: a node of the shard is new or has moved. A lost shard is then probed at once.
+// NodeChanged records a change in the register: a node of the shard is new or has moved. A lost shard is then probed at
+// once.
 func (b *Tracker) NodeChanged(id int, now time.Duration) {
 	if s := b.silent[id]; s != nil && s.lost {
 		s.nextProbe = min(s.nextProbe, now)
 	}
 }
 
-// Keep removes shards that are no longer listed.
+// Retain removes shards that are no longer listed.
 func (b *Tracker) Retain(listed func(id int) bool) {
 	for id := range b.silent {
 		if !listed(id) {
@@ -165,7 +167,7 @@
 	return longer[min(len(longer)-1, int(b.settings.RetryQuantile*float64(len(longer))))]
 }
 
-// Due returns the lost shards that are to be probed now, ordered by ID, and schedules their next probes.
+// ProbesDue returns the lost shards that are to be probed now, ordered by ID, and schedules their next probes.
 func (b *Tracker) ProbesDue(now time.Duration) (due []int) {
 	for id, s := range b.silent {
 		if s.lost && now >= s.nextProbe {
--- a/pacing/budget.go
+++ b/pacing/budget.go
@@ -24,11 +24,11 @@
 	return true
 }
 
-// Give releases allocated bytes.
+// Release releases allocated bytes.
 func (b *Budget) Release(bytes int64) { b.usedBytes -= bytes }
 
 // Used returns the number of allocated bytes.
 func (b *Budget) Used() int64 { return b.usedBytes }
 
-// Force allocates bytes that are in memory already, even beyond the limit.
+// AllocateUnchecked allocates bytes that are in memory already, even beyond the limit.
 func (b *Budget) AllocateUnchecked(bytes int64) { b.usedBytes += bytes }
--- a/pacing/pacing.go
+++ b/pacing/pacing.go
@@ -3,8 +3,8 @@
 // decides about each of them; this package implements the behaviour of the module's client. It does no I/O, reads no
 // clock and starts no goroutine. The rsync front uses it.
 //
-// It follows the rules for well-behaved clients: an extent is requested at most Tries times, a retry is marked as one,
-// the retry-after of a refusal is honoured, and no request is made that cannot finish within the client's timeout.
+// It follows the rules for well-behaved clients: an extent is requested at most MaxTries times, a retry is marked as
+// one, the retry-after of a refusal is honoured, and no request is made that cannot finish within the client's timeout.
 package pacing
 
 import (
@@ -86,8 +86,8 @@
 // Tries returns how often the extent has been requested.
 func (x *Extent) Tries() int { return x.tries }
 
-// Room reports whether another extent may be requested now. If only the transfer's rate prevents it, at is the time at
-// which one may be requested.
+// MayRequest reports whether another extent may be requested now. If only the transfer's rate prevents it, at is the
+// time at which one may be requested.
 func (t *Transfer) MayRequest(now time.Duration) (ok bool, at time.Duration) {
 	if t.inFlight >= int(t.window) {
 		return false, 0
@@ -102,15 +102,15 @@
 	return true, 0
 }
 
-// Patience returns how long an extent may take over all its tries, which is also how long an extent that a client
+// ExtentTimeout returns how long an extent may take over all its tries, which is also how long an extent that a client
 // waits for may be held back from its first try.
 func (t *Transfer) ExtentTimeout() time.Duration { return t.extentTimeout }
 
 // Window returns the maximum number of extents that may be requested at a time.
 func (t *Transfer) Window() int { return int(t.window) }
 
-// Begin registers an extent of the given size that is wanted now. shard is the shard that stores it, or negative if
-// unknown; deadline is the deadline of its class.
+// StartExtent registers an extent of the given size that is wanted now. shard is the shard that stores it, or negative
+// if unknown; deadline is the deadline of its class.
 func (t *Transfer) StartExtent(now time.Duration, shard, bytes int, deadline time.Duration) *Extent {
 	if t.rate > 0 {
 		t.debtBytes += float64(bytes)
@@ -124,7 +124,7 @@
 	Retry   bool          // the request is a retry
 }
 
-// Ask registers a try of the extent. ok is false if no time or no tries are left.
+// StartTry registers a try of the extent. ok is false if no time or no tries are left.
 func (t *Transfer) StartTry(x *Extent, now time.Duration) (Try, bool) {
 	remaining := x.expiresAt - now
 	if remaining < t.settings.MinTryTime || x.tries >= t.settings.MaxTries {
@@ -136,7 +136,7 @@
 	return Try{Expires: min(remaining, x.deadline), Retry: x.tries > 1}, true
 }
 
-// Kind is the result of a try.
+// TryResult is the result of a try.
 type TryResult int
 
 // Results of a try.
@@ -159,7 +159,7 @@
 // NextStep is the action that follows a try.
 type NextStep struct {
 	Step       Step
-	At         time.Duration // Again: time of the retry
+	At         time.Duration // Retry: time of the retry
 	RetryAfter time.Duration // GiveUp: time from now after which the client should retry; 0: unknown
 }
 
@@ -170,7 +170,7 @@
 // within milliseconds.
 const firstPauseDivisor = 32
 
-// Ended records the result of a try and returns what to do next. retryAfter is the retry-after of a refusal.
+// TryEnded records the result of a try and returns what to do next. retryAfter is the retry-after of a refusal.
 func (t *Transfer) TryEnded(x *Extent, now time.Duration, kind TryResult, retryAfter time.Duration) NextStep {
 	t.inFlight--
 	if kind == Served {
@@ -206,11 +206,11 @@
 	return NextStep{Step: GiveUp, RetryAfter: clientRetryAfter}
 }
 
-// Dropped records that the answer to a try is no longer awaited.
+// TryAbandoned records that the answer to a try is no longer awaited.
 func (t *Transfer) TryAbandoned(*Extent) { t.inFlight-- }
 
-// File records that a file was finished or left out, and reports whether the transfer ends now: after LeaveOut
-// consecutive files left out, continuing would only use up the client's time.
+// FileEnded records that a file was finished or left out, and reports whether the transfer ends now: after
+// MaxFilesLeftOut consecutive files left out, continuing would only use up the client's time.
 func (t *Transfer) FileEnded(ok bool) (end bool) {
 	if ok {
 		t.leftOutInRow = 0
--- a/placement/fill.go
+++ b/placement/fill.go
@@ -66,7 +66,7 @@
 	return &Fill{marks: m, shards: map[int]*shardFill{}}, nil
 }
 
-// Keep removes all shards for which known returns false.
+// Retain removes all shards for which known returns false.
 func (f *Fill) Retain(known func(shard int) bool) {
 	maps.DeleteFunc(f.shards, func(s int, _ *shardFill) bool { return !known(s) })
 }
@@ -122,7 +122,7 @@
 
 func (l *shardFill) headroomStep() int { return int(headroomSteps * l.usedFraction()) }
 
-// Takes returns whether a shard accepts new extents. An unknown shard does.
+// AcceptsExtents returns whether a shard accepts new extents. An unknown shard does.
 func (f *Fill) AcceptsExtents(shard int) bool {
 	l := f.shards[shard]
 	return l == nil || l.takes()
@@ -137,7 +137,7 @@
 	return 1 - min(1, float64(l.headroomStep())/headroomSteps)
 }
 
-// Ask returns those of the given shards from which a report is due, and records that they are asked now.
+// ReportsDue returns those of the given shards from which a report is due, and records that they are asked now.
 func (f *Fill) ReportsDue(shards []int, now time.Duration) (due []int) {
 	for _, s := range shards {
 		l := f.shard(s)
@@ -189,7 +189,7 @@
 		"remove data or add nodes", e.Shards, e.Full, e.Used, e.Capacity)
 }
 
-// None returns the error for the case that none of the given shards accepts new extents.
+// NoRoomError returns the error for the case that none of the given shards accepts new extents.
 func (f *Fill) NoRoomError(shards []int) *NoRoomError {
 	e := &NoRoomError{Shards: len(shards)}
 	for _, s := range shards {
@@ -224,7 +224,7 @@
 	return text + fmt.Sprintf("; %d more do not fit", e.Added)
 }
 
-// Take reserves room for a new version of size bytes of a file whose present version has old bytes (0: a new file),
+// Reserve reserves room for a new version of size bytes of a file whose present version has old bytes (0: a new file),
 // in a volume that uses used bytes. It returns a QuotaError if the version does not fit. A version that is no larger
 // than the present one always fits, so that a full volume can still be reduced.
 func (q *Quota) Reserve(volume string, used, old, size int64) error {
@@ -236,5 +236,5 @@
 	return nil
 }
 
-// Done releases what Take reserved, once the version is in the catalogue or has been abandoned.
+// Release releases what Reserve reserved, once the version is in the catalogue or has been abandoned.
 func (q *Quota) Release(old, size int64) { q.pending = max(0, q.pending-max(0, size-old)) }
--- a/placement/fill_test.go
+++ b/placement/fill_test.go
@@ -35,7 +35,7 @@
 			changed = f.Report(3, test.used, 1000, test.at)
 		}
 		if f.AcceptsExtents(3) != test.takes {
-			t.Errorf("step %d: takes %v", i, f.AcceptsExtents(3))
+			t.Errorf("step %d: accepts extents: %v", i, f.AcceptsExtents(3))
 		}
 		if f.AcceptsExtents(3) != before && !changed {
 			t.Errorf("step %d: acceptance changed, but no change was returned", i)
@@ -55,7 +55,7 @@
 }
 
 // TestReportsDue checks that a shard that accepts no extents is asked for a report every two seconds, others only
-// after half a minute without a report, and that Keep removes shards.
+// after half a minute without a report, and that Retain removes shards.
 func TestReportsDue(t *testing.T) {
 	f, _ := NewFill(DefaultMarks)
 	f.Report(1, 99, 100, 100*second)
@@ -76,7 +76,7 @@
 }
 
 // TestFillMatchesModel compares a Fill with a model that keeps only the last state of each shard, for any sequence
-// of reports, and checks that Ask does not return a shard twice within FullShardReportInterval.
+// of reports, and checks that ReportsDue does not return a shard twice within FullShardReportInterval.
 func TestFillMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, _ := NewFill(Marks{High: 0.8, Low: 0.5, Hold: 10 * second})
@@ -104,7 +104,7 @@
 			}
 			for x := range 4 {
 				if _, isFull := full[x]; f.AcceptsExtents(x) == (pastMark[x] || isFull) {
-					t.Fatalf("shard %d: takes %v, past %v, full %v", x, f.AcceptsExtents(x), pastMark[x], isFull)
+					t.Fatalf("shard %d: accepts extents %v, past the high mark %v, full %v", x, f.AcceptsExtents(x), pastMark[x], isFull)
 				}
 			}
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -40,7 +40,7 @@
 // Settings configure how many candidates an extent has and how far a file is spread.
 type Settings struct {
 	Choice            int   // candidates per extent
-	Width             int   // shards that a file larger than WholeUpTo is striped over
+	Width             int   // shards that a file larger than MaxWholeFileBytes is striped over
 	MaxWholeFileBytes int64 // largest file, in bytes, that is stored whole on one shard
 }
 
@@ -182,7 +182,7 @@
 }
 
 // Key returns the key by which the candidates of an extent are chosen. Extents that should be stored together
-// have the same key: all extents of a file up to WholeUpTo bytes, or every Width-th extent of a larger file.
+// have the same key: all extents of a file up to MaxWholeFileBytes bytes, or every Width-th extent of a larger file.
 func (s *Settings) Key(volume, file string, index int, size int64) uint64 {
 	h := xxhash.Sum64String(volume) ^ bits.RotateLeft64(xxhash.Sum64String(file), 17)
 	if size > s.MaxWholeFileBytes || size < 0 {
@@ -191,7 +191,7 @@
 	return mix(h)
 }
 
-// Choices holds the buffers of one call to Candidates, so that calls need not allocate.
+// CandidateBuffer holds the buffers of one call to Candidates, so that calls need not allocate.
 type CandidateBuffer struct {
 	placedBuffer [MaxChoice]int
 	allBuffer    [MaxChoice]int
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -1,11 +1,11 @@
 // Package rebalance plans which extents to move between shards so that the shards fill evenly: the source and the
 // target of each move, the order of the moves, and the time they take at a given rate. It does not execute the
 // moves. The package is pure decision code: it does no I/O, reads no clock, starts no goroutine and does not depend
-// on map iteration order. The gateway calls it for the command eiderhold space plan.
+// on map iteration order. The gateway calls it for the command "eiderhold space plan".
 //
 // A shard's fill level is the fraction of its bytes that is used. Moving a byte from a shard at fraction x to one at
 // fraction y gains x - y; the cost of a move is expressed as the smallest difference for which it is worthwhile, so
-// planning ends by itself. No move raises its target above its source. A plan computed after an earlier one was
+// planning terminates. No move raises its target above its source. A plan computed after an earlier one was
 // executed is therefore empty, and plans do not oscillate. (This is water-filling; the limit on concurrent moves
 // per shard is the one of shares.Waves.)
 package rebalance
@@ -82,10 +82,10 @@
 	Moves             []Move        `json:"moves"`
 	Waves             [][]int       `json:"waves"`
 	Bytes             int64         `json:"bytes"`
-	EstimatedDuration time.Duration `json:"takes"` // estimated duration at Settings.Rate, ns
+	EstimatedDuration time.Duration `json:"takes"` // estimated duration at Settings.BytesPerSecond, ns
 	Before            Spread        `json:"before"`
 	After             Spread        `json:"after"`
-	// Why is the reason for which planning ended.
+	// Reason is the reason for which planning ended.
 	Reason string        `json:"why"`
 	Usage  map[int]Usage `json:"parts"` // used fractions by shard
 }
@@ -259,7 +259,8 @@
 	return -1, -1
 }
 
-// scheduleWaves assigns moves to waves in order, so that a shard takes part in at most PerNode moves of a wave.
+// scheduleWaves assigns moves to waves in order, so that a shard takes part in at most MaxMovesPerShard moves of a
+// wave.
 func (p *Plan) scheduleWaves(settings Settings) {
 	remaining := make([]int, len(p.Moves))
 	for i := range remaining {
