--- a/control/fleet_test.go
+++ b/control/fleet_test.go
@@ -155,7 +155,8 @@
 // takes the larger of two parts. Where a few hosts are busy, the sum of these exceeds N, but by less than chance
 // adds to the demand.
 func TestFleetStaysWithinColdBudget(t *testing.T) {
-	const capacity = 27.0 // units a second of a warm node; a cold one withstands 0.17 x 4 times that, 37 a span
+	// A cold node withstands 0.17 x 4 times the capacity of a warm one, about 37 units in a span of 2 s.
+	const capacity = 27.0 // units a second of a warm node
 	const usual = 0.6 * capacity / 2
 	all := []int{0, 1, 2, 3}
 	warm := []Node{nodeEntry("a0", 0), nodeEntry("a1", 1), nodeEntry("a2", 2), nodeEntry("a3", 3)}
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -604,7 +604,7 @@
 	}
 }
 
-// waitEmpty waits until no connection is left and checks that no request and no bytes are either.
+// waitEmpty waits until no connection is left and checks that no request is open and no bytes are held.
 func (r *harness) waitEmpty() {
 	r.t.Helper()
 	for {
@@ -652,7 +652,7 @@
 	}()
 }
 
-// waitBegun waits until there are all connections and begun of them have sent part of a request.
+// waitBegun waits until all connections are accepted and begun of them have sent part of a request.
 func (r *harness) waitBegun(begun, all int) {
 	for {
 		got := make(chan [2]int)
--- a/outage/outage.go
+++ b/outage/outage.go
@@ -139,7 +139,7 @@
 // Lost returns whether a shard is lost, for how long it has been silent, and after what time a client should retry.
 // By that time a fraction of RetryQuantile of the past outages that lasted longer than this one so far had ended;
 // without such outages it is as long as the silence so far. It lies within the bounds of the settings, and not before
-// the next probe.
+// the next probe; SilenceInterval is added.
 func (b *Tracker) Lost(id int, now time.Duration) (silent, retryAfter time.Duration, lost bool) {
 	s := b.silent[id]
 	if s == nil || !s.lost {
--- a/outage/outage_test.go
+++ b/outage/outage_test.go
@@ -176,11 +176,11 @@
 // then.
 func TestRetryAfterIsAccurate(t *testing.T) {
 	if served, delay := simulateOutages(Default, drawOutages(0.2, 40)); served < 0.8 || delay > 3*time.Second {
-		t.Errorf("%.2f are served when told, on average %v after recovery", served, delay)
+		t.Errorf("%.2f are served when told to retry, on average %v after recovery", served, delay)
 	}
 }
 
-// BenchmarkRetryAfter reports the fraction of clients that are served when told, and the delay after recovery, by the
+// BenchmarkRetryAfter reports the fraction of clients served when told to retry, and the delay after recovery, by the
 // standard deviation of the logarithm of outage lengths. The variant "plain" tells clients the time of the next probe.
 func BenchmarkRetryAfter(b *testing.B) {
 	for _, sigma := range []float64{0, 0.1, 0.3, 1} {
