--- a/control/control_test.go
+++ b/control/control_test.go
@@ -677,7 +677,6 @@
 type ruleChecker struct {
 	t          *testing.T
 	finished   map[string]bool
-	answers    map[string]int
 	requests   map[string]Request
 	attempts   map[string]int
 	inFlight   []Outcome // attempts in flight
--- a/control/shares_test.go
+++ b/control/shares_test.go
@@ -79,7 +79,7 @@
 		h.step(0, sharesOfV(1))
 		h.step(0, Shares{Version: 2})
 		for i := range 50 {
-			last = worthWhenServed(h, fmt.Sprint("g", i), "v", 0.8)
+			worthWhenServed(h, fmt.Sprint("g", i), "v", 0.8)
 		}
 		if w := worthWhenServed(plain, "x", "v", 8); w != worthWhenServed(h, "x", "v", 8) {
 			t.Errorf("after the shares were withdrawn, the worth differs from %v, that without any shares", w)
--- a/forecast/file.go
+++ b/forecast/file.go
@@ -22,6 +22,7 @@
 
 // encodedVolume is the encoded form of one volume's Sketch.
 type encodedVolume struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Buckets  []uint32
@@ -29,6 +30,7 @@
 
 // encodedDay is the encoded form of a Day.
 type encodedDay struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 	Day      int64
 	Slots    uint32
@@ -37,6 +39,7 @@
 
 // encodedGateway is the encoded form of one gateway's days.
 type encodedGateway struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 	Name     string
 	Days     []encodedDay
@@ -44,6 +47,7 @@
 
 // encodedRecord is the encoded form of a Record.
 type encodedRecord struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 	Slot     int64
 	Gateways []encodedGateway
--- a/internal/rsync/parts_test.go
+++ b/internal/rsync/parts_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	//lint:ignore SA1019 MD4 is the digest of rsync protocol 29.
 	"golang.org/x/crypto/md4"
 	"pgregory.net/rapid"
 )
--- a/internal/rsync/receiver.go
+++ b/internal/rsync/receiver.go
@@ -5,6 +5,7 @@
 	"hash"
 	"path"
 
+	//lint:ignore SA1019 MD4 is the digest of rsync protocol 29.
 	"golang.org/x/crypto/md4"
 )
 
--- a/internal/rsync/session_test.go
+++ b/internal/rsync/session_test.go
@@ -8,6 +8,7 @@
 	"strings"
 	"testing"
 
+	//lint:ignore SA1019 MD4 is the digest of rsync protocol 29.
 	"golang.org/x/crypto/md4"
 )
 
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -13,6 +13,7 @@
 	"strings"
 	"time"
 
+	//lint:ignore SA1019 MD4 is the digest of rsync protocol 29.
 	"golang.org/x/crypto/md4"
 
 	proto "eiderhold/internal/rsync"
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -25,6 +25,7 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 	bolt "go.etcd.io/bbolt"
+	bolterrors "go.etcd.io/bbolt/errors"
 
 	"eiderhold/internal/extent"
 )
@@ -37,6 +38,7 @@
 
 // Entry is one path of a module. Mode has the type bits of st_mode.
 type Entry struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Mode  uint32
@@ -51,6 +53,7 @@
 
 // Part is one extent of an entry. Its offset is the sum of the lengths of the parts before it.
 type Part struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Shard  int
@@ -86,6 +89,7 @@
 
 // pendingPush records what a push in progress may have written: up to Parts items, at up to maxTry+1 names each.
 type pendingPush struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 	Volume   string
 	Parts    int
@@ -97,6 +101,7 @@
 // Garbage lists items of one base that nothing refers to. A part whose Shard is -1 may be
 // on any shard or on none; a part whose Shard is NotGarbage must not be removed.
 type Garbage struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Volume  string
@@ -108,6 +113,7 @@
 // Lost is an item that may have been written before its bytes were written again under
 // another name. Its shard is unknown.
 type OrphanItem struct {
+	//lint:ignore U1000 The encoder reads the tag of this field.
 	_msgpack struct{} `msgpack:",as_array"`
 
 	Index, Try int
@@ -185,7 +191,7 @@
 	file := filepath.Join(dir, "catalogue.db")
 	db, err := bolt.Open(file, 0o600, &bolt.Options{Timeout: 2 * time.Second, FreelistType: bolt.FreelistMapType,
 		NoFreelistSync: true})
-	if errors.Is(err, bolt.ErrTimeout) {
+	if errors.Is(err, bolterrors.ErrTimeout) {
 		err = ErrLocked
 	}
 	if err != nil {
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -20,7 +20,7 @@
 	}
 	if f, ok := w.(*os.File); ok {
 		if info, err := f.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
-			return slog.New(tint.NewHandler(w, &tint.Options{Level: levelVar, TimeFormat: time.TimeOnly})), levelVar, nil
+			return slog.New(tint.NewTextHandler(w, &tint.Options{Level: levelVar, TimeFormat: time.TimeOnly})), levelVar, nil
 		}
 	}
 	return slog.New(slog.NewJSONHandler(w, &slog.HandlerOptions{Level: levelVar, ReplaceAttr: formatDuration})), levelVar, nil
--- a/shares/solution.go
+++ b/shares/solution.go
@@ -184,7 +184,7 @@
 // CheckInputs returns ErrInputs if the solution is not of the problem with this digest.
 func (s *Solution) CheckInputs(digest string) error {
 	if digest != s.Inputs {
-		return fmt.Errorf("%w: digest %.16s..., not %.16s...", ErrInputs, s.Inputs, digest)
+		return fmt.Errorf("%w: its digest begins with %.16s, not with %.16s", ErrInputs, s.Inputs, digest)
 	}
 	return nil
 }
