--- a/cmd/eiderhold/shares.go
+++ b/cmd/eiderhold/shares.go
@@ -217,7 +217,7 @@
 		solver.Step(n)
 		done += n
 	}
-	found, err := solver.Found()
+	found, err := solver.Result()
 	return found, trace, err
 }
 
--- a/extentmap/book.go
+++ b/extentmap/book.go
@@ -114,10 +114,10 @@
 
 // hint is a location reported by a node.
 type hint struct {
-	extent  uint64
-	home    Location
-	version uint64
-	expiry  time.Duration
+	extent   uint64
+	location Location
+	version  uint64
+	expiry   time.Duration
 }
 
 // NewRefresher returns a Refresher without groups. The authority counts as contacted now.
@@ -146,11 +146,11 @@
 
 // Decide returns what to do with a request for an extent whose client waits for at most patience.
 func (b *Refresher) Decide(v *View, volume string, extent uint64, patience, now time.Duration) Decision {
-	var home Location
+	var location Location
 	var version uint64
 	known := false
 	if vol, ok := v.Volume(volume); ok {
-		home, version, known = v.Lookup(vol, extent)
+		location, version, known = v.Lookup(vol, extent)
 	}
 	k := b.groupOf(volume, extent)
 	g := b.groups[k]
@@ -161,7 +161,7 @@
 		for i := range g.hints { // a hint newer than the map is used until the map catches up
 			if t := &g.hints[i]; t.extent == extent && (!known || t.version > version) && t.expiry > now {
 				b.requestRefresh(g, now)
-				return Decision{Action: Use, Location: t.home, Version: t.version}
+				return Decision{Action: Use, Location: t.location, Version: t.version}
 			}
 		}
 		if known && g.staleBefore > version {
@@ -171,8 +171,8 @@
 	switch {
 	case !known:
 		return b.waitOrRefuse(k, g, patience, now, "where it lies is not known")
-	case home.Shard != NoShard:
-		return Decision{Action: Use, Location: home, Version: version}
+	case location.Shard != NoShard:
+		return Decision{Action: Use, Location: location, Version: version}
 	case g != nil && !g.inFlight && g.answered && now-g.lastRefresh < b.settings.AbsenceDuration:
 		return Decision{Action: Absent, Version: version}
 	}
--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -18,7 +18,7 @@
 var start = time.Date(2026, 8, 13, 0, 0, 0, 0, time.UTC)
 
 // newBook returns an empty Recorder.
-func newBook(t testing.TB, set Settings) *Recorder {
+func newRecorder(t testing.TB, set Settings) *Recorder {
 	t.Helper()
 	b, err := NewRecorder(set, nil)
 	if err != nil {
@@ -31,7 +31,7 @@
 // of each of the last two days. The surge must count at the quantile 0.99 but not at 0.95, and no longer at 0.99 a
 // week later.
 func TestQuantileDeterminesWhetherSurgeCounts(t *testing.T) {
-	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, MaxVolumes: 10})
+	b := newRecorder(t, Settings{Gateway: "g", Slot: time.Minute, Days: 8, MaxVolumes: 10})
 	for m := range 5 * 24 * 60 {
 		rate := 10.0
 		if day := m / 1440; day >= 3 && m/60%24 == 9 {
@@ -64,7 +64,7 @@
 // TestSketchErrorBound checks that quantiles of random demand are within 5%.
 func TestSketchErrorBound(t *testing.T) {
 	rng := rand.New(rand.NewSource(1))
-	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, MaxVolumes: 10})
+	b := newRecorder(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, MaxVolumes: 10})
 	var all []float64
 	for m := range 1400 {
 		rate := math.Exp(rng.NormFloat64()) * 20
@@ -163,7 +163,7 @@
 func TestDemandSumsGateways(t *testing.T) {
 	var all *Record
 	for _, g := range []string{"g", "h"} {
-		b := newBook(t, Settings{Gateway: g, Slot: time.Minute, Days: 2, MaxVolumes: 10})
+		b := newRecorder(t, Settings{Gateway: g, Slot: time.Minute, Days: 2, MaxVolumes: 10})
 		for m := range 100 {
 			b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": 600})
 		}
@@ -186,7 +186,7 @@
 // that a long gap is not counted as time without demand.
 func TestRestart(t *testing.T) {
 	set := Settings{Gateway: "g", Slot: time.Minute, Days: 3, MaxVolumes: 10}
-	b := newBook(t, set)
+	b := newRecorder(t, set)
 	for m := range 30 {
 		b.Add(start.Add(time.Duration(m)*time.Minute), map[string]float64{"v": 60})
 	}
@@ -214,7 +214,7 @@
 // TestVolumesAndBucketsAreLimited checks that at the limit of volumes those with the highest demand are kept, and that
 // the number of buckets per day is limited.
 func TestVolumesAndBucketsAreLimited(t *testing.T) {
-	b := newBook(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, MaxVolumes: 100})
+	b := newRecorder(t, Settings{Gateway: "g", Slot: time.Minute, Days: 2, MaxVolumes: 100})
 	for m := range 50 {
 		units := map[string]float64{}
 		for i := range 50 {
@@ -301,7 +301,7 @@
 	b.Run("sketches", func(b *testing.B) {
 		for range b.N {
 			before := heap()
-			bk := newBook(b, Settings{Gateway: "g", Slot: time.Minute, Days: days, MaxVolumes: volumes})
+			bk := newRecorder(b, Settings{Gateway: "g", Slot: time.Minute, Days: days, MaxVolumes: volumes})
 			rng := rand.New(rand.NewSource(1))
 			names := make([]string, volumes)
 			for i := range names {
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -33,7 +33,7 @@
 	AttemptsPerConn int           // attempts in flight on a connection before another one is opened
 	MaxWaiting      int           // most attempts that wait for a connection, per node
 	DialTimeout     time.Duration // for connecting and the node's hello
-	IdleClose       time.Duration // idle time after which a connection is closed; 0: never
+	IdleTimeout     time.Duration // idle time after which a connection is closed; 0: never
 	SendCancel      bool          // send the node a cancel for each dropped attempt
 	Loops           int           // gnet event loops
 	// OnFill is called with the bytes that a shard holds, and whether it had no room for an item. It is called with
@@ -206,14 +206,14 @@
 // leastLoaded returns the connection with the fewest attempts in flight, or nil if all carry at least streams attempts
 // and another one may be opened. When the connection limit is reached, streams no longer applies: the controller's
 // window bounds the attempts.
-func (n *node) leastLoaded(streams, conns int) *conn {
+func (n *node) leastLoaded(attemptsPerConn, maxConns int) *conn {
 	var best *conn
 	for _, c := range n.conns {
 		if c.ready && !c.closed && (best == nil || len(c.attempts) < len(best.attempts)) {
 			best = c
 		}
 	}
-	if best != nil && len(best.attempts) >= streams && n.dialing == 0 && len(n.conns) < conns {
+	if best != nil && len(best.attempts) >= attemptsPerConn && n.dialing == 0 && len(n.conns) < maxConns {
 		return nil
 	}
 	return best
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -282,7 +282,7 @@
 		t.Fatal(err)
 	}
 	defer n.Close()
-	b, o := newBackend(t, Settings{MaxConns: 1, AttemptsPerConn: 8, MaxWaiting: 8, SendCancel: true, IdleClose: 100 * time.Millisecond})
+	b, o := newBackend(t, Settings{MaxConns: 1, AttemptsPerConn: 8, MaxWaiting: 8, SendCancel: true, IdleTimeout: 100 * time.Millisecond})
 	b.Nodes([]host.Node{listed("n", n.Addr())})
 	b.Send(write(1, "n", "i", []byte("x")))
 	waitUntil(t, func() bool { return n.Counts().Arrived == 1 })
--- a/internal/backend/handler.go
+++ b/internal/backend/handler.go
@@ -251,7 +251,7 @@
 	var idle []*conn
 	for id, n := range b.nodes {
 		for _, c := range n.conns {
-			if len(c.attempts) == 0 && (!n.listed || b.settings.IdleClose > 0 && time.Since(c.idleSince) > b.settings.IdleClose) {
+			if len(c.attempts) == 0 && (!n.listed || b.settings.IdleTimeout > 0 && time.Since(c.idleSince) > b.settings.IdleTimeout) {
 				c.closed = true
 				idle = append(idle, c)
 			}
--- a/internal/backend/http/backend.go
+++ b/internal/backend/http/backend.go
@@ -227,8 +227,8 @@
 		if !mayDial {
 			ahead = 1 << 30 // a connection was opened for each, or there was no room: prevents another dial
 		}
-		c, verdict := b.pool.Take(b.now(), n.id, ahead)
-		switch verdict {
+		c, decision := b.pool.Take(b.now(), n.id, ahead)
+		switch decision {
 		case connpool.Use:
 			c.inUse = true
 			if c.stale() {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -143,14 +143,14 @@
 
 // Pacing holds pacing.Settings.
 type Pacing struct {
-	Tries       int      `toml:"tries" comment:"Times that an extent is requested in total, 1 to 4."`
-	Patience    Duration `toml:"patience" comment:"Time for an extent over all its tries, if the client sends no timeout."`
-	TimeoutPart float64  `toml:"timeout_part" comment:"Fraction of the client's own timeout that an extent may take."`
-	Least       Duration `toml:"least" comment:"A try that would have less time than this is not made."`
-	WindowStart int      `toml:"window_start" comment:"Extents requested at a time, at first ..."`
-	WindowTop   int      `toml:"window_top" comment:"... and at most."`
-	ShardPause  Duration `toml:"shard_pause" comment:"After an extent of a shard has failed, other extents of the shard get only one try for this long."`
-	LeaveOut    int      `toml:"leave_out" comment:"A transfer ends after this many files in a row were left out."`
+	MaxTries        int      `toml:"tries" comment:"Times that an extent is requested in total, 1 to 4."`
+	ExtentTimeout   Duration `toml:"patience" comment:"Time for an extent over all its tries, if the client sends no timeout."`
+	TimeoutFraction float64  `toml:"timeout_part" comment:"Fraction of the client's own timeout that an extent may take."`
+	MinTryTime      Duration `toml:"least" comment:"A try that would have less time than this is not made."`
+	InitialWindow   int      `toml:"window_start" comment:"Extents requested at a time, at first ..."`
+	MaxWindow       int      `toml:"window_top" comment:"... and at most."`
+	ShardPause      Duration `toml:"shard_pause" comment:"After an extent of a shard has failed, other extents of the shard get only one try for this long."`
+	MaxFilesLeftOut int      `toml:"leave_out" comment:"A transfer ends after this many files in a row were left out."`
 }
 
 // Recorder holds the settings of the record of batches.
@@ -265,8 +265,8 @@
 			BulkAboveBytes: 8 << 20, WriteClass: "record-write", CollectClass: "collect"},
 		Rsync: Rsync{Listen: "127.0.0.1:8730", Loops: 2, MOTD: "", ExtentBytes: 256 << 10, MaxConnections: 4000, MaxFileEntries: 1_000_000,
 			BufferBytes: 512 << 20, Handshake: Duration(20 * time.Second), Stall: Duration(5 * time.Minute)},
-		Pacing: Pacing{Tries: p.MaxTries, Patience: Duration(p.ExtentTimeout), TimeoutPart: p.TimeoutFraction, Least: Duration(p.MinTryTime),
-			WindowStart: p.InitialWindow, WindowTop: p.MaxWindow, ShardPause: Duration(p.ShardPause), LeaveOut: p.MaxFilesLeftOut},
+		Pacing: Pacing{MaxTries: p.MaxTries, ExtentTimeout: Duration(p.ExtentTimeout), TimeoutFraction: p.TimeoutFraction, MinTryTime: Duration(p.MinTryTime),
+			InitialWindow: p.InitialWindow, MaxWindow: p.MaxWindow, ShardPause: Duration(p.ShardPause), MaxFilesLeftOut: p.MaxFilesLeftOut},
 		Placement: Placement{Choice: placement.Default.Choice, Width: placement.Default.Width, WholeUpTo: placement.Default.MaxWholeFileBytes,
 			High: placement.DefaultMarks.High, Low: placement.DefaultMarks.Low, Hold: Duration(placement.DefaultMarks.Hold)},
 		Moves:  Moves{PerShard: mover.Default.MaxMovesPerShard, Copies: mover.Default.MaxActions, Rate: mover.Default.BytesPerSecond, Tries: mover.Default.MaxTries},
@@ -535,8 +535,8 @@
 // PacingSettings returns the settings of package pacing.
 func (c *Config) PacingSettings() pacing.Settings {
 	p := &c.Pacing
-	return pacing.Settings{MaxTries: p.Tries, ExtentTimeout: p.Patience.D(), TimeoutFraction: p.TimeoutPart, MinTryTime: p.Least.D(),
-		InitialWindow: p.WindowStart, MaxWindow: p.WindowTop, ShardPause: p.ShardPause.D(), MaxFilesLeftOut: p.LeaveOut}
+	return pacing.Settings{MaxTries: p.MaxTries, ExtentTimeout: p.ExtentTimeout.D(), TimeoutFraction: p.TimeoutFraction, MinTryTime: p.MinTryTime.D(),
+		InitialWindow: p.InitialWindow, MaxWindow: p.MaxWindow, ShardPause: p.ShardPause.D(), MaxFilesLeftOut: p.MaxFilesLeftOut}
 }
 
 // ReadSecrets reads a secrets file: lines of user:password, and comments that begin with #.
--- a/internal/front/http/front.go
+++ b/internal/front/http/front.go
@@ -66,13 +66,13 @@
 	closing  bool // only connections already in the kernel's queue are accepted
 
 	// The remaining fields are accessed only on the loop.
-	conns        map[*conn]bool
-	openRequests map[string]*conn // by Request-Id
-	heldBytes    int64
-	keepAlive    bool
-	draining     bool
-	endBy        time.Duration // requests end at this time of the host's clock; 0: no limit
-	stats        Stats
+	conns         map[*conn]bool
+	openRequests  map[string]*conn // by Request-Id
+	heldBytes     int64
+	keepAlive     bool
+	draining      bool
+	deadlineLimit time.Duration // requests end at this time of the host's clock; 0: no limit
+	stats         Stats
 }
 
 // Stats are counters since the start; Conns, Open and Held are current values. Accepted counts connections, Wrong
@@ -188,7 +188,7 @@
 		switch limits.Decide(now, c.state(), used, limit) {
 		case limits.Close:
 			c.evict()
-		case limits.Late:
+		case limits.RejectLate:
 			f.stats.Late++
 			c.reject(408, "the request did not come in time")
 		}
@@ -243,7 +243,9 @@
 
 // LimitDeadlines limits the deadline of further requests to a time of the host's clock, even if their clients would
 // wait longer.
-func (f *Front) LimitDeadlines(until time.Duration) { f.opt.Loop.Post(func() { f.endBy = until }) }
+func (f *Front) LimitDeadlines(until time.Duration) {
+	f.opt.Loop.Post(func() { f.deadlineLimit = until })
+}
 
 // KeepAlive keeps connections open after their answers however few places are left. It is used during shutdown,
 // when clients can open no other connections.
@@ -539,8 +541,8 @@
 		c.respond(409, "", []byte("Request-Id: a request with it is open\n"))
 		return
 	}
-	if f.endBy > 0 {
-		r.Expires = min(r.Expires, max(time.Millisecond, f.endBy-f.opt.Host.Now()))
+	if f.deadlineLimit > 0 {
+		r.Expires = min(r.Expires, max(time.Millisecond, f.deadlineLimit-f.opt.Host.Now()))
 	}
 	f.stats.Requests++
 	r.Answer = func(a host.Answer) { f.opt.Loop.Post(func() { c.deliver(r, a) }) }
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -510,7 +510,7 @@
 
 // TestReadAfterShut checks that a request that arrives after the front began to close its connection is discarded, and
 // that its client reads the end of the stream rather than a reset.
-func TestReadAfterShut(t *testing.T) {
+func TestReadAfterClose(t *testing.T) {
 	r := newHarness(t, 10)
 	c := r.dial()
 	c.send("GET /_health HTTP/1.1\r\n\r\n")
@@ -548,7 +548,7 @@
 
 // TestShut checks that CloseWithoutRequest refuses a partly read request, closes idle connections and leaves an open
 // request to be answered.
-func TestShut(t *testing.T) {
+func TestCloseWithoutRequest(t *testing.T) {
 	r := newHarness(t, 10)
 	open, half, idle := r.dial(), r.dial(), r.dial()
 	open.send(get(id(1)))
--- a/internal/front/rsync/front.go
+++ b/internal/front/rsync/front.go
@@ -34,12 +34,12 @@
 // Module is an rsync module that the front serves: a volume and its plan.
 type Module struct {
 	proto.Module
-	Plan     string
-	Quota    int64             // maximum total bytes of its files; 0: no limit
-	Share    float64           // announced units per second; 0: none
-	Gateways int               // number of gateways that serve the volume
-	MaxConns int               // maximum concurrent connections; 0: no limit for the module
-	Secrets  map[string]string // passwords by user name
+	Plan       string
+	QuotaBytes int64             // maximum total bytes of its files; 0: no limit
+	Share      float64           // announced units per second; 0: none
+	Gateways   int               // number of gateways that serve the volume
+	MaxConns   int               // maximum concurrent connections; 0: no limit for the module
+	Secrets    map[string]string // passwords by user name
 }
 
 // Placement tells which shards a new extent may be written to.
@@ -63,7 +63,7 @@
 	ExtentBytes int
 	// Place returns the shards that an extent of a file of size bytes (negative: unknown) may be written
 	// to, or an error that says why no shard accepts it. nil: any shard may be used.
-	Place func(volume, file string, index int, size int64) (Placement, error)
+	ChooseShards func(volume, file string, index int, size int64) (Placement, error)
 	// ShardLost reports whether a shard has stopped answering, with the reason and the time after which the
 	// client should retry. nil: no shard is ever considered lost.
 	ShardLost        func(shard int) (why string, back time.Duration, lost bool)
--- a/internal/front/rsync/writer.go
+++ b/internal/front/rsync/writer.go
@@ -32,7 +32,7 @@
 	parts         []store.Part
 	unannounced   []*outgoingExtent // extents that wait for their announcement to be recorded
 	openExtents   int               // finished extents that are neither served nor given up
-	lost          []store.OrphanItem
+	orphans       []store.OrphanItem
 	heldBytes     int64
 	quota         *placement.Quota // nil: no quota, or already released
 	replacedBytes int64            // size of the replaced version; set only with a quota
@@ -71,12 +71,12 @@
 // the module's quota.
 func (w *writer) admit() error {
 	t, f := w.transfer, w.transfer.front
-	if f.opt.Place != nil && w.announcedSize > 0 {
-		if _, err := f.opt.Place(t.module.Name, w.base, 0, w.announcedSize); err != nil {
+	if f.opt.ChooseShards != nil && w.announcedSize > 0 {
+		if _, err := f.opt.ChooseShards(t.module.Name, w.base, 0, w.announcedSize); err != nil {
 			return &ExtentError{Refused: true, Cause: err.Error()}
 		}
 	}
-	if t.module.Quota <= 0 {
+	if t.module.QuotaBytes <= 0 {
 		return nil
 	}
 	old, _, err := f.opt.Catalogue.Stat(t.module.Name, w.path)
@@ -99,7 +99,7 @@
 		q = &placement.Quota{}
 		f.quotas[t.module.Name] = q
 	}
-	q.MaxBytes = t.module.Quota
+	q.MaxBytes = t.module.QuotaBytes
 	if err := q.Reserve(t.module.Name, u.Bytes, w.replacedBytes, w.announcedSize); err != nil {
 		return &ExtentError{Refused: true, Cause: err.Error()}
 	}
@@ -215,17 +215,17 @@
 	x.request = &extentRequest{index: x.index, bytes: int64(len(x.data.B)), class: class, reserved: true, shard: control.AnyShard, writer: w,
 		onAbandon: func() { w.dropExtent(x) },
 		build: func(try pacing.Try) (*host.Request, error) {
-			var spot Placement
-			if place := t.front.opt.Place; place != nil {
+			var placed Placement
+			if place := t.front.opt.ChooseShards; place != nil {
 				var err error
-				if spot, err = place(t.module.Name, w.base, x.index, w.announcedSize); err != nil {
+				if placed, err = place(t.module.Name, w.base, x.index, w.announcedSize); err != nil {
 					return nil, err
 				}
 			}
 			item := store.Item(w.base, x.index, x.try)
 			return &host.Request{Class: class, Plan: t.module.Plan, Volume: t.module.Name, Item: item, Shard: control.AnyShard,
 				Hosts: t.module.Gateways, Units: t.front.opt.Work.Units(len(x.data.B)), Share: t.module.Share,
-				Expires: try.Expires, Retry: try.Retry, Tiers: spot.Tiers, Avoid: spot.Avoid, Op: nodewire.Write, Key: item, Payload: x.data.B}, nil
+				Expires: try.Expires, Retry: try.Retry, Tiers: placed.Tiers, Avoid: placed.Avoid, Op: nodewire.Write, Key: item, Payload: x.data.B}, nil
 		},
 		onAnswer: func(a host.Answer) (pacing.TryResult, string) {
 			switch a.Kind {
@@ -233,7 +233,7 @@
 				w.parts[x.index].Shard, w.parts[x.index].Try = a.Shard, x.try
 				t.writtenBytes += int64(len(x.data.B))
 			case host.Failed: // the write may have been executed: the next try uses another item
-				w.lost = append(w.lost, store.OrphanItem{Index: x.index, Try: x.try})
+				w.orphans = append(w.orphans, store.OrphanItem{Index: x.index, Try: x.try})
 				x.try++
 			}
 			return pacingKind(a), a.Cause
@@ -284,7 +284,7 @@
 	if len(w.parts) == 0 {
 		e.Base = ""
 	}
-	w.transfer.front.opt.Catalogue.Commit(w.transfer.module.Name, w.path, e, w.lost, func(err error) {
+	w.transfer.front.opt.Catalogue.Commit(w.transfer.module.Name, w.path, e, w.orphans, func(err error) {
 		w.transfer.conn.post(func() { w.complete(err) })
 	})
 }
@@ -326,7 +326,7 @@
 		w.dropExtent(x)
 	}
 	w.unannounced = nil
-	g := store.Garbage{Volume: w.transfer.module.Name, Base: w.base, Orphans: w.lost}
+	g := store.Garbage{Volume: w.transfer.module.Name, Base: w.base, Orphans: w.orphans}
 	for p := range w.transfer.inFlight {
 		if p.writer == w {
 			p.abandon()
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -30,7 +30,7 @@
 	mu      sync.Mutex
 	pending map[string]float64 // units by volume that were not added to book yet; guarded by mu
 
-	book *forecast.Recorder // used only by run
+	recorder *forecast.Recorder // used only by run
 }
 
 func newDemandRecorder(cfg *config.Config, log *slog.Logger) (*demandRecorder, error) {
@@ -47,7 +47,7 @@
 			log.Warn("forecast: the unusable record could not be renamed", "err", err)
 		}
 	}
-	if d.book, err = forecast.NewRecorder(cfg.ForecastSettings(), previous); err != nil {
+	if d.recorder, err = forecast.NewRecorder(cfg.ForecastSettings(), previous); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
 	return d, nil
@@ -77,28 +77,28 @@
 	for {
 		select {
 		case <-stop:
-			d.bookPending()
+			d.addPending()
 			d.save()
 			return
 		case <-tick.C:
-			d.bookPending()
+			d.addPending()
 			d.save()
 		case <-d.wake:
-			d.bookPending()
+			d.addPending()
 		}
 	}
 }
 
-func (d *demandRecorder) bookPending() {
+func (d *demandRecorder) addPending() {
 	d.mu.Lock()
 	units := d.pending
 	d.pending = nil
 	d.mu.Unlock()
-	d.book.Add(time.Now(), units)
+	d.recorder.Add(time.Now(), units)
 }
 
 func (d *demandRecorder) save() {
-	b, err := d.book.Record().Encode()
+	b, err := d.recorder.Record().Encode()
 	if err == nil {
 		err = renameio.WriteFile(d.file, b, 0o644)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -92,7 +92,7 @@
 	}
 	n := &cfg.Nodes
 	backendSettings := backend.Settings{Name: cfg.Gateway.Name, MaxConns: n.MaxConnections, AttemptsPerConn: n.Streams, MaxWaiting: n.Waiting,
-		DialTimeout: n.DialTimeout.D(), IdleClose: n.IdleTimeout.D(), SendCancel: n.Cancel, Loops: n.Loops}
+		DialTimeout: n.DialTimeout.D(), IdleTimeout: n.IdleTimeout.D(), SendCancel: n.Cancel, Loops: n.Loops}
 	if cfg.Placement.Choice > 0 { // g.placer is set before the feed runs; nodes are dialled only after its first list
 		backendSettings.OnFill = func(shard int, used, capacity uint64, noRoom bool) {
 			g.placer.reportFill(shard, used, capacity, noRoom)
@@ -183,7 +183,7 @@
 		ExtentBytes: r.ExtentBytes, ShardLost: g.outages.lost, MaxConns: r.MaxConnections, MaxListEntries: r.MaxFileEntries, BufferBytes: r.BufferBytes, HandshakeTimeout: r.Handshake.D(),
 		StallTimeout: r.Stall.D(), Log: log}
 	if g.placer != nil {
-		frontOptions.Place = g.placer.place
+		frontOptions.ChooseShards = g.placer.place
 	}
 	if g.front, err = front.Start(frontOptions); err != nil {
 		return err
@@ -200,7 +200,7 @@
 	var list []front.Module
 	for _, m := range cfg.Modules {
 		f := front.Module{Module: proto.Module{Name: m.Name, Comment: m.Comment, Hidden: m.Hidden, ReadOnly: m.ReadOnly,
-			WriteOnly: m.WriteOnly, Users: m.Users}, Plan: m.Plan, Quota: m.QuotaBytes, Share: m.Share, Gateways: cfg.Gateway.Hosts, MaxConns: m.MaxConnections}
+			WriteOnly: m.WriteOnly, Users: m.Users}, Plan: m.Plan, QuotaBytes: m.QuotaBytes, Share: m.Share, Gateways: cfg.Gateway.Hosts, MaxConns: m.MaxConnections}
 		if m.SecretsFile != "" {
 			secrets, err := config.ReadSecrets(m.SecretsFile)
 			if err != nil {
--- a/internal/gateway/hard_test.go
+++ b/internal/gateway/hard_test.go
@@ -34,7 +34,7 @@
 	}
 	r := newTracedFixture(t, 2, standin.NodeOptions{UnitTime: 10 * time.Millisecond}, func(c *config.Config) {
 		c.Safety.DrainGrace = config.Duration(300 * time.Millisecond)
-		c.Pacing.WindowTop = 2
+		c.Pacing.MaxWindow = 2
 		c.Safety.ColdFor = 0
 	}, trace)
 	restore := r.onlyReady("node-1", 2)
--- a/internal/gateway/land_test.go
+++ b/internal/gateway/land_test.go
@@ -104,7 +104,7 @@
 func TestNodeLossAffectsOnlyItsFiles(t *testing.T) {
 	const nodes, zones = 24, 8
 	r := newFixture(t, 0, standin.NodeOptions{}, func(c *config.Config) {
-		c.Pacing.Patience = config.Duration(300 * time.Millisecond)
+		c.Pacing.ExtentTimeout = config.Duration(300 * time.Millisecond)
 	})
 	for i := range nodes {
 		if _, err := r.site.Add(standin.NodeOptions{ID: fmt.Sprintf("node-%d", i), Shard: i, Zone: fmt.Sprint("zone-", i%zones),
@@ -221,8 +221,8 @@
 	stop()
 	_, _, sum := r.writesPerNode(nodes)
 	mean := float64(sum-before) / nodes
-	if got := float64(joined.Counts().Done - own); got < mean/2 || got > 1.5*mean || joined.Counts().Fell > 0 {
-		t.Errorf("the cold node took %.0f writes, the others' mean is %.0f; it collapsed %d times", got, mean, joined.Counts().Fell)
+	if got := float64(joined.Counts().Done - own); got < mean/2 || got > 1.5*mean || joined.Counts().Collapses > 0 {
+		t.Errorf("the cold node took %.0f writes, the others' mean is %.0f; it collapsed %d times", got, mean, joined.Counts().Collapses)
 	}
 	if got := float64(small.Counts().Done - tiny); got > 0.05*mean {
 		t.Errorf("the node of size 0.01 took %.0f writes, the others' mean is %.0f", got, mean)
--- a/internal/gateway/outages.go
+++ b/internal/gateway/outages.go
@@ -22,16 +22,16 @@
 
 	nodes *nodeTable
 
-	mu   sync.Mutex
-	book *outage.Tracker
+	mu      sync.Mutex
+	tracker *outage.Tracker
 }
 
 func newOutageMonitor(settings outage.Settings, nodes *nodeTable, log *slog.Logger, now func() time.Duration, probe func(string)) (*outageMonitor, error) {
-	book, err := outage.New(settings)
+	tracker, err := outage.New(settings)
 	if err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
 	}
-	return &outageMonitor{log: log, now: now, probe: probe, book: book, nodes: nodes}, nil
+	return &outageMonitor{log: log, now: now, probe: probe, tracker: tracker, nodes: nodes}, nil
 }
 
 // nodesChanged is called after each change of the node list. changed are the shards of nodes that are new,
@@ -40,15 +40,15 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for _, shard := range changed {
-		o.book.NodeChanged(shard, o.now())
+		o.tracker.NodeChanged(shard, o.now())
 	}
-	o.book.Retain(func(shard int) bool { return len(o.nodes.ofShard(shard)) > 0 })
+	o.tracker.Retain(func(shard int) bool { return len(o.nodes.ofShard(shard)) > 0 })
 }
 
 // recordAnswer records whether a shard answered an attempt or a probe. The host calls it on its loop.
 func (o *outageMonitor) recordAnswer(shard int, answered bool) {
 	o.mu.Lock()
-	change, silent := o.book.RecordResult(shard, answered, o.now())
+	change, silent := o.tracker.RecordResult(shard, answered, o.now())
 	o.mu.Unlock()
 	switch change {
 	case outage.ShardLost:
@@ -61,7 +61,7 @@
 // lost reports whether a shard is lost, with the reason for the client and the time after which to retry.
 func (o *outageMonitor) lost(shard int) (why string, retryAfter time.Duration, lost bool) {
 	o.mu.Lock()
-	silent, retryAfter, lost := o.book.Lost(shard, o.now())
+	silent, retryAfter, lost := o.tracker.Lost(shard, o.now())
 	o.mu.Unlock()
 	if !lost {
 		return "", 0, false
@@ -98,7 +98,7 @@
 		case <-tick.C:
 		}
 		o.mu.Lock()
-		due := o.book.ProbesDue(o.now())
+		due := o.tracker.ProbesDue(o.now())
 		o.mu.Unlock()
 		for _, shard := range due {
 			for _, n := range o.nodes.ofShard(shard) {
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -91,7 +91,7 @@
 func TestNodeVanishes(t *testing.T) {
 	const nodes = 6
 	r := newFixture(t, nodes, standin.NodeOptions{ColdFor: 2 * time.Second, ColdCapacity: 0.5}, func(c *config.Config) {
-		c.Pacing.Patience = config.Duration(300 * time.Millisecond) // requests to a lost node fail soon
+		c.Pacing.ExtentTimeout = config.Duration(300 * time.Millisecond) // requests to a lost node fail soon
 	})
 	var files []standin.ClientFile
 	push := func(n int) {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -672,7 +672,7 @@
 
 // Beliefs calls f on the host's loop with the controller's estimate of each node, ordered by id, or with nil if the
 // controller does not report estimates. f must not block.
-func (h *Host) Beliefs(f func([]NodeView)) {
+func (h *Host) NodeEstimates(f func([]NodeView)) {
 	h.post(call(func() {
 		reporter, ok := h.controller.(interface{ NodeEstimates() []control.NodeEstimate })
 		if !ok {
--- a/internal/live/live.go
+++ b/internal/live/live.go
@@ -70,7 +70,7 @@
 	if s.loop, err = loop.Start(log); err != nil {
 		return nil, err
 	}
-	s.backend = backend.New(backend.Settings{MaxConns: split.NodeConns, MaxResponseBytes: split.AnswerBytes, NodeIdleTimeout: cfg.conns.Idle,
+	s.backend = backend.New(backend.Settings{MaxConns: split.NodeConns, MaxResponseBytes: split.AnswerBytes, NodeIdleTimeout: cfg.conns.IdleTimeout,
 		DialTimeout: cfg.conns.DialTimeout, HostHeader: serviceName, LoadFields: cfg.control.LoadFields}, s.loop, log)
 	s.host, err = host.New(host.Options{Settings: cfg.control, Seed: int64(cfg.seed), Backend: s.backend, Log: log,
 		MaxOpen: split.MaxRequests})
@@ -103,7 +103,7 @@
 	}
 	log.Info("serving", "listen", s.front.Addr(), "discovery", cfg.Discovery, "cores", cfg.Limits.Cores,
 		"memory_mb", cfg.Limits.MemoryMB, "sockets", cfg.Limits.Sockets, "clients", split.ClientConns, "nodes", split.NodeConns,
-		"requests", split.MaxRequests, "hosts", cfg.control.Hosts, "idle", cfg.conns.Idle, "dial_timeout", cfg.conns.DialTimeout)
+		"requests", split.MaxRequests, "hosts", cfg.control.Hosts, "idle", cfg.conns.IdleTimeout, "dial_timeout", cfg.conns.DialTimeout)
 	return s, nil
 }
 
@@ -218,7 +218,7 @@
 
 // CompareNodes calls f with the controller's estimate of each node and with the counters of its connections.
 func (s *Server) CompareNodes(f func([]host.NodeView, map[string]backend.NodeTraffic)) {
-	s.host.Beliefs(func(believed []host.NodeView) {
+	s.host.NodeEstimates(func(believed []host.NodeView) {
 		s.backend.Traffic(func(passed map[string]backend.NodeTraffic) { f(believed, passed) })
 	})
 }
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -293,7 +293,7 @@
 
 // TestBeliefs checks that the controller's estimate of the attempts in flight matches the sockets, while a node delays
 // its answers and after. A node that does not answer is suspect until it answers.
-func TestBeliefs(t *testing.T) {
+func TestNodeEstimates(t *testing.T) {
 	release := make(chan bool)
 	n := newNode(t, func(s standin.Seen) standin.Reply { <-release; return echo(s) })
 	r := newTestServer(t, standin.Target("s-1", n.Addr(), 0, "active", 0))
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -86,10 +86,10 @@
 func (l *Loop) Post(f func()) {
 	l.mu.Lock()
 	l.queue = append(l.queue, f)
-	rung := l.scheduled
+	wasScheduled := l.scheduled
 	l.scheduled = true
 	l.mu.Unlock()
-	if rung {
+	if wasScheduled {
 		return
 	}
 	if err := l.eventLoop.Execute(context.Background(), queueRunner{l}); err != nil {
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -99,7 +99,7 @@
 
 // TestFinish checks a graceful close after an answer larger than the kernel's buffer, while the other side keeps
 // sending: it reads the whole answer and EOF, no reset, and its input causes no further Traffic calls.
-func TestFinish(t *testing.T) {
+func TestCloseGracefully(t *testing.T) {
 	answer := bytes.Repeat([]byte("answer"), 4<<20/6)
 	var traffics atomic.Int32
 	var p *testPeer
@@ -150,7 +150,7 @@
 }
 
 // TestFinishBounds checks that a connection is closed even if the other side neither closes nor stops sending.
-func TestFinishBounds(t *testing.T) {
+func TestCloseGracefullyBounds(t *testing.T) {
 	for name, flood := range map[string]bool{"says nothing": false, "goes on sending": true} {
 		t.Run(name, func(t *testing.T) {
 			var p *testPeer
--- a/internal/mapfeed/feed.go
+++ b/internal/mapfeed/feed.go
@@ -150,19 +150,19 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	verdict := f.refresher.Decide(f.extents.View(), volume, extent, patience, f.now())
+	decision := f.refresher.Decide(f.extents.View(), volume, extent, patience, f.now())
 	f.updateLookupOnly()
-	if verdict.Action != extentmap.Wait {
-		return verdict
+	if decision.Action != extentmap.Wait {
+		return decision
 	}
 	if f.waitingCount >= f.settings.MaxWaiting {
-		return extentmap.Decision{Action: extentmap.Refuse, RetryAfter: f.settings.Refresh.MinRetryInterval, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", verdict.Why, f.waitingCount)}
+		return extentmap.Decision{Action: extentmap.Refuse, RetryAfter: f.settings.Refresh.MinRetryInterval, Why: fmt.Sprintf("%s, and %d requests wait to know, which is the most", decision.Why, f.waitingCount)}
 	}
 	r := f.refresher.Range(volume, extent)
 	f.waiting[r] = append(f.waiting[r], again)
 	f.waitingCount++
 	f.wakeRefresh()
-	return verdict
+	return decision
 }
 
 // Moved records a node's answer that an extent has moved, and reports whether it is newer than the map.
--- a/internal/mapfeed/feed_test.go
+++ b/internal/mapfeed/feed_test.go
@@ -75,7 +75,7 @@
 	v := f.View()
 	vol, _ := v.Volume(volume)
 	for e := range extents {
-		want, there := s.authority.Home(volume, e)
+		want, there := s.authority.Location(volume, e)
 		got, _, ok := v.Lookup(vol, e)
 		if ok && got.Shard == extentmap.NoShard {
 			ok = false
@@ -260,7 +260,7 @@
 			<-again
 			v = f.Decide("v", e, 10*time.Second, func() {})
 		}
-		if want, _ := s.authority.Home("v", e); v.Action != extentmap.Use || v.Location != want {
+		if want, _ := s.authority.Location("v", e); v.Action != extentmap.Use || v.Location != want {
 			t.Fatalf("%d: %+v, want %v", e, v, want)
 		}
 	}
--- a/internal/mapfile/mapfile.go
+++ b/internal/mapfile/mapfile.go
@@ -130,14 +130,14 @@
 
 // block is a block that is being written.
 type block struct {
-	bytes      []byte
-	scratch    []byte
-	watermark  uint64
-	runs       uint32
-	lastVolume string
-	lastEnd    uint64
-	lastHome   extentmap.Location
-	hasHome    bool // the block contains a location
+	bytes        []byte
+	scratch      []byte
+	watermark    uint64
+	runs         uint32
+	lastVolume   string
+	lastEnd      uint64
+	lastLocation extentmap.Location
+	hasLocation  bool // the block contains a location
 }
 
 func newBlock(mark uint64) *block {
@@ -146,7 +146,7 @@
 
 // add appends a run and returns false if it does not fit. Runs must come in order.
 func (b *block) add(r *extentmap.Run) bool {
-	s, at, hasHome, home := b.scratch[:0], b.lastEnd, b.hasHome, b.lastHome
+	s, at, hasHome, home := b.scratch[:0], b.lastEnd, b.hasLocation, b.lastLocation
 	if b.runs == 0 || r.Volume != b.lastVolume {
 		s = binary.AppendUvarint(s, 0)
 		s = binary.AppendUvarint(s, uint64(len(r.Volume)))
@@ -168,7 +168,7 @@
 	}
 	b.bytes = append(b.bytes, s...)
 	b.runs++
-	b.lastVolume, b.lastEnd, b.lastHome, b.hasHome = r.Volume, r.To, r.Location, true
+	b.lastVolume, b.lastEnd, b.lastLocation, b.hasLocation = r.Volume, r.To, r.Location, true
 	return true
 }
 
--- a/internal/migrate/log.go
+++ b/internal/migrate/log.go
@@ -30,22 +30,22 @@
 }
 
 // openLog reads a log and rewrites it without an incomplete record at its end, whose size in bytes it returns in torn.
-func openLog(path string) (l *logFile, records []mover.Record, torn int, err error) {
+func openLog(path string) (l *logFile, records []mover.Record, droppedBytes int, err error) {
 	b, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, nil, 0, fmt.Errorf("migrate: %w", err)
 	}
 	if err == nil {
-		if records, torn, err = parseLog(b); err != nil {
+		if records, droppedBytes, err = parseLog(b); err != nil {
 			return nil, nil, 0, fmt.Errorf("migrate: %s: %w", path, err)
 		}
 	}
 	l = &logFile{path: path}
-	return l, records, torn, l.replace(records)
+	return l, records, droppedBytes, l.replace(records)
 }
 
 // parseLog parses the content of a log.
-func parseLog(b []byte) (records []mover.Record, torn int, err error) {
+func parseLog(b []byte) (records []mover.Record, droppedBytes int, err error) {
 	if len(b) < len(logMagic) {
 		if bytes.HasPrefix([]byte(logMagic), b) {
 			return nil, len(b), nil
--- a/internal/migrate/log_test.go
+++ b/internal/migrate/log_test.go
@@ -17,7 +17,7 @@
 // TestTornLog checks that a log truncated at any byte is read up to its last complete record and can be
 // appended to, that a log with a changed byte is read up to the damaged record, and that a file of another
 // format is refused.
-func TestTornLog(t *testing.T) {
+func TestTruncatedLog(t *testing.T) {
 	path := filepath.Join(t.TempDir(), LogFile)
 	l, got, torn, err := openLog(path)
 	if err != nil || len(got) != 0 || torn != 0 {
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -63,12 +63,12 @@
 
 // New opens the log and returns a runner. Run continues the moves in the log.
 func New(opt Options) (*Runner, error) {
-	l, records, torn, err := openLog(filepath.Join(opt.Dir, LogFile))
+	l, records, droppedBytes, err := openLog(filepath.Join(opt.Dir, LogFile))
 	if err != nil {
 		return nil, err
 	}
-	if torn > 0 {
-		opt.Log.Warn("migrate: the end of the log was cut by a crash; what it said was not begun", "bytes", torn)
+	if droppedBytes > 0 {
+		opt.Log.Warn("migrate: the end of the log was cut by a crash; what it said was not begun", "bytes", droppedBytes)
 	}
 	r := &Runner{opt: opt, log: l, startTime: time.Now(), recordCount: len(records), ended: make(chan endedAction, 64), commands: make(chan func(context.Context)), stopped: make(chan struct{})}
 	if r.mover, err = mover.New(opt.Settings, records, 0); err != nil {
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -170,20 +170,20 @@
 	if s.Told == ToldNone {
 		return nil
 	}
-	told := shares.NewSolution(p, r.foundShares, 1, "rehearsal", time.Now(), time.Hour)
+	solution := shares.NewSolution(p, r.foundShares, 1, "rehearsal", time.Now(), time.Hour)
 	if s.Told == ToldWrong {
-		for i, v := range slices.Sorted(maps.Keys(told.Shares)) {
-			for n, share := range told.Shares[v] {
+		for i, v := range slices.Sorted(maps.Keys(solution.Shares)) {
+			for n, share := range solution.Shares[v] {
 				switch i % 6 {
 				case 0:
-					told.Shares[v][n] = int64(float64(share) * s.WrongFactor)
+					solution.Shares[v][n] = int64(float64(share) * s.WrongFactor)
 				case 3:
-					told.Shares[v][n] = int64(float64(share) / s.WrongFactor)
+					solution.Shares[v][n] = int64(float64(share) / s.WrongFactor)
 				}
 			}
 		}
 	}
-	b, err := told.Encode()
+	b, err := solution.Encode()
 	if err != nil {
 		return fmt.Errorf("rehearsal: shares: %w", err)
 	}
--- a/internal/solution/keeper.go
+++ b/internal/solution/keeper.go
@@ -259,7 +259,7 @@
 // ControlShares returns a solution as the shares of a controller at time now. A solution dated in the
 // future, by a clock that is ahead, has age 0.
 func ControlShares(s *shares.Solution, now time.Time) control.Shares {
-	told := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
+	controlShares := control.Shares{Version: s.Version, Age: max(0, now.Sub(s.At)), Trust: s.Trust(),
 		Volumes: make(map[string]control.VolumeShare, len(s.Shares))}
 	for v, byNode := range s.Shares {
 		volumeShare := control.VolumeShare{At: make(map[string]float64, len(byNode))}
@@ -270,7 +270,7 @@
 		}
 		volumeShare.Rate = float64(milli) / 1000
 		_, volumeShare.Met = slices.BinarySearch(s.Met, v)
-		told.Volumes[v] = volumeShare
+		controlShares.Volumes[v] = volumeShare
 	}
-	return told
+	return controlShares
 }
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -339,7 +339,7 @@
 }
 
 // Home returns the location of an extent in the authority's map, if it has one.
-func (a *Authority) Home(volume string, extent uint64) (extentmap.Location, bool) {
+func (a *Authority) Location(volume string, extent uint64) (extentmap.Location, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for i := len(a.changes) - 1; i >= 0; i-- {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -83,7 +83,7 @@
 }
 
 // NodeCounts holds counts of requests since the start; Fell counts how often the node went down.
-type NodeCounts struct{ Arrived, Done, Errors, Busy, Repeats, Lost, Cancelled, Fell int }
+type NodeCounts struct{ Arrived, Done, Errors, Busy, Repeats, Lost, Cancelled, Collapses int }
 
 // arrival is a request's arrival at a cold node.
 type arrival struct {
@@ -303,7 +303,7 @@
 	n.mu.Lock()
 	n.counts.Arrived++
 	if n.collapses(j) {
-		n.counts.Fell++
+		n.counts.Collapses++
 		n.mu.Unlock()
 		n.opt.Trace.Put(audit.Record{Kind: audit.Collapse, Node: n.opt.ID, Gateway: p.gateway})
 		n.CloseConns()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -214,7 +214,7 @@
 }
 
 // TestAmendMatchesBase checks that attributes meant for one version are not applied to another.
-func TestAmendMatchesBase(t *testing.T) {
+func TestUpdateAttributesMatchesBase(t *testing.T) {
 	c := open(t, t.TempDir())
 	c.mustCommit(t, "f", Entry{Base: "new", MTime: 1, Parts: testParts(1)})
 	for _, base := range []string{"old", "new"} {
--- a/internal/wire/setup.go
+++ b/internal/wire/setup.go
@@ -83,7 +83,7 @@
 // ConnectionSettings holds the settings of connections to nodes. They apply to the host that opens the connections,
 // not to the controller.
 type ConnectionSettings struct {
-	Idle        time.Duration // a node closes a connection that has been idle for this long; 0: it does not
+	IdleTimeout time.Duration // a node closes a connection that has been idle for this long; 0: it does not
 	DialTimeout time.Duration // a node that does not accept a connection in this time is unreachable; 0: not set
 }
 
@@ -94,7 +94,7 @@
 		return ConnectionSettings{}, fmt.Errorf("settings: %w", err)
 	}
 	conns := ConnectionSettings{duration(message.Limits.ConnIdleMS), duration(message.Limits.DialTimeoutMS)}
-	if conns.Idle < 0 || conns.DialTimeout < 0 {
+	if conns.IdleTimeout < 0 || conns.DialTimeout < 0 {
 		return conns, fmt.Errorf("settings: limits: conn_idle_ms %v, dial_timeout_ms %v: expected none below 0",
 			message.Limits.ConnIdleMS, message.Limits.DialTimeoutMS)
 	}
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -85,9 +85,9 @@
 
 // The decisions.
 const (
-	KeepOpen Decision = iota // keep it open
-	Close                    // close it
-	Late                     // answer that the request did not arrive in time, then close it
+	KeepOpen   Decision = iota // keep it open
+	Close                      // close it
+	RejectLate                 // answer that the request did not arrive in time, then close it
 )
 
 // Decide decides whether a connection stays open while used of capacity connections exist.
@@ -101,7 +101,7 @@
 	case c.WritingAnswer:
 		return KeepOpen
 	case c.PartialRequest && !c.HasRequested && now-c.Opened >= firstRequestTimeout, c.PartialRequest && c.HasRequested && age >= requestTimeout:
-		return Late
+		return RejectLate
 	case c.PartialRequest:
 		return KeepOpen
 	case !c.HasRequested && age >= firstRequestTimeout:
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -34,9 +34,9 @@
 		{"silent, new", Conn{}, 1 * sec, 1, 100, KeepOpen},
 		{"silent for long", Conn{}, 3 * sec, 1, 100, Close},
 		{"silent, and no room", Conn{}, 400 * time.Millisecond, 100, 100, Close},
-		{"part of a first request, late", Conn{PartialRequest: true, Since: 2 * sec}, 2300 * time.Millisecond, 1, 100, Late},
+		{"part of a first request, late", Conn{PartialRequest: true, Since: 2 * sec}, 2300 * time.Millisecond, 1, 100, RejectLate},
 		{"part of a first request, recent", Conn{PartialRequest: true}, 1 * sec, 100, 100, KeepOpen},
-		{"part of a later request, late", Conn{PartialRequest: true, HasRequested: true, Since: 5 * sec}, 7 * sec, 1, 100, Late},
+		{"part of a later request, late", Conn{PartialRequest: true, HasRequested: true, Since: 5 * sec}, 7 * sec, 1, 100, RejectLate},
 		{"idle, and room", Conn{HasRequested: true}, 10 * sec, 10, 100, KeepOpen},
 		{"idle, and little room", Conn{HasRequested: true}, 10 * sec, 80, 100, Close},
 		{"idle for a moment, and little room", Conn{HasRequested: true}, 1 * sec, 80, 100, KeepOpen},
@@ -50,7 +50,7 @@
 }
 
 // TestRank checks the order of eviction, and that connections with an open or incomplete request are not evicted.
-func TestRank(t *testing.T) {
+func TestEvictionRank(t *testing.T) {
 	now := 10 * time.Second
 	last := 99.0
 	for _, c := range []Conn{{Closing: true}, {}, {HasRequested: true}, {PartialRequest: true}} {
@@ -69,7 +69,7 @@
 
 // TestKeep checks that connections stay open while there is room, and close after their answers well before there is
 // none.
-func TestKeep(t *testing.T) {
+func TestKeepAlive(t *testing.T) {
 	if !KeepAlive(1, 100) || !KeepAlive(59, 100) || KeepAlive(60, 100) || KeepAlive(100, 100) {
 		t.Error("connections are kept open at the wrong occupancy")
 	}
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestEnds checks that only a read of zero bytes ends an answer without a length.
-func TestEnds(t *testing.T) {
+func TestEndsAnswer(t *testing.T) {
 	for err, want := range map[error]bool{
 		os.NewSyscallError("read", io.EOF):             true,
 		os.NewSyscallError("read", syscall.ECONNRESET): false,
--- a/shares/search.go
+++ b/shares/search.go
@@ -84,7 +84,7 @@
 }
 
 // Found returns the present placement, evaluated from scratch, and its upper bound.
-func (s *Solver) Found() (*SearchResult, error) {
+func (s *Solver) Result() (*SearchResult, error) {
 	a, err := s.in.evaluate(s.state.sets)
 	if err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 		return nil, err
 	}
 	s.Step(opt.Steps)
-	return s.Found()
+	return s.Result()
 }
 
 // searchState is a placement under construction or improvement.
