--- a/forecast/forecast_test.go
+++ b/forecast/forecast_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Date(2026, 8, 13, 0, 0, 0, 0, time.UTC)
 
-// newBook returns an empty Recorder.
+// newRecorder returns an empty Recorder.
 func newRecorder(t testing.TB, set Settings) *Recorder {
 	t.Helper()
 	b, err := NewRecorder(set, nil)
--- a/internal/front/http/front_test.go
+++ b/internal/front/http/front_test.go
@@ -508,7 +508,7 @@
 	<-done
 }
 
-// TestReadAfterShut checks that a request that arrives after the front began to close its connection is discarded, and
+// TestReadAfterClose checks that a request that arrives after the front began to close its connection is discarded, and
 // that its client reads the end of the stream rather than a reset.
 func TestReadAfterClose(t *testing.T) {
 	r := newHarness(t, 10)
@@ -546,7 +546,7 @@
 	}
 }
 
-// TestShut checks that CloseWithoutRequest refuses a partly read request, closes idle connections and leaves an open
+// TestCloseWithoutRequest checks that CloseWithoutRequest refuses a partly read request, closes idle connections and leaves an open
 // request to be answered.
 func TestCloseWithoutRequest(t *testing.T) {
 	r := newHarness(t, 10)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -28,7 +28,7 @@
 	wake          chan struct{}
 
 	mu      sync.Mutex
-	pending map[string]float64 // units by volume that were not added to book yet; guarded by mu
+	pending map[string]float64 // units by volume that were not yet added to recorder; guarded by mu
 
 	recorder *forecast.Recorder // used only by run
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -670,7 +670,7 @@
 	HostInFlight int // attempts in flight; the backend has as many, on connections or waiting for one
 }
 
-// Beliefs calls f on the host's loop with the controller's estimate of each node, ordered by id, or with nil if the
+// NodeEstimates calls f on the host's loop with the controller's estimate of each node, ordered by id, or with nil if the
 // controller does not report estimates. f must not block.
 func (h *Host) NodeEstimates(f func([]NodeView)) {
 	h.post(call(func() {
--- a/internal/live/live_test.go
+++ b/internal/live/live_test.go
@@ -291,7 +291,7 @@
 	}
 }
 
-// TestBeliefs checks that the controller's estimate of the attempts in flight matches the sockets, while a node delays
+// TestNodeEstimates checks that the controller's estimate of the attempts in flight matches the sockets, while a node delays
 // its answers and after. A node that does not answer is suspect until it answers.
 func TestNodeEstimates(t *testing.T) {
 	release := make(chan bool)
--- a/internal/migrate/log_test.go
+++ b/internal/migrate/log_test.go
@@ -14,7 +14,7 @@
 	return []mover.Record{{ID: 3, Step: mover.Waiting, Move: mv}, {ID: 3, Step: mover.Copying}, {ID: 3, Step: mover.Undoing, Why: "a test"}}
 }
 
-// TestTornLog checks that a log truncated at any byte is read up to its last complete record and can be
+// TestTruncatedLog checks that a log truncated at any byte is read up to its last complete record and can be
 // appended to, that a log with a changed byte is read up to the damaged record, and that a file of another
 // format is refused.
 func TestTruncatedLog(t *testing.T) {
--- a/internal/standin/authority.go
+++ b/internal/standin/authority.go
@@ -338,7 +338,7 @@
 	return nil
 }
 
-// Home returns the location of an extent in the authority's map, if it has one.
+// Location returns the location of an extent in the authority's map, if it has one.
 func (a *Authority) Location(volume string, extent uint64) (extentmap.Location, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// TestAmendMatchesBase checks that attributes meant for one version are not applied to another.
+// TestUpdateAttributesMatchesBase checks that attributes meant for one version are not applied to another.
 func TestUpdateAttributesMatchesBase(t *testing.T) {
 	c := open(t, t.TempDir())
 	c.mustCommit(t, "f", Entry{Base: "new", MTime: 1, Parts: testParts(1)})
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestRank checks the order of eviction, and that connections with an open or incomplete request are not evicted.
+// TestEvictionRank checks the order of eviction, and that connections with an open or incomplete request are not evicted.
 func TestEvictionRank(t *testing.T) {
 	now := 10 * time.Second
 	last := 99.0
@@ -67,7 +67,7 @@
 	}
 }
 
-// TestKeep checks that connections stay open while there is room, and close after their answers well before there is
+// TestKeepAlive checks that connections stay open while there is room, and close after their answers well before there is
 // none.
 func TestKeepAlive(t *testing.T) {
 	if !KeepAlive(1, 100) || !KeepAlive(59, 100) || KeepAlive(60, 100) || KeepAlive(100, 100) {
--- a/shares/search.go
+++ b/shares/search.go
@@ -83,7 +83,7 @@
 	return sum
 }
 
-// Found returns the present placement, evaluated from scratch, and its upper bound.
+// Result returns the present placement, evaluated from scratch, and its upper bound.
 func (s *Solver) Result() (*SearchResult, error) {
 	a, err := s.in.evaluate(s.state.sets)
 	if err != nil {
