--- a/membership/membership.go
+++ b/membership/membership.go
@@ -1,5 +1,5 @@
 // Package membership decides which updates of discovery's node list apply (this file), and when a watch is opened,
-// abandoned or replaced (keeper.go). It does no I/O and reads no clock. internal/discovery passes it updates as
+// abandoned or replaced (scheduler.go). It does no I/O and reads no clock. internal/discovery passes it updates as
 // received, and times, and passes the resulting nodes to the host.
 package membership
 
