--- a/internal/gateway/hard_test.go
+++ b/internal/gateway/hard_test.go
@@ -131,9 +131,11 @@
 	})
 }
 
-// TestClientStopsReading has one client stop reading in the middle of a large file while 500
-// others pull a small one. Memory must stay bounded, the others must all be served, and the
-// slow client must get its file in the end.
+// TestClientStopsReading guards against a gateway that buffers a file without limit for a client that
+// does not read, and against such a client delaying others. One client stops reading in the middle of a
+// large file while 500 others pull a small one. Memory must stay bounded, the others must all be served,
+// and the client that stopped must get its file in the end. It reads again only after the heap has been
+// measured: it runs in the same process, so its own copy of the file would count as the gateway's memory.
 func TestClientStopsReading(t *testing.T) {
 	r := newFixture(t, 4, standin.NodeOptions{}, nil)
 	big := testFile("big", content(1, 64<<20))
@@ -144,18 +146,21 @@
 	runtime.ReadMemStats(&before)
 
 	ended := make(chan error, 1)
-	stuck := make(chan bool)
+	relay, paused, resume := startPausingRelay(t, r.gw.Addr(), 1<<20)
+	defer resume()
 	go func() {
-		c := r.client()
-		c.ReadPause = 5 * time.Second
-		c.Before = func(string) { close(stuck) }
+		c := &standin.Client{Addr: relay, Timeout: 5 * time.Minute} // as long as the gateway's stall time-out
 		rep, err := c.Pull(context.Background(), "records", "big", nil)
 		if err == nil && (len(rep.Files) != 1 || blake3.Sum256(rep.Files[0].Data) != blake3.Sum256(big.Data)) {
 			err = fmt.Errorf("%d files, said %q", len(rep.Files), rep.Messages)
 		}
 		ended <- err
 	}()
-	<-stuck
+	select {
+	case <-paused:
+	case err := <-ended:
+		t.Fatalf("the large transfer ended before its client stopped reading: %v", err)
+	}
 	var wg sync.WaitGroup
 	errs := make(chan error, 500)
 	gate := make(chan bool, 100)
@@ -185,7 +190,7 @@
 	}
 	select {
 	case err := <-ended:
-		t.Errorf("the client that stopped reading has ended: %v", err)
+		t.Fatalf("the large transfer ended while its client was not reading: %v", err)
 	default:
 	}
 	runtime.GC()
@@ -193,12 +198,49 @@
 	if grew := int64(during.HeapAlloc) - int64(before.HeapAlloc); grew > 48<<20 {
 		t.Errorf("%d MiB more heap while a client of a 64 MiB file does not read", grew>>20)
 	}
+	resume()
 	if err := <-ended; err != nil {
 		t.Errorf("the client that stopped reading: %v", err)
 	}
 	r.waitFor("the budget's return", func() bool { return r.gw.Front().Stats().Budget == 0 })
 }
 
+// startPausingRelay relays one connection to the gateway. Once it has passed limit bytes on to the client, it
+// closes paused and reads nothing more from the gateway until resume is called. If either side ends before
+// that, it closes both connections and paused stays open.
+func startPausingRelay(t *testing.T, gateway string, limit int64) (addr string, paused <-chan struct{}, resume func()) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	pausedHere, resumed := make(chan struct{}), make(chan struct{})
+	go func() {
+		client, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		defer client.Close()
+		upstream, err := net.Dial("tcp", gateway)
+		if err != nil {
+			return // the client's connection closes, so its transfer fails
+		}
+		defer upstream.Close()
+		go func() {
+			_, _ = io.Copy(upstream, client)
+			_ = upstream.(*net.TCPConn).CloseWrite()
+		}()
+		if _, err := io.CopyN(client, upstream, limit); err != nil {
+			return
+		}
+		close(pausedHere)
+		<-resumed
+		_, _ = io.Copy(client, upstream)
+	}()
+	return listener.Addr().String(), pausedHere, sync.OnceFunc(func() { close(resumed) })
+}
+
 // TestThousandConnections opens and closes 1,000 connections at once, some in the middle of a
 // greeting. One above the limit gets rsync's error for too many connections.
 func TestThousandConnections(t *testing.T) {
