--- a/internal/gateway/space_test.go
+++ b/internal/gateway/space_test.go
@@ -7,6 +7,7 @@
 	"net/url"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -33,18 +34,26 @@
 	}
 }
 
-// TestNodesFill fills shards one by one. An extent that a shard has no room for must go elsewhere. When all
-// are full, a push must be refused with the cause, the existing version must stay, and reads must be served.
-// A shard that has room again must take new data after its next load report.
+// TestNodesFill guards against data being lost, refused without a cause or sent to full shards when shards
+// fill one by one. An extent that a shard has no room for must go elsewhere. When all are full, a push must be
+// refused with the cause, the existing version must stay, and reads must be served. A shard that has room again
+// must take new data after the hold and its next load report.
+//
+// A full shard gets no new extents for placement.hold, whatever it reports; afterwards any report opens it. So
+// the checks of full shards run with a hold that cannot pass during the test, and only the end of the test, which
+// needs the hold to pass, runs with a short one.
 func TestNodesFill(t *testing.T) {
 	const nodes, size = 4, 100_000
-	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Placement.Hold = config.Duration(time.Second) })
-	for i := range nodes {
+	const neverPasses, shortHold = time.Hour, 3 * time.Second
+	r := newFixture(t, nodes, standin.NodeOptions{}, func(c *config.Config) { c.Placement.Hold = config.Duration(neverPasses) })
+	var disks [nodes]*standin.Disk
+	for i := range disks {
 		d, err := r.site.Disk(i)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.Limit(int64(2+i)*size+size/2, 0) // two files fit on the first, five on the last
+		disks[i] = d
 	}
 	const fit = 2 + 3 + 4 + 5
 	var files []standin.ClientFile
@@ -56,28 +65,52 @@
 			r.startGateway()
 		}
 	}
-	r.expectRefused(testFile("more", content(99, size)), "refused", "no room")
-	r.waitFor("all shards to be known as full", func() bool { return r.gw.placer.current.Load().noRoomErr != nil })
+	more := testFile("more", content(99, size))
+	allFull := func() bool { return r.gw.placer.current.Load().noRoomErr != nil }
+	r.expectRefused(more, "refused", "no room")
+	r.waitFor("all shards to be known as full", allFull)
 	next := testFile("f0", content(98, size))
 	next.MTime++ // a newer version
 	r.expectRefused(next, "refused", "none of 4 shards takes new data", "4 are full")
-	checkPulled(t, r.pull(""), files...)
+	checkPulled(t, r.pull(""), files...) // the answers carry load reports, which must not open a shard during the hold
 	s, err := r.gw.Space()
 	if err != nil || len(s.Shards) != nodes || s.Modules[0].Files != fit || s.Modules[0].Bytes != fit*size {
-		t.Errorf("%+v, %v", s, err)
+		t.Fatalf("%+v, %v", s, err)
 	}
 	for i, x := range s.Shards {
 		if x.State != StateFull || x.Used != int64(2+i)*size {
 			t.Errorf("%+v", x)
 		}
 	}
-	d, _ := r.site.Disk(2)
-	before := d.Items()
-	d.Limit(20*size, 0)
-	r.waitFor("a shard to have room again", func() bool { return r.gw.placer.current.Load().noRoomErr == nil })
-	r.push("", next, testFile("more", content(99, size)))
-	if d.Items() != before+2 {
-		t.Errorf("%d more items on the shard that has room, want 2", d.Items()-before)
+
+	r.stopGateway()
+	r.cfg.Placement.Hold = config.Duration(shortHold)
+	r.startGateway()
+	r.waitFor("all shards to be known as full by the restarted gateway", func() bool {
+		r.expectRefused(more, "refused", "no room")
+		return allFull()
+	})
+	for i, d := range disks {
+		if used, _ := d.Space(); used != int64(2+i)*size {
+			t.Errorf("shard %d: %d bytes used after the refused pushes, want %d", i, used, int64(2+i)*size)
+		}
+	}
+	const enlarged = 2
+	before := disks[enlarged].Items()
+	disks[enlarged].Limit(20*size, 0)
+	// After the hold other shards may open too, until an extent is refused there: look at the enlarged one itself.
+	r.waitFor("the enlarged shard to take new data", func() bool {
+		s, err := r.gw.Space()
+		m := r.gw.placer.current.Load()
+		if err != nil || len(s.Shards) != nodes {
+			return false
+		}
+		x := s.Shards[enlarged]
+		return x.Capacity == 20*size && x.State == StateTakes && m.noRoomErr == nil && !slices.Contains(m.avoid, enlarged)
+	})
+	r.push("", next, more)
+	if after := disks[enlarged].Items(); after != before+2 {
+		t.Errorf("%d more items on the enlarged shard, want 2", after-before)
 	}
 }
 
